--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -173,7 +173,7 @@
             let timing =
                 FleetTiming { joint_limit: JOINT_LIMIT, ..FleetTiming::default() };
             let mut node = FleetNode::new(own, rand::random(), timing);
-            node.set_list(None, Duration::ZERO);
+            node.set_instance_list(None, Duration::ZERO);
             node.set_seeds(seeds);
             node
         },
--- a/crates/flaxtide-fleet/src/node/digest.rs
+++ b/crates/flaxtide-fleet/src/node/digest.rs
@@ -91,7 +91,7 @@
         now: Duration,
     ) -> Vec<FleetNotice> {
         for info in &digest.contacts {
-            self.meet(info.clone(), false);
+            self.add_peer(info.clone(), false);
         }
         let data_centre = digest.hello.from.data_centre.clone();
         self.record_hello(&digest.hello, now);
@@ -151,7 +151,7 @@
         }
         self.hear_duty(hello.duty);
         self.forget_seed(&hello.from);
-        self.meet(hello.from.clone(), false);
+        self.add_peer(hello.from.clone(), false);
         let timeout = self.far_liveness_timeout();
         if let Some(peer) = self.peers.get_mut(&hello.from.name) {
             peer.crashes.compare |= !peer.heard_within(now, timeout);
--- a/crates/flaxtide-fleet/src/node/mod.rs
+++ b/crates/flaxtide-fleet/src/node/mod.rs
@@ -224,7 +224,7 @@
 
     /// Records the platform's list of entry instances; nothing if it can't be read. The
     /// list lags: a peer that it lacks is kept while it is heard.
-    pub fn set_list(&mut self, list: Option<Vec<PeerInfo>>, now: Duration) {
+    pub fn set_instance_list(&mut self, list: Option<Vec<PeerInfo>>, now: Duration) {
         self.list_failed = list.is_none();
         let Some(list) = list else { return };
         let before = self.listed_near();
@@ -232,7 +232,7 @@
             peer.listed = false;
         }
         for info in list {
-            self.meet(info, true);
+            self.add_peer(info, true);
         }
         let timeout = self.liveness_timeout();
         self.peers.retain(|_, peer| peer.listed || peer.alive(now, timeout));
@@ -257,7 +257,7 @@
             }
             let name = address.to_string();
             let data_centre = self.own.data_centre.clone();
-            self.meet(PeerInfo { name, data_centre, address }, false);
+            self.add_peer(PeerInfo { name, data_centre, address }, false);
         }
     }
 
@@ -283,7 +283,7 @@
     }
 
     /// Records that an instance may be there.
-    pub fn meet(&mut self, info: PeerInfo, listed: bool) {
+    pub fn add_peer(&mut self, info: PeerInfo, listed: bool) {
         let known = self.peers.contains_key(&info.name);
         if info.name == self.own.name || !(known || listed || self.has_place_for(&info)) {
             return;
--- a/crates/flaxtide-fleet/src/node/talk.rs
+++ b/crates/flaxtide-fleet/src/node/talk.rs
@@ -93,7 +93,7 @@
         let timeout = self.liveness_timeout();
         self.hear_duty(heartbeat.duty);
         self.forget_seed(&info);
-        self.meet(info.clone(), false);
+        self.add_peer(info.clone(), false);
         let mut changes = false;
         if let Some(peer) = self.peers.get_mut(&heartbeat.from) {
             if !peer.listed {
@@ -142,7 +142,7 @@
         self.hear_duty(reply.duty);
         for info in &reply.peers {
             self.forget_seed(info);
-            self.meet(info.clone(), false);
+            self.add_peer(info.clone(), false);
         }
         let timeout = self.liveness_timeout();
         let until = now + timeout;
--- a/crates/flaxtide-fleet/tests/common/mod.rs
+++ b/crates/flaxtide-fleet/tests/common/mod.rs
@@ -95,7 +95,7 @@
             ..FleetTiming::default()
         };
         let mut node = FleetNode::new(own, number as u32, timing);
-        node.set_list(None, self.now);
+        node.set_instance_list(None, self.now);
         node.set_seeds((0..3).map(address).collect());
         self.nodes.insert(address(number), node);
     }
--- a/crates/flaxtide-fleet/tests/news.rs
+++ b/crates/flaxtide-fleet/tests/news.rs
@@ -19,10 +19,10 @@
 fn node_among(count: usize) -> FleetNode {
     let timing = FleetTiming::default();
     let mut node = FleetNode::new(info(0), 0, timing.clone());
-    node.set_list(Some((0..count).map(info).collect()), Duration::ZERO);
+    node.set_instance_list(Some((0..count).map(info).collect()), Duration::ZERO);
     for number in 1..count {
         let mut peer = FleetNode::new(info(number), number as u32, timing.clone());
-        peer.set_list(Some((0..count).map(info).collect()), Duration::ZERO);
+        peer.set_instance_list(Some((0..count).map(info).collect()), Duration::ZERO);
         let heartbeats = peer.due_heartbeats(Duration::ZERO);
         let heartbeat = heartbeats
             .iter()
--- a/crates/flaxtide-fleet/tests/node.rs
+++ b/crates/flaxtide-fleet/tests/node.rs
@@ -58,7 +58,7 @@
     fn start(&mut self, own: PeerInfo, epoch: u32, list: &[PeerInfo], servers: usize) {
         let name = own.name.clone();
         let mut node = FleetNode::new(own, epoch, FleetTiming::default());
-        node.set_list(Some(list.to_vec()), self.now);
+        node.set_instance_list(Some(list.to_vec()), self.now);
         let pools = vec![fleet_key("model/m")];
         let server = FleetServer { slots: SLOTS, pools };
         let keys = (0..servers).map(|number| fleet_key(&format!("e{number}")));
--- a/crates/flaxtide-fleet/tests/settings.rs
+++ b/crates/flaxtide-fleet/tests/settings.rs
@@ -233,7 +233,7 @@
 fn hear_peer(node: &mut FleetNode, number: usize, version: u64, now: Duration) {
     let mut peer = FleetNode::new(info(number), 1, FleetTiming::default());
     peer.set_version(version);
-    peer.meet(info(0), true);
+    peer.add_peer(info(0), true);
     let heartbeats = peer.due_heartbeats(now);
     node.handle_heartbeat(&heartbeats[0].heartbeat, now);
 }
--- a/crates/flaxtide-fleet/tests/size.rs
+++ b/crates/flaxtide-fleet/tests/size.rs
@@ -52,7 +52,7 @@
         .map(|number| {
             let mut node =
                 FleetNode::new(info(number), number as u32, FleetTiming::default());
-            node.set_list(Some(list.clone()), Duration::ZERO);
+            node.set_instance_list(Some(list.clone()), Duration::ZERO);
             let keys = (0..WORKERS).map(|worker| fleet_key(&format!("worker-{worker}")));
             node.set_servers(keys.map(|key| (key, server.clone())).collect());
             node
@@ -115,7 +115,7 @@
                 address: address(number),
             };
             let mut node = FleetNode::new(own, number as u32, FleetTiming::default());
-            node.set_list(None, Duration::ZERO);
+            node.set_instance_list(None, Duration::ZERO);
             node.set_seeds((0..3).map(address).collect());
             node
         })
--- a/crates/flaxtide-fleet/tests/transfer.rs
+++ b/crates/flaxtide-fleet/tests/transfer.rs
@@ -89,7 +89,7 @@
     /// Has it know a peer.
     fn meet(&self, peer: &Self) {
         let info = peer.info.clone();
-        let update = FleetUpdate::new(move |node, _| node.meet(info, true));
+        let update = FleetUpdate::new(move |node, _| node.add_peer(info, true));
         self.events.send(FleetEvent::Update(update)).unwrap();
     }
 
--- a/crates/flaxtide/src/watch.rs
+++ b/crates/flaxtide/src/watch.rs
@@ -137,14 +137,14 @@
         Ok(list) => list,
         Err(cause) => {
             log::warn!("the list of instances can't be read: {cause}");
-            shared.update_fleet(|node, now| node.set_list(None, now));
+            shared.update_fleet(|node, now| node.set_instance_list(None, now));
             return 0;
         }
     };
     let entries = list.iter().filter(|listed| listed.role == InstanceRole::Entry);
     let entries: Vec<PeerInfo> = entries.map(peer_of).collect();
     let known = entries.len();
-    shared.update_fleet(move |node, now| node.set_list(Some(entries), now));
+    shared.update_fleet(move |node, now| node.set_instance_list(Some(entries), now));
     take_listed(shared, &list);
     known
 }
