--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -11,7 +11,7 @@
 use flaxtide_core::{InstanceName, MilliClock, ServerId, SettingsVersion};
 use flaxtide_fleet::{
     DutyHolder, FleetEvent, FleetKey, FleetNode, FleetNotice, FleetThread, FleetTiming,
-    FleetUpdate, LinkBytes, NodeDemand, OwnLoad, PartRead, PeerInfo, RowQuestion,
+    FleetUpdate, LinkBytes, NodeStatus, OwnLoad, PartRead, PeerInfo, RowQuestion,
     SettingsCopy, fleet_key,
 };
 use flaxtide_policy::{
@@ -294,12 +294,12 @@
         let recent = node.period() + TELL_PERIOD * 2;
         let reads = reads.iter().filter(|(age, _)| *age < recent).map(|(_, read)| *read);
         let reads = reads.collect();
-        node.set_demand(
-            NodeDemand {
+        node.set_status(
+            NodeStatus {
                 loads,
                 reads,
                 unresponsive: silent,
-                ..NodeDemand::default()
+                ..NodeStatus::default()
             },
             now,
         );
--- a/crates/flaxtide-fleet/src/lib.rs
+++ b/crates/flaxtide-fleet/src/lib.rs
@@ -30,7 +30,7 @@
 pub use self::info::PeerInfo;
 pub use self::key::{FleetKey, fleet_key};
 pub use self::node::{
-    FleetNode, FleetNotice, FleetServer, FleetTiming, NodeDemand, OutgoingCrashes,
+    FleetNode, FleetNotice, FleetServer, FleetTiming, NodeStatus, OutgoingCrashes,
     OutgoingHeartbeat, OutgoingHello, OutgoingPushback, SettingsSource,
 };
 pub use self::rate::rate_part;
--- a/crates/flaxtide-fleet/src/node/digest.rs
+++ b/crates/flaxtide-fleet/src/node/digest.rs
@@ -79,7 +79,7 @@
         GroupDigest {
             hello: self.hello(now),
             contacts: self.some_of(&home),
-            loads: sum_loads(home.iter().map(|peer| &peer.loads), &self.demand.loads),
+            loads: sum_loads(home.iter().map(|peer| &peer.loads), &self.status.loads),
             reads: self.recent_reads(now),
         }
     }
@@ -115,7 +115,7 @@
     /// two periods, as a digest may be lost.
     fn recent_reads(&self, now: Duration) -> Vec<PartRead> {
         let peers = self.reads.within(self.digest_period() * 2, now);
-        let mut reads = self.demand.reads.clone();
+        let mut reads = self.status.reads.clone();
         reads.extend(peers);
         reads.truncate(READS_TOLD);
         reads
--- a/crates/flaxtide-fleet/src/node/divide.rs
+++ b/crates/flaxtide-fleet/src/node/divide.rs
@@ -69,7 +69,7 @@
     /// server's slots in its pool.
     pub(super) fn demand_for(&self, name: &str, server: &FleetServer) -> SlotDemand {
         let demands = if name == self.own.name {
-            &self.demand.demands
+            &self.status.demands
         } else {
             let Some(peer) = self.peers.get(name) else { return SlotDemand::default() };
             &peer.demands
--- a/crates/flaxtide-fleet/src/node/mod.rs
+++ b/crates/flaxtide-fleet/src/node/mod.rs
@@ -70,7 +70,7 @@
 
 /// What this instance has to say of itself.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct NodeDemand {
+pub struct NodeStatus {
     /// Its requests for each pool.
     pub demands: Vec<PoolDemand>,
     /// The last reports of the servers that it watches.
@@ -153,7 +153,7 @@
     /// The slots of each pool, over all its servers.
     pool_slots: BTreeMap<FleetKey, u32>,
     /// Its own requests and use.
-    demand: NodeDemand,
+    status: NodeStatus,
     /// Its use of organisations that keepers haven't been told of.
     untold: BTreeMap<FleetKey, u32>,
     /// Its own use of organisations, in requests a second.
@@ -204,7 +204,7 @@
             seeds: vec![],
             servers: BTreeMap::new(),
             pool_slots: BTreeMap::new(),
-            demand: NodeDemand::default(),
+            status: NodeStatus::default(),
             untold: BTreeMap::new(),
             usage: BTreeMap::new(),
             counted: None,
@@ -321,7 +321,7 @@
     }
 
     /// Records what this instance has to say of itself.
-    pub fn set_demand(&mut self, demand: NodeDemand, now: Duration) {
+    pub fn set_status(&mut self, status: NodeStatus, now: Duration) {
         self.started.get_or_insert(now);
         let since = self
             .counted
@@ -331,17 +331,17 @@
         for rate in self.usage.values_mut() {
             *rate *= 1.0 - NEWEST_USE;
         }
-        for usage in &demand.usage {
+        for usage in &status.usage {
             let rate = f64::from(usage.count) / seconds;
             *self.usage.entry(usage.organisation).or_default() += NEWEST_USE * rate;
             *self.untold.entry(usage.organisation).or_default() += u32::from(usage.count);
         }
         self.usage.retain(|_, rate| *rate > LEAST_USE);
-        let newly_silent = |key| !self.demand.unresponsive.contains(key);
+        let newly_silent = |key| !self.status.unresponsive.contains(key);
         self.has_updates |=
-            adds_load(&self.demand.loads, &demand.loads, self.timing.update_units)
-                || demand.unresponsive.iter().any(newly_silent);
-        self.demand = demand;
+            adds_load(&self.status.loads, &status.loads, self.timing.update_units)
+                || status.unresponsive.iter().any(newly_silent);
+        self.status = status;
         self.refresh(now);
     }
 
--- a/crates/flaxtide-fleet/tests/common/mod.rs
+++ b/crates/flaxtide-fleet/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use flaxtide_fleet::{
-    FleetNode, FleetNotice, FleetTiming, NodeDemand, OutgoingCrashes, OutgoingPushback,
+    FleetNode, FleetNotice, FleetTiming, NodeStatus, OutgoingCrashes, OutgoingPushback,
     OwnLoad, PeerInfo,
 };
 use flaxtide_policy::{CallProgress, CrashLog, PushbackLog, PushbackReport, RequestRate};
@@ -132,7 +132,7 @@
         let node = self.nodes.get_mut(&from).unwrap();
         if now.as_millis().is_multiple_of(DEMAND_PERIOD.as_millis()) {
             let loads = self.loads.get(&from).cloned().unwrap_or_default();
-            node.set_demand(NodeDemand { loads, ..NodeDemand::default() }, now);
+            node.set_status(NodeStatus { loads, ..NodeStatus::default() }, now);
         }
         let heartbeats = node.due_heartbeats(now);
         let hellos = node.due_hellos(now);
--- a/crates/flaxtide-fleet/tests/news.rs
+++ b/crates/flaxtide-fleet/tests/news.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use flaxtide_fleet::{FleetNode, FleetTiming, NodeDemand, OwnLoad, PeerInfo};
+use flaxtide_fleet::{FleetNode, FleetTiming, NodeStatus, OwnLoad, PeerInfo};
 
 /// How often the thread looks whether heartbeats are due.
 const LOOK: Duration = Duration::from_millis(50);
@@ -34,22 +34,22 @@
 }
 
 /// Returns a demand with so many units to be read at a server.
-fn unread(units: u16) -> NodeDemand {
+fn unread(units: u16) -> NodeStatus {
     let load = OwnLoad {
         server: 1,
         short: 0,
         long: 1,
         unread: [units, 0, 0],
     };
-    NodeDemand { loads: vec![load], ..NodeDemand::default() }
+    NodeStatus { loads: vec![load], ..NodeStatus::default() }
 }
 
 /// Counts rounds of heartbeats in twenty seconds, once what was saved up for updates is spent.
-fn rounds(node: &mut FleetNode, demand: impl Fn(bool) -> NodeDemand) -> usize {
+fn rounds(node: &mut FleetNode, demand: impl Fn(bool) -> NodeStatus) -> usize {
     let mut rounds = 0;
     for look in 1..=500 {
         let now = Duration::from_secs(1) + LOOK * look;
-        node.set_demand(demand(look % 4 < 2), now);
+        node.set_status(demand(look % 4 < 2), now);
         let due = !node.due_heartbeats(now).is_empty();
         rounds += usize::from(due && look > 100);
     }
@@ -59,13 +59,13 @@
 #[test]
 fn a_long_prompt_is_told_before_the_period_is_over() {
     let mut node = node_among(9);
-    node.set_demand(unread(0), Duration::from_secs(1));
+    node.set_status(unread(0), Duration::from_secs(1));
     node.due_heartbeats(Duration::from_secs(1));
     let soon = Duration::from_millis(1050);
-    node.set_demand(unread(10), soon);
+    node.set_status(unread(10), soon);
     assert!(node.due_heartbeats(soon).is_empty(), "a little more is no news");
     let later = Duration::from_millis(1100);
-    node.set_demand(unread(200), later);
+    node.set_status(unread(200), later);
     assert_eq!(node.due_heartbeats(later).len(), 8);
 }
 
@@ -73,10 +73,10 @@
 fn a_silent_server_is_told_at_once_and_not_again() {
     let mut node = node_among(9);
     node.due_heartbeats(Duration::from_secs(1));
-    let silent = || NodeDemand { unresponsive: vec![5], ..NodeDemand::default() };
+    let silent = || NodeStatus { unresponsive: vec![5], ..NodeStatus::default() };
     for (at, due) in [(1050, true), (1100, false), (1150, false)] {
         let now = Duration::from_millis(at);
-        node.set_demand(silent(), now);
+        node.set_status(silent(), now);
         assert_eq!(!node.due_heartbeats(now).is_empty(), due, "at {at}");
     }
 }
--- a/crates/flaxtide-fleet/tests/node.rs
+++ b/crates/flaxtide-fleet/tests/node.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use flaxtide_fleet::{
-    FleetKey, FleetNode, FleetNotice, FleetServer, FleetTiming, ListReader, NodeDemand,
+    FleetKey, FleetNode, FleetNotice, FleetServer, FleetTiming, ListReader, NodeStatus,
     PeerInfo, PoolDemand, UsageCount, fleet_key,
 };
 
@@ -25,7 +25,7 @@
     /// The time.
     now: Duration,
     /// What each node says of itself.
-    demands: BTreeMap<String, NodeDemand>,
+    demands: BTreeMap<String, NodeStatus>,
     /// The last updates of shares, by node and server, with until when they hold.
     shares: BTreeMap<(String, FleetKey), (u16, Duration)>,
     /// The last updates of rates, by node.
@@ -63,7 +63,7 @@
         let server = FleetServer { slots: SLOTS, pools };
         let keys = (0..servers).map(|number| fleet_key(&format!("e{number}")));
         node.set_servers(keys.map(|key| (key, server.clone())).collect());
-        self.demands.insert(name.clone(), NodeDemand::default());
+        self.demands.insert(name.clone(), NodeStatus::default());
         self.nodes.insert(name, node);
     }
 
@@ -97,7 +97,7 @@
         let now = self.now;
         let demand = self.demands[name].clone();
         let node = self.nodes.get_mut(name).unwrap();
-        node.set_demand(demand, now);
+        node.set_status(demand, now);
         let own = node.own_notices(now);
         let heartbeats = node.due_heartbeats(now);
         self.take(name, own);
--- a/crates/flaxtide-fleet/tests/size.rs
+++ b/crates/flaxtide-fleet/tests/size.rs
@@ -6,7 +6,7 @@
 
 use bincode::Options;
 use flaxtide_fleet::{
-    FleetNode, FleetServer, FleetTiming, NodeDemand, OwnLoad, PeerInfo, PoolDemand,
+    FleetNode, FleetServer, FleetTiming, NodeStatus, OwnLoad, PeerInfo, PoolDemand,
     ServerDigest, UsageCount, fleet_key,
 };
 use serde::Serialize;
@@ -68,7 +68,7 @@
         now += Duration::from_secs(3);
         for sender in 0..INSTANCES {
             let demand = demand(&pools, nodes[sender].watched());
-            nodes[sender].set_demand(demand, now);
+            nodes[sender].set_status(demand, now);
             for outgoing in nodes[sender].due_heartbeats(now) {
                 let receiver = list.iter().position(|info| *info == outgoing.to).unwrap();
                 let (reply, _) =
@@ -134,8 +134,8 @@
                 long: 1,
                 unread: [10, 200, 400],
             });
-            let demand = NodeDemand { loads: loads.collect(), ..NodeDemand::default() };
-            nodes[sender].set_demand(demand, now);
+            let demand = NodeStatus { loads: loads.collect(), ..NodeStatus::default() };
+            nodes[sender].set_status(demand, now);
             for outgoing in nodes[sender].due_heartbeats(now) {
                 let receiver =
                     (0..UNLISTED).find(|place| address(*place) == outgoing.to.address);
@@ -157,7 +157,7 @@
 }
 
 /// Returns what a busy instance has to say of itself.
-fn demand(pools: &[u32], watched: &[u32]) -> NodeDemand {
+fn demand(pools: &[u32], watched: &[u32]) -> NodeStatus {
     let demands = pools
         .iter()
         .map(|pool| PoolDemand { pool: *pool, tiers: vec![200, 300, 400] });
@@ -175,7 +175,7 @@
         organisation: fleet_key(&format!("organisation-{organisation}")),
         count: 2,
     });
-    NodeDemand {
+    NodeStatus {
         demands: demands.collect(),
         servers: servers.collect(),
         loads: vec![],
--- a/crates/flaxtide/src/fleet.rs
+++ b/crates/flaxtide/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use flaxtide_core::{ServerId, SettingsTree, SettingsVersion};
 use flaxtide_fleet::{
-    FleetNode, FleetNotice, FleetServer, FleetThread, FleetTiming, NodeDemand, PeerInfo,
+    FleetNode, FleetNotice, FleetServer, FleetThread, FleetTiming, NodeStatus, PeerInfo,
     PoolDemand, ServerDigest, SettingsCopy, UsageCount,
 };
 use flaxtide_policy::{LoadReport, PolicyEvent};
@@ -82,7 +82,7 @@
         let (owned, state) = (shared.clone(), std::mem::take(&mut last));
         let (reply, replies) = crossbeam::channel::bounded(1);
         shared.update_fleet(move |node, now| {
-            node.set_demand(demand, now);
+            node.set_status(demand, now);
             // The feed thread may have ended.
             let _ = reply.try_send(read_node(&owned, node, &state, now));
         });
@@ -145,7 +145,7 @@
     shared: &SharedState,
     view: &SettingsView,
     summary: &DecisionSummary,
-) -> NodeDemand {
+) -> NodeStatus {
     let demands = summary.pools.iter().map(|(pool, summary)| {
         let mut tiers = vec![0u16; TOLD_TIERS];
         let waiting = summary.waiting.iter().map(|(tier, count)| (*tier, *count as u32));
@@ -160,7 +160,7 @@
         organisation: view.organisation_key(*organisation),
         count: u16::try_from(*count).unwrap_or(u16::MAX),
     });
-    NodeDemand {
+    NodeStatus {
         demands: demands.collect(),
         servers: server_digests(shared, view),
         reads: vec![],
