--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -74,7 +74,7 @@
 
     /// Tells peers that this instance holds the duties.
     pub(crate) fn announce_duty(&self, holder: DutyHolder) {
-        self.update(move |node, _| node.hear_duty(Some(holder)));
+        self.update(move |node, _| node.record_duty_holder(Some(holder)));
     }
 
     /// Asks a peer for the rows that it has read.
@@ -262,7 +262,7 @@
         let received = self.feed.received(FeedTopic::Rules);
         if received != self.received {
             self.received = received;
-            link.update(FleetNode::hear_source);
+            link.update(FleetNode::record_source_progress);
         }
     }
 }
@@ -308,13 +308,13 @@
         if source.set_plan(plan) {
             log::info!(reader:? = reader, standby; "list reader");
         }
-        node.set_told_by_peers(source.told_lately());
+        node.set_follows_peers(source.told_lately());
         if let Some(board) = duties {
-            board.set_stands(node.stands_for_duties(now));
+            board.set_stands(node.is_duty_candidate(now));
         }
         let live = node.fleet_size(now);
-        let newest_rules = node.newest_known(now);
-        let knows_crashes = node.knows_crashes();
+        let newest_rules = node.newest_known_version(now);
+        let knows_crashes = node.has_synced_crashes();
         let group = node.instance_group(now);
         // Told again with the next update.
         let _ = events.try_send(FeedEvent::Fleet {
--- a/crates/flaxtide-fleet/src/node/crashes.rs
+++ b/crates/flaxtide-fleet/src/node/crashes.rs
@@ -69,7 +69,7 @@
 
     /// Returns whether a peer has told this instance what it knows of such servers.
     #[must_use]
-    pub fn knows_crashes(&self) -> bool {
+    pub fn has_synced_crashes(&self) -> bool {
         self.crashes.synced
     }
 
--- a/crates/flaxtide-fleet/src/node/digest.rs
+++ b/crates/flaxtide-fleet/src/node/digest.rs
@@ -149,7 +149,7 @@
         if self.is_home(&hello.from) {
             return;
         }
-        self.hear_duty(hello.duty);
+        self.record_duty_holder(hello.duty);
         self.forget_seed(&hello.from);
         self.add_peer(hello.from.clone(), false);
         let timeout = self.far_liveness_timeout();
--- a/crates/flaxtide-fleet/src/node/duty.rs
+++ b/crates/flaxtide-fleet/src/node/duty.rs
@@ -18,7 +18,7 @@
 impl FleetNode {
     /// Records who holds the duties, if that is news: of two holders, the one with the higher
     /// fencing number is the newer.
-    pub fn hear_duty(&mut self, holder: Option<DutyHolder>) {
+    pub fn record_duty_holder(&mut self, holder: Option<DutyHolder>) {
         if holder > self.duty {
             self.duty = holder;
             self.has_updates = true;
@@ -27,7 +27,7 @@
 
     /// Returns who holds the duties, as far as is known.
     #[must_use]
-    pub fn duty(&self) -> Option<DutyHolder> {
+    pub fn duty_holder(&self) -> Option<DutyHolder> {
         self.duty
     }
 
@@ -35,7 +35,7 @@
     /// asked by all of them whether the duties are free. No vote is taken; one too many or too
     /// few for a while is harmless.
     #[must_use]
-    pub fn stands_for_duties(&self, now: Duration) -> bool {
+    pub fn is_duty_candidate(&self, now: Duration) -> bool {
         if self.leaving || now < SETTLING {
             return false;
         }
--- a/crates/flaxtide-fleet/src/node/settings.rs
+++ b/crates/flaxtide-fleet/src/node/settings.rs
@@ -81,13 +81,13 @@
     }
 
     /// Records that the instance's own source of settings brings something.
-    pub fn hear_source(&mut self, now: Duration) {
+    pub fn record_source_progress(&mut self, now: Duration) {
         self.settings.source_at = now;
     }
 
     /// Sets whether only peers tell of newer settings: this instance doesn't follow its own
     /// source just now, and turns to peers without waiting for it.
-    pub fn set_told_by_peers(&mut self, told_by_peers: bool) {
+    pub fn set_follows_peers(&mut self, told_by_peers: bool) {
         self.settings.told_by_peers = told_by_peers;
     }
 
@@ -154,7 +154,7 @@
     /// Returns the newest version that a peer has told of and that may be in force here
     /// soon; 0 if there is none, or if it is too long ago to be believed.
     #[must_use]
-    pub fn newest_known(&self, now: Duration) -> SettingsVersion {
+    pub fn newest_known_version(&self, now: Duration) -> SettingsVersion {
         let since = self.settings.newer_since;
         if since.is_some_and(|since| now >= since + BEHIND_AT_MOST) {
             return 0;
--- a/crates/flaxtide-fleet/src/node/talk.rs
+++ b/crates/flaxtide-fleet/src/node/talk.rs
@@ -91,7 +91,7 @@
             address: heartbeat.address,
         };
         let timeout = self.liveness_timeout();
-        self.hear_duty(heartbeat.duty);
+        self.record_duty_holder(heartbeat.duty);
         self.forget_seed(&info);
         self.add_peer(info.clone(), false);
         let mut changes = false;
@@ -139,7 +139,7 @@
         reply: &HeartbeatReply,
         now: Duration,
     ) -> Vec<FleetNotice> {
-        self.hear_duty(reply.duty);
+        self.record_duty_holder(reply.duty);
         for info in &reply.peers {
             self.forget_seed(info);
             self.add_peer(info.clone(), false);
--- a/crates/flaxtide-fleet/src/usage.rs
+++ b/crates/flaxtide-fleet/src/usage.rs
@@ -29,7 +29,7 @@
 impl UsageRound {
     /// Tells the holder if that is due: at once if there is a new one.
     pub(crate) fn tell_if_due(&mut self, shared: &Arc<FleetShared>, now: Duration) {
-        let Some(holder) = shared.node().duty() else { return };
+        let Some(holder) = shared.node().duty_holder() else { return };
         if self.under_way.as_ref().is_some_and(|task| !task.is_finished()) {
             self.due = self.due.min(now + RETRY_PERIOD);
             return;
--- a/crates/flaxtide-fleet/tests/crashes.rs
+++ b/crates/flaxtide-fleet/tests/crashes.rs
@@ -67,7 +67,7 @@
         fleet.run(Duration::from_secs(1));
         fleet.start(instances, 3);
         let added = common::address(instances);
-        let informed = |fleet: &Fleet| fleet.nodes[&added].knows_crashes();
+        let informed = |fleet: &Fleet| fleet.nodes[&added].has_synced_crashes();
         let start = fleet.now;
         while !informed(&fleet) {
             assert!(fleet.now < start + STABLE, "not informed, of {instances}");
--- a/crates/flaxtide-fleet/tests/groups.rs
+++ b/crates/flaxtide-fleet/tests/groups.rs
@@ -126,8 +126,9 @@
     for node in fleet.nodes.values_mut() {
         node.record_newer(fleet.now);
     }
-    let knows =
-        |node: &&FleetNode| node.version() == 7 || node.newest_known(fleet.now) == 7;
+    let knows = |node: &&FleetNode| {
+        node.version() == 7 || node.newest_known_version(fleet.now) == 7
+    };
     assert_eq!(fleet.nodes.values().filter(knows).count(), 300);
 }
 
--- a/crates/flaxtide-fleet/tests/settings.rs
+++ b/crates/flaxtide-fleet/tests/settings.rs
@@ -268,7 +268,7 @@
     let mut node = node_that_hears(0, &[2], ms(0));
     for now in (0..2000).step_by(100) {
         hear_peer(&mut node, 100, 2, ms(now));
-        node.hear_source(ms(now));
+        node.record_source_progress(ms(now));
         assert!(!due_at(&mut node, ms(now)), "at {now} ms");
     }
     // For so long only.
@@ -304,18 +304,22 @@
     let ms = Duration::from_millis;
     let mut node = node_that_hears(0, &[8, 9], ms(0));
     node.set_version(7);
-    assert_eq!(node.newest_known(ms(0)), 9, "as soon as it hears of them");
+    assert_eq!(node.newest_known_version(ms(0)), 9, "as soon as it hears of them");
     node.record_newer(ms(50));
     // One version comes, and another is still ahead.
     node.set_version(8);
-    assert_eq!(node.newest_known(ms(100)), 9);
+    assert_eq!(node.newest_known_version(ms(100)), 9);
     node.record_newer(ms(150));
-    assert_eq!(node.newest_known(ms(15_000)), 9);
-    assert_eq!(node.newest_known(ms(15_200)), 0, "what peers say may be wrong");
+    assert_eq!(node.newest_known_version(ms(15_000)), 9);
+    assert_eq!(node.newest_known_version(ms(15_200)), 0, "what peers say may be wrong");
     node.record_fetched(&settings(9), "instance-101", ms(15_300));
     node.reject_fetched(9);
     node.set_version(9);
-    assert_eq!(node.newest_known(ms(15_400)), 8, "what can't be used isn't waited for");
+    assert_eq!(
+        node.newest_known_version(ms(15_400)),
+        8,
+        "what can't be used isn't waited for"
+    );
 }
 
 #[test]
