--- a/crates/flaxtide-entry/src/duty/board.rs
+++ b/crates/flaxtide-entry/src/duty/board.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use flaxtide_core::{DataCentreName, MilliClock, OrganisationName, WallClock};
-use flaxtide_fleet::{DutyExchange, FleetKey, UsageNews, UsageNotice, fleet_key};
+use flaxtide_fleet::{FleetKey, UnsentUsage, UsageExchange, UsageNotice, fleet_key};
 use flaxtide_policy::{
     ScalingRules, ServerStock, UsageCounts, UsageLedger, UsageSource, UsageTally,
     WindowNumber, WindowTotal, window_of,
@@ -224,11 +224,11 @@
     }
 }
 
-impl DutyExchange for DutyBoard {
-    fn news(&self, fence: u64) -> UsageNews {
+impl UsageExchange for DutyBoard {
+    fn unsent(&self, fence: u64) -> UnsentUsage {
         let state = self.lock();
         let (windows, mark) = state.ledger.news(fence);
-        UsageNews {
+        UnsentUsage {
             told_until_ms: state.wall.now().as_millis() as u64,
             windows,
             open: state.open.iter().map(|(key, count)| (*key, *count)).collect(),
@@ -240,7 +240,7 @@
         self.lock().ledger.confirm(fence, mark);
     }
 
-    fn hear(&self, notice: UsageNotice) -> bool {
+    fn receive(&self, notice: UsageNotice) -> bool {
         let now = self.clock.now();
         let mut state = self.lock();
         let current = window_of(state.wall.now(), self.window);
--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -39,7 +39,7 @@
 
 /// Up to how many instances tell each other everything, whatever their data centres: so many
 /// heartbeats fit the 17 KB/s of control at their longest period.
-const JOINT_LIMIT: u32 = 58;
+const SINGLE_GROUP_LIMIT: u32 = 58;
 
 /// The ring to the fleet thread.
 #[derive(Debug, Clone)]
@@ -170,8 +170,10 @@
             Some(SettingsCopy { version: copy.version, tree: copy.text })
         },
         |_| {
-            let timing =
-                FleetTiming { joint_limit: JOINT_LIMIT, ..FleetTiming::default() };
+            let timing = FleetTiming {
+                single_group_limit: SINGLE_GROUP_LIMIT,
+                ..FleetTiming::default()
+            };
             let mut node = FleetNode::new(own, rand::random(), timing);
             node.set_instance_list(None, Duration::ZERO);
             node.set_seeds(seeds);
@@ -183,7 +185,7 @@
         address: config.fleet,
         cause,
     })?;
-    fleet.share_rows(list.clone());
+    fleet.set_row_source(list.clone());
     Ok(fleet)
 }
 
--- a/crates/flaxtide-entry/src/instance.rs
+++ b/crates/flaxtide-entry/src/instance.rs
@@ -229,7 +229,7 @@
         return Ok(None);
     };
     let board = Arc::new(DutyBoard::new(duties.usage_window));
-    fleet.share_duties(board.clone());
+    fleet.set_usage_exchange(board.clone());
     let (link, metrics) = (link.clone(), metrics.clone());
     let thread = DutyThread::new(config, duties, platform, board.clone(), link, metrics);
     spawn("the duties thread", move || thread.run())?;
--- a/crates/flaxtide-entry/src/reader.rs
+++ b/crates/flaxtide-entry/src/reader.rs
@@ -163,7 +163,7 @@
         Some(state.answer(version))
     }
 
-    fn changed(&self) -> Arc<Notify> {
+    fn change_notifier(&self) -> Arc<Notify> {
         self.changed.clone()
     }
 }
--- a/crates/flaxtide-entry/src/source.rs
+++ b/crates/flaxtide-entry/src/source.rs
@@ -191,11 +191,11 @@
         while let Ok((peer, answer)) = told.recv_timeout(self.until(until)) {
             unanswered.retain(|other| *other != peer);
             match answer {
-                RowAnswer::Told(changes) => {
+                RowAnswer::Changes(changes) => {
                     self.record_told(peer);
                     return Some(changes);
                 }
-                RowAnswer::Unable => self.record_pause(peer, true),
+                RowAnswer::Unavailable => self.record_pause(peer, true),
                 RowAnswer::Unreachable => self.record_pause(peer, false),
             }
         }
--- a/crates/flaxtide-fleet/src/duty.rs
+++ b/crates/flaxtide-fleet/src/duty.rs
@@ -7,7 +7,7 @@
 
 /// What an instance has to tell a holder.
 #[derive(Debug, Clone, PartialEq)]
-pub struct UsageNews {
+pub struct UnsentUsage {
     /// Up to when this is everything, in milliseconds since the start of 1970.
     pub told_until_ms: u64,
     /// The windows that have changed.
@@ -19,13 +19,13 @@
 }
 
 /// Gives what this instance has counted, and takes what peers have.
-pub trait DutyExchange: Send + Sync {
+pub trait UsageExchange: Send + Sync {
     /// Returns what the holder with a fencing number hasn't heard.
-    fn news(&self, fence: u64) -> UsageNews;
+    fn unsent(&self, fence: u64) -> UnsentUsage;
 
     /// Records that it has heard the news with a mark.
     fn confirm(&self, fence: u64, mark: u64);
 
     /// Takes what a peer has counted. Returns whether this instance holds the duties.
-    fn hear(&self, notice: UsageNotice) -> bool;
+    fn receive(&self, notice: UsageNotice) -> bool;
 }
--- a/crates/flaxtide-fleet/src/node/duty.rs
+++ b/crates/flaxtide-fleet/src/node/duty.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::FleetNode;
-use crate::duty::UsageNews;
+use crate::duty::UnsentUsage;
 use crate::wire::{DutyHolder, UsageNotice};
 
 /// How many instances stand for the duties if all are one group. If each data centre is one,
@@ -47,7 +47,7 @@
     }
 
     /// Makes a notice of what this instance has counted.
-    pub(crate) fn usage_notice(&self, news: UsageNews) -> UsageNotice {
+    pub(crate) fn usage_notice(&self, news: UnsentUsage) -> UsageNotice {
         UsageNotice {
             from: self.own.clone(),
             epoch: self.epoch,
--- a/crates/flaxtide-fleet/src/node/group.rs
+++ b/crates/flaxtide-fleet/src/node/group.rs
@@ -92,9 +92,9 @@
 
 impl GroupState {
     /// Starts as one group if the fleet may ever be one.
-    pub(super) fn new(joint_limit: u32) -> Self {
+    pub(super) fn new(single_group_limit: u32) -> Self {
         Self {
-            joint: joint_limit > 0,
+            joint: single_group_limit > 0,
             since: Duration::ZERO,
             others: BTreeMap::new(),
         }
@@ -110,7 +110,7 @@
     /// Returns whether data centres may be groups that know each other by digests. Otherwise
     /// each always is a group, and some heartbeats go to others.
     pub(super) fn uses_digests(&self) -> bool {
-        self.timing.joint_limit > 0
+        self.timing.single_group_limit > 0
     }
 
     /// Returns whether an instance stands in this one's data centre.
@@ -137,7 +137,7 @@
     /// Divides a fleet that has grown over the limit into groups, and unites one that has
     /// shrunk.
     pub(super) fn regroup(&mut self, now: Duration) {
-        let limit = self.timing.joint_limit;
+        let limit = self.timing.single_group_limit;
         if self.group.joint {
             if self.peers.len() as u32 + 1 > limit {
                 self.set_joint(false, now);
--- a/crates/flaxtide-fleet/src/node/mod.rs
+++ b/crates/flaxtide-fleet/src/node/mod.rs
@@ -191,7 +191,7 @@
         Self {
             own,
             epoch,
-            group: GroupState::new(timing.joint_limit),
+            group: GroupState::new(timing.single_group_limit),
             reads: GroupReads::default(),
             crashes: CrashState::default(),
             pushback: PushbackState::default(),
--- a/crates/flaxtide-fleet/src/node/timing.rs
+++ b/crates/flaxtide-fleet/src/node/timing.rs
@@ -21,7 +21,7 @@
     pub update_units: u16,
     /// Up to how many instances are one group, whatever their data centres; 0 if each data
     /// centre always is a group of its own.
-    pub joint_limit: u32,
+    pub single_group_limit: u32,
     /// The shortest time between two digests of one other data centre.
     pub shortest_digest_period: Duration,
     /// The longest.
@@ -46,7 +46,7 @@
             update_cost_per_instance: Duration::from_millis(24),
             update_burst: 3,
             update_units: 48,
-            joint_limit: 0,
+            single_group_limit: 0,
             shortest_digest_period: Duration::from_millis(500),
             longest_digest_period: Duration::from_secs(5),
             missed_heartbeats: 3,
--- a/crates/flaxtide-fleet/src/rows.rs
+++ b/crates/flaxtide-fleet/src/rows.rs
@@ -43,7 +43,7 @@
     fn changes_after(&self, version: StoreVersion) -> Option<RowChanges>;
 
     /// Returns what is notified when rows have changed.
-    fn changed(&self) -> Arc<Notify>;
+    fn change_notifier(&self) -> Arc<Notify>;
 }
 
 /// Who reads a list from the platform for an instance.
@@ -76,9 +76,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RowAnswer {
     /// The peer has told what changed.
-    Told(RowChanges),
+    Changes(RowChanges),
     /// The peer is there, but the platform hasn't told it enough lately.
-    Unable,
+    Unavailable,
     /// No answer came in time.
     Unreachable,
 }
--- a/crates/flaxtide-fleet/src/serve.rs
+++ b/crates/flaxtide-fleet/src/serve.rs
@@ -82,7 +82,7 @@
     }
 
     async fn usage(self, _: Context, notice: UsageNotice) -> bool {
-        self.shared.duties.get().is_some_and(|duties| duties.hear(notice))
+        self.shared.duties.get().is_some_and(|duties| duties.receive(notice))
     }
 
     async fn settings(self, _: Context, question: PieceQuestion) -> PieceAnswer {
@@ -102,7 +102,7 @@
     ) -> Option<RowChanges> {
         let source = self.shared.rows.get()?.clone();
         let wait = Duration::from_millis(wait_ms.into()).min(ANSWER_TIMEOUT);
-        let changed = source.changed();
+        let changed = source.change_notifier();
         let woken = changed.notified();
         let changes = source.changes_after(after)?;
         if !changes.rows.is_empty() {
--- a/crates/flaxtide-fleet/src/shared.rs
+++ b/crates/flaxtide-fleet/src/shared.rs
@@ -8,7 +8,7 @@
 use tarpc::client::RpcError;
 use tarpc::context::Context;
 
-use crate::duty::DutyExchange;
+use crate::duty::UsageExchange;
 use crate::info::PeerInfo;
 use crate::links::{PeerLinks, call};
 use crate::node::{FleetNode, FleetNotice};
@@ -47,7 +47,7 @@
     /// What this instance has read from the platform for peers, once it does.
     pub(crate) rows: OnceLock<Arc<dyn RowSource>>,
     /// What this instance counts for the one that holds the duties, if there are any.
-    pub(crate) duties: OnceLock<Arc<dyn DutyExchange>>,
+    pub(crate) duties: OnceLock<Arc<dyn UsageExchange>>,
     /// The open links to peers.
     pub(crate) links: PeerLinks,
     /// Gives the settings to a few peers at a time.
--- a/crates/flaxtide-fleet/src/thread.rs
+++ b/crates/flaxtide-fleet/src/thread.rs
@@ -15,7 +15,7 @@
 use tokio::task::JoinHandle;
 
 use crate::counted::LinkBytes;
-use crate::duty::DutyExchange;
+use crate::duty::UsageExchange;
 use crate::fetch::fetch_settings;
 use crate::info::PeerInfo;
 use crate::links::call;
@@ -111,14 +111,14 @@
     }
 
     /// Has it give peers what this instance has read. Only the first source counts.
-    pub fn share_rows(&self, source: Arc<dyn RowSource>) {
+    pub fn set_row_source(&self, source: Arc<dyn RowSource>) {
         // A second source would be a fault of the caller's, and the first stays right.
         let _ = self.shared.rows.set(source);
     }
 
     /// Has it tell the one that holds the duties what this instance has counted. Only the first
     /// exchange counts.
-    pub fn share_duties(&self, exchange: Arc<dyn DutyExchange>) {
+    pub fn set_usage_exchange(&self, exchange: Arc<dyn UsageExchange>) {
         // A second exchange would be a fault of the caller's, and the first stays right.
         let _ = self.shared.duties.set(exchange);
     }
@@ -345,8 +345,8 @@
         let wait_ms = wait.as_millis() as u32;
         let rows = |context| link.client.rows(context, after, wait_ms);
         match call(wait + margin, rows).await {
-            Ok(Some(changes)) => RowAnswer::Told(changes),
-            Ok(None) => RowAnswer::Unable,
+            Ok(Some(changes)) => RowAnswer::Changes(changes),
+            Ok(None) => RowAnswer::Unavailable,
             Err(cause) => {
                 log::debug!("no rows from {peer}: {cause}");
                 if !matches!(cause, RpcError::DeadlineExceeded) {
--- a/crates/flaxtide-fleet/src/usage.rs
+++ b/crates/flaxtide-fleet/src/usage.rs
@@ -46,11 +46,11 @@
 /// Tells a holder what it hasn't heard.
 async fn tell(shared: Arc<FleetShared>, holder: DutyHolder) {
     let Some(exchange) = shared.duties.get() else { return };
-    let news = exchange.news(holder.fence);
+    let news = exchange.unsent(holder.fence);
     let mark = news.mark;
     let notice = shared.node().usage_notice(news);
     if holder.address == notice.from.address {
-        if exchange.hear(notice) {
+        if exchange.receive(notice) {
             exchange.confirm(holder.fence, mark);
         }
         return;
--- a/crates/flaxtide-fleet/tests/common/mod.rs
+++ b/crates/flaxtide-fleet/tests/common/mod.rs
@@ -21,12 +21,12 @@
 const DEMAND_PERIOD: Duration = Duration::from_millis(100);
 
 /// Up to how many instances are one group.
-const JOINT_LIMIT: u32 = 58;
+const SINGLE_GROUP_LIMIT: u32 = 58;
 
 /// A fleet and the network between its instances.
 pub struct Fleet {
     /// Up to how many instances are one group.
-    pub joint_limit: u32,
+    pub single_group_limit: u32,
     /// The nodes, by address.
     pub nodes: BTreeMap<SocketAddr, FleetNode>,
     /// The data centre of each address, also of nodes that are gone.
@@ -56,13 +56,17 @@
 impl Fleet {
     /// Starts so many instances in so many data centres, that know three seeds.
     pub fn new(instances: usize, data_centres: usize) -> Self {
-        Self::with_limit(instances, data_centres, JOINT_LIMIT)
+        Self::with_limit(instances, data_centres, SINGLE_GROUP_LIMIT)
     }
 
     /// Starts instances of which up to so many are one group.
-    pub fn with_limit(instances: usize, data_centres: usize, joint_limit: u32) -> Self {
+    pub fn with_limit(
+        instances: usize,
+        data_centres: usize,
+        single_group_limit: u32,
+    ) -> Self {
         let mut fleet = Self {
-            joint_limit,
+            single_group_limit,
             nodes: BTreeMap::new(),
             places: BTreeMap::new(),
             cut: BTreeSet::new(),
@@ -91,7 +95,7 @@
         };
         self.places.insert(own.address, own.data_centre.clone());
         let timing = FleetTiming {
-            joint_limit: self.joint_limit,
+            single_group_limit: self.single_group_limit,
             ..FleetTiming::default()
         };
         let mut node = FleetNode::new(own, number as u32, timing);
