--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -58,7 +58,7 @@
     /// Tells peers of a new version of the rules.
     pub(crate) fn announce(&self, version: SettingsVersion) {
         self.update(move |node, _| node.set_version(version));
-        self.send(FleetEvent::Urgent);
+        self.send(FleetEvent::SendHeartbeats);
     }
 
     /// Tells the fleet thread that rules which a peer sent can't be put in force.
@@ -69,7 +69,7 @@
     /// Tells peers that this instance is stopping.
     pub(crate) fn leave(&self) {
         self.update(|node, _| node.leave());
-        self.send(FleetEvent::Urgent);
+        self.send(FleetEvent::SendHeartbeats);
     }
 
     /// Tells peers that this instance holds the duties.
--- a/crates/flaxtide-fleet/src/thread.rs
+++ b/crates/flaxtide-fleet/src/thread.rs
@@ -45,7 +45,7 @@
     /// The node is to be changed.
     Update(FleetUpdate),
     /// Everyone is to hear at once.
-    Urgent,
+    SendHeartbeats,
     /// A peer is to be asked for the rows that it has read.
     AskRows(RowQuestion),
     /// The thread is to end.
@@ -222,7 +222,7 @@
                 let now = shared.clock.now();
                 update(&mut shared.node(), now);
             }
-            Ok(FleetEvent::Urgent) => urgent.wanted = true,
+            Ok(FleetEvent::SendHeartbeats) => urgent.wanted = true,
             Ok(FleetEvent::AskRows(question)) => {
                 tokio::spawn(ask_rows(shared.clone(), question));
             }
--- a/crates/flaxtide/src/shared.rs
+++ b/crates/flaxtide/src/shared.rs
@@ -172,7 +172,7 @@
     /// Has all peers hear of this instance at once.
     pub(crate) fn hurry_fleet(&self) {
         // A full ring holds enough to wake the thread anyway.
-        let _ = self.fleet.try_send(FleetEvent::Urgent);
+        let _ = self.fleet.try_send(FleetEvent::SendHeartbeats);
     }
 
     /// Tells the decision thread what happened, in one message.
