--- a/crates/flaxtide-entry/src/duty/call_usage.rs
+++ b/crates/flaxtide-entry/src/duty/call_usage.rs
@@ -6,12 +6,12 @@
 
 use flaxtide_fleet::{FleetKey, fleet_key};
 
-use super::board::DutyBoard;
+use super::shared::SharedDuties;
 
 /// A request, as far as it is counted. Dropping it records that it has ended.
 pub(crate) struct CallUsage {
     /// Where it is counted.
-    board: Arc<DutyBoard>,
+    board: Arc<SharedDuties>,
     /// The service.
     service: FleetKey,
     /// The organisation, if it has one.
@@ -23,7 +23,7 @@
 impl CallUsage {
     /// Records that a request has come.
     pub(crate) fn new(
-        board: &Arc<DutyBoard>,
+        board: &Arc<SharedDuties>,
         service: &str,
         organisation: Option<&str>,
     ) -> Self {
--- a/crates/flaxtide-entry/src/duty/orders.rs
+++ b/crates/flaxtide-entry/src/duty/orders.rs
@@ -6,7 +6,7 @@
 use flaxtide_fleet::fleet_key;
 use flaxtide_policy::{OrderOutcome, ScalerOptions, ServerOrder, ServerScaler};
 
-use super::board::{DutyBoard, ScaledService};
+use super::shared::{ScaledService, SharedDuties};
 
 /// How often demand is looked at.
 const LOOK_PERIOD: Duration = Duration::from_millis(500);
@@ -37,7 +37,11 @@
     }
 
     /// Returns the orders that are due.
-    pub(super) fn due(&mut self, board: &DutyBoard, now: Duration) -> Vec<ServiceOrder> {
+    pub(super) fn due(
+        &mut self,
+        board: &SharedDuties,
+        now: Duration,
+    ) -> Vec<ServiceOrder> {
         if self.looked.is_some_and(|at| now < at + LOOK_PERIOD) {
             return vec![];
         }
@@ -52,7 +56,7 @@
     /// Returns the orders that are due for a service.
     fn plan(
         &mut self,
-        board: &DutyBoard,
+        board: &SharedDuties,
         service: &ScaledService,
         now: Duration,
     ) -> Vec<ServiceOrder> {
--- a/crates/flaxtide-entry/src/duty/reports.rs
+++ b/crates/flaxtide-entry/src/duty/reports.rs
@@ -5,7 +5,7 @@
 
 use flaxtide_policy::{UsageCounts, WindowNumber, window_end, window_of};
 
-use super::board::DutyBoard;
+use super::shared::SharedDuties;
 use crate::contract::{DutyRow, UsageReport};
 
 /// How long after its end a window may be settled: instances tell once a second.
@@ -84,7 +84,7 @@
     /// been reported isn't again.
     pub(super) fn begin(
         &mut self,
-        board: &DutyBoard,
+        board: &SharedDuties,
         renewed_store: bool,
         now: Duration,
     ) {
@@ -97,7 +97,7 @@
     }
 
     /// Writes what is settled into a row.
-    pub(super) fn fill(&self, row: &mut DutyRow, board: &DutyBoard, holds: bool) {
+    pub(super) fn fill(&self, row: &mut DutyRow, board: &SharedDuties, holds: bool) {
         row.settled = self.next.clone().or_else(|| self.settled.clone());
         row.acknowledged = self.acknowledged && self.next.is_none();
         row.owed_from = self.first;
@@ -117,7 +117,7 @@
 
     /// Prepares the next report, once its window is over and told. Returns whether the row is to
     /// be written for it.
-    pub(super) fn settle_next(&mut self, board: &DutyBoard, now: Duration) -> bool {
+    pub(super) fn settle_next(&mut self, board: &SharedDuties, now: Duration) -> bool {
         if !self.acknowledged || self.next.is_some() {
             return false;
         }
@@ -149,7 +149,7 @@
     }
 
     /// Returns the window that is to be reported next.
-    fn next_window(&self, board: &DutyBoard) -> WindowNumber {
+    fn next_window(&self, board: &SharedDuties) -> WindowNumber {
         let current = window_of(board.wall_time(), self.window);
         let next = self.settled.as_ref().map_or(0, |report| report.window + 1);
         next.max(self.first).max(current.saturating_sub(WINDOWS_KEPT))
--- a/crates/flaxtide-entry/src/duty/board.rs
+++ b/crates/flaxtide-entry/src/duty/shared.rs
@@ -41,18 +41,18 @@
 
 /// What the threads share.
 #[derive(Debug)]
-pub(crate) struct DutyBoard {
+pub(crate) struct SharedDuties {
     /// The clock.
     clock: MilliClock,
     /// The length of a window.
     window: Duration,
     /// What changes.
-    state: Mutex<BoardState>,
+    state: Mutex<DutyState>,
 }
 
 /// What changes.
 #[derive(Debug)]
-struct BoardState {
+struct DutyState {
     /// The time of day.
     wall: WallClock,
     /// What this instance has counted.
@@ -78,13 +78,13 @@
     open: BTreeMap<FleetKey, (Duration, Vec<(FleetKey, u32)>)>,
 }
 
-impl DutyBoard {
+impl SharedDuties {
     /// Starts with nothing counted.
     pub(crate) fn new(window: Duration) -> Self {
         let clock = MilliClock::real();
         let mut wall = WallClock::new(clock.clone());
         wall.sample_system();
-        let state = Mutex::new(BoardState {
+        let state = Mutex::new(DutyState {
             wall,
             ledger: UsageLedger::default(),
             open: BTreeMap::new(),
@@ -219,12 +219,12 @@
     }
 
     /// Locks the state. A panic elsewhere doesn't spoil it.
-    fn lock(&self) -> MutexGuard<'_, BoardState> {
+    fn lock(&self) -> MutexGuard<'_, DutyState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl DutyExchange for DutyBoard {
+impl DutyExchange for SharedDuties {
     fn news(&self, fence: u64) -> UsageNews {
         let state = self.lock();
         let (windows, mark) = state.ledger.news(fence);
--- a/crates/flaxtide-entry/src/duty/thread.rs
+++ b/crates/flaxtide-entry/src/duty/thread.rs
@@ -9,9 +9,9 @@
 use flaxtide_fleet::DutyHolder;
 use flaxtide_policy::{LeaseRow, LeaseStep, LeaseTiming, LeaseWatch, OrderOutcome};
 
-use super::board::DutyBoard;
 use super::orders::{OrderDuty, ServiceOrder};
 use super::reports::ReportDuty;
+use super::shared::SharedDuties;
 use crate::config::{DutyConfig, EntryConfig};
 use crate::contract::{
     DutyAnswer, DutyPass, DutyPlatform, DutyRow, FeedError, UsageReport,
@@ -44,7 +44,7 @@
     /// The platform.
     platform: Arc<dyn DutyPlatform>,
     /// What the threads share.
-    board: Arc<DutyBoard>,
+    board: Arc<SharedDuties>,
     /// The ring to the fleet thread.
     link: FleetLink,
     /// The metrics.
@@ -75,7 +75,7 @@
         entry: &EntryConfig,
         config: DutyConfig,
         platform: Arc<dyn DutyPlatform>,
-        board: Arc<DutyBoard>,
+        board: Arc<SharedDuties>,
         link: FleetLink,
         metrics: Arc<EntryMetrics>,
     ) -> Self {
--- a/crates/flaxtide-entry/src/duty/view.rs
+++ b/crates/flaxtide-entry/src/duty/view.rs
@@ -6,11 +6,11 @@
 use flaxtide_fleet::fleet_key;
 use flaxtide_policy::ServerStock;
 
-use super::board::{DutyBoard, DutyView, ScaledService};
+use super::shared::{DutyView, ScaledService, SharedDuties};
 use crate::state::TrafficState;
 
 /// Shows the thread of the duties what a holder has to know, if this instance may be one.
-pub(crate) fn show_duties(state: &TrafficState, board: &DutyBoard) {
+pub(crate) fn update_duty_view(state: &TrafficState, board: &SharedDuties) {
     if !board.wants_view() {
         return;
     }
--- a/crates/flaxtide-entry/src/instance.rs
+++ b/crates/flaxtide-entry/src/instance.rs
@@ -15,7 +15,7 @@
 use crate::config::EntryConfig;
 use crate::contract::{DutyPlatform, FeedTopic, PlatformFeed, WireDialect};
 use crate::directory::FEED_PART;
-use crate::duty::{DutyBoard, DutyThread, show_duties};
+use crate::duty::{DutyThread, SharedDuties, update_duty_view};
 use crate::error::EntryError;
 use crate::feed::{FeedEvent, take_feed};
 use crate::fleet::{FleetLink, RulesSource, open_fleet, show_peer_bytes, tell_peers};
@@ -224,11 +224,11 @@
     fleet: &FleetThread,
     link: &FleetLink,
     metrics: &Arc<EntryMetrics>,
-) -> Result<Option<Arc<DutyBoard>>, EntryError> {
+) -> Result<Option<Arc<SharedDuties>>, EntryError> {
     let (Some(duties), Some(platform)) = (config.duties.clone(), platform) else {
         return Ok(None);
     };
-    let board = Arc::new(DutyBoard::new(duties.usage_window));
+    let board = Arc::new(SharedDuties::new(duties.usage_window));
     fleet.share_duties(board.clone());
     let (link, metrics) = (link.clone(), metrics.clone());
     let thread = DutyThread::new(config, duties, platform, board.clone(), link, metrics);
@@ -280,7 +280,7 @@
             go_round(&state, &path);
             if let Some(board) = &state.duties {
                 board.sample_wall_time();
-                show_duties(&state, board);
+                update_duty_view(&state, board);
             }
             show_peer_bytes(&state.metrics, &bytes);
             show_pushback(&state);
--- a/crates/flaxtide-entry/src/state.rs
+++ b/crates/flaxtide-entry/src/state.rs
@@ -20,7 +20,7 @@
 use crate::config::EntryConfig;
 use crate::contract::{CallerLimits, EntryRules, ServerEntry, WireDialect};
 use crate::directory::ServerDirectory;
-use crate::duty::DutyBoard;
+use crate::duty::SharedDuties;
 use crate::fleet::FleetLink;
 use crate::metrics::{CountedOne, EntryMetrics};
 use crate::names::NameTable;
@@ -66,7 +66,7 @@
     /// What servers say of themselves.
     pub(crate) pushback: PushbackExchange,
     /// What is shared for the duties that one instance has for all, if there are any.
-    pub(crate) duties: Option<Arc<DutyBoard>>,
+    pub(crate) duties: Option<Arc<SharedDuties>>,
     /// The rules in force.
     table: RefCell<Option<Rc<RouteTable>>>,
     /// The servers that may be used.
@@ -108,7 +108,7 @@
         metrics: Arc<EntryMetrics>,
         fleet: FleetLink,
         source: Arc<ListSource>,
-        duties: Option<Arc<DutyBoard>>,
+        duties: Option<Arc<SharedDuties>>,
     ) -> Self {
         let options = RouteOptions {
             retry_ratio: config.retry_ratio,
