--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -122,8 +122,10 @@
         organisation: caller.organisation.unwrap_or(NO_ORGANISATION),
         tier,
         level,
-        target: call.class.class().target,
-        give_up: call.deadline.min(received + call.class.class().target / WAIT_PART),
+        target: call.class.class().latency_target,
+        give_up: call
+            .deadline
+            .min(received + call.class.class().latency_target / WAIT_PART),
         deadline: call.deadline,
         repeatable: call.class.class().kind.repeatable(),
         run_limit: call.class.class().attempt_limit,
@@ -226,7 +228,7 @@
     log::info!(
         request = call.attempt, class = class.name, cause:? = cause,
         expected_ms = expected.map_or(-1, |span| span.as_millis() as i64),
-        target_ms = class.target.as_millis() as u64,
+        target_ms = class.latency_target.as_millis() as u64,
         retry_after_ms = retry_after.as_millis() as u64;
         "refusal"
     );
--- a/crates/flaxtide-entry/src/contract/dialect.rs
+++ b/crates/flaxtide-entry/src/contract/dialect.rs
@@ -13,7 +13,7 @@
     fn read_request(&self, headers: &HeaderMap) -> RequestHead;
 
     /// Takes away what a caller may not tell a server, and adds what the server is told.
-    fn write_request(&self, headers: &mut HeaderMap, head: &SendHead<'_>);
+    fn write_request(&self, headers: &mut HeaderMap, head: &UpstreamHead<'_>);
 
     /// Reads what the headers of a server's answer say.
     fn read_answer(&self, status: u16, headers: &HeaderMap) -> AnswerHead;
@@ -37,9 +37,9 @@
 
 /// What a server is told beside the caller's own headers.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SendHead<'a> {
+pub struct UpstreamHead<'a> {
     /// How long the server may take.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The name of the server that is meant.
     pub server: &'a str,
     /// The caller's organisation.
--- a/crates/flaxtide-entry/src/contract/duty.rs
+++ b/crates/flaxtide-entry/src/contract/duty.rs
@@ -37,7 +37,7 @@
     /// Any [`FeedError`]; after [`FeedError::NoAnswer`] it may be carried out yet.
     fn report_usage(
         &self,
-        pass: &DutyPass,
+        pass: &FencingToken,
         report: &UsageReport,
     ) -> Result<DutyAnswer, FeedError>;
 
@@ -49,7 +49,7 @@
     /// orders.
     fn order_servers(
         &self,
-        pass: &DutyPass,
+        pass: &FencingToken,
         service: &str,
         order: &ServerOrder,
     ) -> Result<DutyAnswer, FeedError>;
@@ -85,7 +85,7 @@
 
 /// Who makes a call, under which fencing number.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DutyPass {
+pub struct FencingToken {
     /// The instance.
     pub holder: InstanceName,
     /// The fencing number.
--- a/crates/flaxtide-entry/src/contract/feed.rs
+++ b/crates/flaxtide-entry/src/contract/feed.rs
@@ -30,7 +30,7 @@
 
     /// Returns how many bytes of answers have come for a topic, refusals aside and those of
     /// an answer that isn't whole yet included. It only grows.
-    fn received(&self, topic: FeedTopic) -> u64;
+    fn received_bytes(&self, topic: FeedTopic) -> u64;
 
     /// Understands the text of rules, also when a peer sent it.
     ///
--- a/crates/flaxtide-entry/src/contract/mod.rs
+++ b/crates/flaxtide-entry/src/contract/mod.rs
@@ -6,9 +6,9 @@
 mod feed;
 mod rules;
 
-pub use self::dialect::{AnswerHead, RequestHead, SendHead, WireDialect};
+pub use self::dialect::{AnswerHead, RequestHead, UpstreamHead, WireDialect};
 pub use self::duty::{
-    DutyAnswer, DutyPass, DutyPlatform, DutyRead, DutyRow, UsageReport,
+    DutyAnswer, DutyPlatform, DutyRead, DutyRow, FencingToken, UsageReport,
 };
 pub use self::feed::{FeedBatch, FeedError, FeedRow, FeedTopic, PlatformFeed};
 pub use self::rules::{
--- a/crates/flaxtide-entry/src/contract/rules.rs
+++ b/crates/flaxtide-entry/src/contract/rules.rs
@@ -40,7 +40,7 @@
     /// The longest time that a caller is kept waiting.
     pub timeout: Duration,
     /// Within what time an answer, or a stream's first event, is on time.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// Its tier, unless the organisation has one.
     pub tier: TierRank,
     /// The services that serve it, with the weights of their parts.
--- a/crates/flaxtide-entry/src/duty/thread.rs
+++ b/crates/flaxtide-entry/src/duty/thread.rs
@@ -14,7 +14,7 @@
 use super::shared::SharedDuties;
 use crate::config::{DutyConfig, EntryConfig};
 use crate::contract::{
-    DutyAnswer, DutyPass, DutyPlatform, DutyRow, FeedError, UsageReport,
+    DutyAnswer, DutyPlatform, DutyRow, FeedError, FencingToken, UsageReport,
 };
 use crate::fleet::FleetLink;
 use crate::metrics::EntryMetrics;
@@ -318,9 +318,9 @@
     }
 
     /// Returns with what a call may be made now.
-    fn pass(&self) -> Option<DutyPass> {
+    fn pass(&self) -> Option<FencingToken> {
         let fence = self.watch.fence(self.clock.now(), true)?;
-        Some(DutyPass { holder: self.name.clone(), fence })
+        Some(FencingToken { holder: self.name.clone(), fence })
     }
 
     /// Counts a call.
--- a/crates/flaxtide-entry/src/exchange.rs
+++ b/crates/flaxtide-entry/src/exchange.rs
@@ -18,7 +18,7 @@
 };
 use hyper::{Method, Request, Response, StatusCode, Uri};
 
-use crate::contract::SendHead;
+use crate::contract::UpstreamHead;
 use crate::state::TrafficState;
 use crate::upstream::{ServerLink, connect};
 
@@ -162,8 +162,8 @@
     let name = state.server_name(server).ok_or(RouteFault::Unreachable)?;
     let address = state.server_address(server).ok_or(RouteFault::Unreachable)?;
     let fetch_from = choice.fetch.and_then(|fetch| state.server_address(fetch.from));
-    let head = SendHead {
-        left,
+    let head = UpstreamHead {
+        time_left: left,
         server: &name,
         organisation: request.organisation.as_deref(),
         tier: request.tier,
@@ -203,7 +203,7 @@
 fn build(
     state: &TrafficState,
     request: &CallerRequest,
-    head: &SendHead<'_>,
+    head: &UpstreamHead<'_>,
     last_event: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let mut outgoing = Request::new(Full::new(request.body.clone()));
--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -259,7 +259,7 @@
     /// Tells the fleet thread if bytes of rules have come since the last look: as long as
     /// they do, peers aren't asked for the same.
     pub(crate) fn look(&mut self, link: &FleetLink) {
-        let received = self.feed.received(FeedTopic::Rules);
+        let received = self.feed.received_bytes(FeedTopic::Rules);
         if received != self.received {
             self.received = received;
             link.update(FleetNode::hear_source);
--- a/crates/flaxtide-entry/src/lib.rs
+++ b/crates/flaxtide-entry/src/lib.rs
@@ -47,10 +47,10 @@
 
 pub use self::config::{DutyConfig, EntryConfig};
 pub use self::contract::{
-    AnswerHead, BackendService, CallKind, CallerLimits, DutyAnswer, DutyPass,
-    DutyPlatform, DutyRead, DutyRow, EntryRules, FeedBatch, FeedError, FeedRow,
-    FeedTopic, OrganisationRules, PlatformFeed, RequestClass, RequestHead, SendHead,
-    ServerEntry, ServiceEngine, TargetService, UsageReport, WireDialect,
+    AnswerHead, BackendService, CallKind, CallerLimits, DutyAnswer, DutyPlatform,
+    DutyRead, DutyRow, EntryRules, FeedBatch, FeedError, FeedRow, FeedTopic,
+    FencingToken, OrganisationRules, PlatformFeed, RequestClass, RequestHead,
+    ServerEntry, ServiceEngine, TargetService, UpstreamHead, UsageReport, WireDialect,
 };
 pub use self::directory::ServerDirectory;
 pub use self::error::EntryError;
--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -110,7 +110,7 @@
         log::info!(
             request = self.attempt, class = self.class.class().name, outcome = end,
             status, late = self.late_cause().unwrap_or_default(),
-            target_ms = self.class.class().target.as_millis() as u64, first_ms = first, pause_ms = self.longest_pause.get().as_millis() as u64, spent_ms = spent, may_have_run = self.may_have_run.get();
+            target_ms = self.class.class().latency_target.as_millis() as u64, first_ms = first, pause_ms = self.longest_pause.get().as_millis() as u64, spent_ms = spent, may_have_run = self.may_have_run.get();
             "end"
         );
     }
@@ -125,7 +125,7 @@
     /// Returns by what an answer missed its target: its first event, or a pause.
     fn late_cause(&self) -> Option<&'static str> {
         let class = self.class.class();
-        if self.first.get().is_some_and(|first| first > class.target) {
+        if self.first.get().is_some_and(|first| first > class.latency_target) {
             return Some("first");
         }
         let paused =
