--- a/crates/flaxtide-entry/src/feed.rs
+++ b/crates/flaxtide-entry/src/feed.rs
@@ -58,7 +58,7 @@
 }
 
 /// Handles what the feed threads and the peers tell, until they have ended.
-pub(crate) async fn take_feed(
+pub(crate) async fn handle_feed_events(
     state: Rc<TrafficState>,
     feed: Arc<dyn PlatformFeed>,
     shared: Arc<SharedRules>,
--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -24,7 +24,7 @@
 use crate::error::EntryError;
 use crate::feed::FeedEvent;
 use crate::metrics::EntryMetrics;
-use crate::reader::ListLog;
+use crate::reader::ServerListLog;
 use crate::shared_rules::{RulesCopy, SharedRules};
 use crate::state::TrafficState;
 
@@ -141,7 +141,7 @@
 pub(crate) fn open_fleet(
     config: &EntryConfig,
     shared: &Arc<SharedRules>,
-    list: &Arc<ListLog>,
+    list: &Arc<ServerListLog>,
     events: &mpsc::Sender<FeedEvent>,
     metrics: &Arc<EntryMetrics>,
 ) -> Result<FleetThread, EntryError> {
@@ -235,7 +235,7 @@
 }
 
 /// Shows how many bytes went over the links to peers.
-pub(crate) fn show_peer_bytes(metrics: &EntryMetrics, bytes: &LinkBytes) {
+pub(crate) fn export_peer_bytes(metrics: &EntryMetrics, bytes: &LinkBytes) {
     let (received, sent) = bytes.get();
     for (direction, count) in [("received", received), ("sent", sent)] {
         metrics.peer_bytes.with_label_values(&[direction]).set(count as i64);
@@ -243,14 +243,14 @@
 }
 
 /// Notices when the platform brings bytes of rules.
-pub(crate) struct RulesSource {
+pub(crate) struct RulesDownloadMonitor {
     /// What the platform tells.
     feed: Arc<dyn PlatformFeed>,
     /// How many bytes had come when it last looked.
     received: u64,
 }
 
-impl RulesSource {
+impl RulesDownloadMonitor {
     /// Looks at a feed.
     pub(crate) fn new(feed: Arc<dyn PlatformFeed>) -> Self {
         Self { feed, received: 0 }
@@ -258,7 +258,7 @@
 
     /// Tells the fleet thread if bytes of rules have come since the last look: as long as
     /// they do, peers aren't asked for the same.
-    pub(crate) fn look(&mut self, link: &FleetLink) {
+    pub(crate) fn poll(&mut self, link: &FleetLink) {
         let received = self.feed.received_bytes(FeedTopic::Rules);
         if received != self.received {
             self.received = received;
@@ -268,7 +268,7 @@
 }
 
 /// Tells peers what this instance has at servers, and hears how many instances are alive.
-pub(crate) fn tell_peers(
+pub(crate) fn publish_to_peers(
     state: &Rc<TrafficState>,
     link: &FleetLink,
     events: &mpsc::Sender<FeedEvent>,
--- a/crates/flaxtide-entry/src/follower.rs
+++ b/crates/flaxtide-entry/src/follower.rs
@@ -14,8 +14,8 @@
 use crate::fleet::FleetLink;
 use crate::follow::{CallBackoff, FOLLOW_WAIT, FollowAnswer, FollowFault, FollowState};
 use crate::metrics::EntryMetrics;
-use crate::reader::ListLog;
-use crate::source::ListSource;
+use crate::reader::ServerListLog;
+use crate::source::ServerListSource;
 
 /// How often an instance looks whether peers still hand rules on.
 const PEERS_PERIOD: Duration = Duration::from_millis(500);
@@ -46,11 +46,11 @@
     pub(crate) topic: FeedTopic,
     /// The pause between two calls: rows may change all the time, and each call has its
     /// price.
-    pub(crate) pace: Duration,
+    pub(crate) call_pause: Duration,
     /// From whom this instance gets what few read from the platform.
-    pub(crate) source: Arc<ListSource>,
+    pub(crate) source: Arc<ServerListSource>,
     /// For the list that peers are told: what was read, and the ring to the fleet thread.
-    pub(crate) list: Option<(Arc<ListLog>, FleetLink)>,
+    pub(crate) list: Option<(Arc<ServerListLog>, FleetLink)>,
     /// The ring to the traffic thread.
     pub(crate) events: Sender<FeedEvent>,
     /// The metrics.
@@ -108,9 +108,10 @@
     /// Returns how long a call waits for changes, and the pause after it.
     fn timing(&self) -> (Duration, Duration) {
         let list = self.list.as_ref();
-        let timing = list
-            .and_then(|(list, _)| list.reader_timing(self.source.reader(), self.pace));
-        timing.unwrap_or((FOLLOW_WAIT, self.pace))
+        let timing = list.and_then(|(list, _)| {
+            list.reader_timing(self.source.reader(), self.call_pause)
+        });
+        timing.unwrap_or((FOLLOW_WAIT, self.call_pause))
     }
 
     /// Returns up to when an answer of the platform tells of changes, if its call was made at
--- a/crates/flaxtide-entry/src/instance.rs
+++ b/crates/flaxtide-entry/src/instance.rs
@@ -17,17 +17,19 @@
 use crate::directory::FEED_PART;
 use crate::duty::{DutyThread, SharedDuties, update_duty_view};
 use crate::error::EntryError;
-use crate::feed::{FeedEvent, take_feed};
-use crate::fleet::{FleetLink, RulesSource, open_fleet, show_peer_bytes, tell_peers};
+use crate::feed::{FeedEvent, handle_feed_events};
+use crate::fleet::{
+    FleetLink, RulesDownloadMonitor, export_peer_bytes, open_fleet, publish_to_peers,
+};
 use crate::follower::{TopicFollower, follow_topic};
 use crate::jump::JumpWatch;
 use crate::listen::{accept_callers, accept_probes, listen};
 use crate::logging::settle_log;
 use crate::metrics::EntryMetrics;
 use crate::pushback::show_pushback;
-use crate::reader::ListLog;
+use crate::reader::ServerListLog;
 use crate::shared_rules::SharedRules;
-use crate::source::ListSource;
+use crate::source::ServerListSource;
 use crate::state::TrafficState;
 use crate::stop::{SignalEvent, obey_signals, register_signals, reload, watch_signals};
 
@@ -156,15 +158,17 @@
         let shared = Arc::new(SharedRules::default());
         let (events, feed_ring) = channel(FEED_RING);
         let (link, fleet_ring) = FleetLink::new();
-        let list = Arc::new(ListLog::new(config.leave_within));
-        let source =
-            Arc::new(ListSource::new(config.leave_within, !config.seeds.is_empty()));
+        let list = Arc::new(ServerListLog::new(config.leave_within));
+        let source = Arc::new(ServerListSource::new(
+            config.leave_within,
+            !config.seeds.is_empty(),
+        ));
         for topic in [FeedTopic::Rules, FeedTopic::Servers] {
-            let (pace, list) = match topic {
+            let (call_pause, list) = match topic {
                 FeedTopic::Rules => (Duration::ZERO, None),
                 FeedTopic::Servers => {
-                    let pace = config.leave_within.mul_f64(FEED_PART);
-                    (pace, Some((list.clone(), link.clone())))
+                    let call_pause = config.leave_within.mul_f64(FEED_PART);
+                    (call_pause, Some((list.clone(), link.clone())))
                 }
             };
             let (feed, events, metrics) = (feed.clone(), events.clone(), metrics.clone());
@@ -172,7 +176,7 @@
             spawn_feed(TopicFollower {
                 feed,
                 topic,
-                pace,
+                call_pause,
                 source,
                 list,
                 events,
@@ -189,9 +193,14 @@
         tokio::task::spawn_local(accept_callers(state.clone(), callers));
         tokio::task::spawn_local(accept_probes(state.clone(), ready));
         tokio::task::spawn_local(accept_probes(state.clone(), metrics_door));
-        let source = RulesSource::new(feed.clone());
-        tokio::task::spawn_local(take_feed(state.clone(), feed, shared, feed_ring));
-        let house = keep_house(state.clone(), path.clone(), events, source, bytes);
+        let monitor = RulesDownloadMonitor::new(feed.clone());
+        tokio::task::spawn_local(handle_feed_events(
+            state.clone(),
+            feed,
+            shared,
+            feed_ring,
+        ));
+        let house = keep_house(state.clone(), path.clone(), events, monitor, bytes);
         tokio::task::spawn_local(house);
         obey_signals(&state, &path, &mut signals).await;
         Ok(())
@@ -258,7 +267,7 @@
     state: Rc<TrafficState>,
     path: PathBuf,
     events: Sender<FeedEvent>,
-    mut source: RulesSource,
+    mut monitor: RulesDownloadMonitor,
     bytes: LinkBytes,
 ) {
     let mut ticks = 0u64;
@@ -272,17 +281,17 @@
         }
         expire_servers(&state);
         note_servers(&state);
-        source.look(&state.fleet);
+        monitor.poll(&state.fleet);
         state.quarantine.maintain(&state);
         state.pushback.maintain(&state);
-        tell_peers(&state, &state.fleet, &events);
+        publish_to_peers(&state, &state.fleet, &events);
         if ticks.is_multiple_of(TICKS_PER_ROUND) {
             go_round(&state, &path);
             if let Some(board) = &state.duties {
                 board.sample_wall_time();
                 update_duty_view(&state, board);
             }
-            show_peer_bytes(&state.metrics, &bytes);
+            export_peer_bytes(&state.metrics, &bytes);
             show_pushback(&state);
         }
     }
--- a/crates/flaxtide-entry/src/lib.rs
+++ b/crates/flaxtide-entry/src/lib.rs
@@ -61,4 +61,4 @@
 pub use self::lag::RulesLag;
 pub use self::logging::init_entry_logging;
 pub use self::pauses::PeerPauses;
-pub use self::reader::ListLog;
+pub use self::reader::ServerListLog;
--- a/crates/flaxtide-entry/src/reader.rs
+++ b/crates/flaxtide-entry/src/reader.rs
@@ -39,14 +39,14 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use flaxtide_entry::{FeedBatch, ListLog};
+/// use flaxtide_entry::{FeedBatch, ServerListLog};
 /// use flaxtide_fleet::RowSource;
-/// let log = ListLog::new(Duration::from_secs(3));
+/// let log = ServerListLog::new(Duration::from_secs(3));
 /// assert!(log.changes_after(0).is_none());
 /// log.record(&FeedBatch { rows: vec![], version: 7 }, None);
 /// assert_eq!(log.changes_after(7).unwrap().version, 7);
 /// ```
-pub struct ListLog {
+pub struct ServerListLog {
     /// The clock.
     clock: MilliClock,
     /// Within what time a leaving server may get no more work.
@@ -86,7 +86,7 @@
     bytes: usize,
 }
 
-impl ListLog {
+impl ServerListLog {
     /// Starts with nothing read. A leaving server may get no more work after
     /// `leave_within`.
     #[must_use]
@@ -150,7 +150,7 @@
     }
 }
 
-impl RowSource for ListLog {
+impl RowSource for ServerListLog {
     fn changes_after(&self, version: u64) -> Option<RowChanges> {
         let now = self.clock.now();
         let state = self.lock();
--- a/crates/flaxtide-entry/src/source.rs
+++ b/crates/flaxtide-entry/src/source.rs
@@ -40,7 +40,7 @@
 const SETTLING: Duration = Duration::from_secs(3);
 
 /// From whom this instance gets a list.
-pub(crate) struct ListSource {
+pub(crate) struct ServerListSource {
     /// The clock.
     clock: MilliClock,
     /// Within what time a leaving server may get no more work.
@@ -64,7 +64,7 @@
     lag: RulesLag,
 }
 
-impl ListSource {
+impl ServerListSource {
     /// Starts with nobody to ask. A leaving server may get no more work after
     /// `leave_within`; `has_peers` says whether there may be peers.
     pub(crate) fn new(leave_within: Duration, has_peers: bool) -> Self {
--- a/crates/flaxtide-entry/src/state.rs
+++ b/crates/flaxtide-entry/src/state.rs
@@ -27,7 +27,7 @@
 use crate::pushback::PushbackExchange;
 use crate::quarantine::CallQuarantine;
 use crate::routes::RouteTable;
-use crate::source::ListSource;
+use crate::source::ServerListSource;
 use crate::stop::LAST_CALLS;
 use crate::upstream::ServerLinks;
 
@@ -60,7 +60,7 @@
     /// The ring to the fleet thread.
     pub(crate) fleet: FleetLink,
     /// From whom this instance gets what few read from the platform.
-    pub(crate) source: Arc<ListSource>,
+    pub(crate) source: Arc<ServerListSource>,
     /// The requests that crash servers.
     pub(crate) quarantine: CallQuarantine,
     /// What servers say of themselves.
@@ -107,7 +107,7 @@
         dialect: Arc<dyn WireDialect>,
         metrics: Arc<EntryMetrics>,
         fleet: FleetLink,
-        source: Arc<ListSource>,
+        source: Arc<ServerListSource>,
         duties: Option<Arc<SharedDuties>>,
     ) -> Self {
         let options = RouteOptions {
--- a/crates/flaxtide-entry/tests/reader.rs
+++ b/crates/flaxtide-entry/tests/reader.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use flaxtide_core::store_version;
-use flaxtide_entry::{FeedBatch, FeedRow, ListLog};
+use flaxtide_entry::{FeedBatch, FeedRow, ServerListLog};
 use flaxtide_fleet::{RowChanges, RowSource};
 
 /// The most text of an answer.
@@ -26,7 +26,7 @@
 }
 
 /// Returns the names that a log tells of after a version; nothing if it can't tell.
-fn told(log: &ListLog, after: u64) -> Option<Vec<String>> {
+fn told(log: &ServerListLog, after: u64) -> Option<Vec<String>> {
     let news = log.changes_after(after)?;
     Some(news.rows.into_iter().map(|row| row.name).collect())
 }
@@ -45,7 +45,7 @@
 
 /// Asks a log as an instance does that was told up to a version, until it tells no more.
 /// Returns the answers with rows.
-fn ask_on(log: &ListLog, mut after: u64) -> Vec<RowChanges> {
+fn ask_on(log: &ServerListLog, mut after: u64) -> Vec<RowChanges> {
     let mut answers = vec![];
     loop {
         let news = log
@@ -73,8 +73,8 @@
     assert_eq!(names, all, "{case}");
 }
 
-fn log() -> ListLog {
-    ListLog::new(Duration::from_secs(60))
+fn log() -> ServerListLog {
+    ServerListLog::new(Duration::from_secs(60))
 }
 
 #[test]
@@ -110,7 +110,7 @@
 
 #[test]
 fn an_old_answer_of_the_platform_is_not_passed_on() {
-    let log = ListLog::new(Duration::ZERO);
+    let log = ServerListLog::new(Duration::ZERO);
     log.record(&batch(5, &["a"]), None);
     std::thread::sleep(Duration::from_millis(5));
     assert_eq!(told(&log, 5), None);
@@ -235,6 +235,6 @@
 }
 
 /// Returns the names that a log tells of after a version.
-fn told_names(log: &ListLog, after: u64) -> Vec<String> {
+fn told_names(log: &ServerListLog, after: u64) -> Vec<String> {
     told(log, after).unwrap()
 }
