--- a/crates/flaxtide-entry/src/state.rs
+++ b/crates/flaxtide-entry/src/state.rs
@@ -20,14 +20,14 @@
 use crate::config::EntryConfig;
 use crate::contract::{CallerLimits, EntryRules, ServerEntry, WireDialect};
 use crate::directory::ServerDirectory;
-use crate::duty::DutyBoard;
+use crate::duty::SharedDuties;
 use crate::fleet::FleetLink;
 use crate::metrics::{CountedOne, EntryMetrics};
 use crate::names::NameTable;
 use crate::pushback::PushbackExchange;
 use crate::quarantine::CallQuarantine;
 use crate::routes::RouteTable;
-use crate::source::ListSource;
+use crate::source::ServerListSource;
 use crate::stop::LAST_CALLS;
 use crate::upstream::ServerLinks;
 
@@ -60,13 +60,13 @@
     /// The ring to the fleet thread.
     pub(crate) fleet: FleetLink,
     /// From whom this instance gets what few read from the platform.
-    pub(crate) source: Arc<ListSource>,
+    pub(crate) source: Arc<ServerListSource>,
     /// The requests that crash servers.
     pub(crate) quarantine: CallQuarantine,
     /// What servers say of themselves.
     pub(crate) pushback: PushbackExchange,
     /// What is shared for the duties that one instance has for all, if there are any.
-    pub(crate) duties: Option<Arc<DutyBoard>>,
+    pub(crate) duties: Option<Arc<SharedDuties>>,
     /// The rules in force.
     table: RefCell<Option<Rc<RouteTable>>>,
     /// The servers that may be used.
@@ -107,8 +107,8 @@
         dialect: Arc<dyn WireDialect>,
         metrics: Arc<EntryMetrics>,
         fleet: FleetLink,
-        source: Arc<ListSource>,
-        duties: Option<Arc<DutyBoard>>,
+        source: Arc<ServerListSource>,
+        duties: Option<Arc<SharedDuties>>,
     ) -> Self {
         let options = RouteOptions {
             retry_ratio: config.retry_ratio,
