--- a/crates/flaxtide-entry/src/answer.rs
+++ b/crates/flaxtide-entry/src/answer.rs
@@ -42,7 +42,7 @@
         match next.map_err(TryEnd::Fault)? {
             Some(bytes) if streams => {
                 state.decide(|core, now| {
-                    core.heard(call.request, now);
+                    core.record_response_data(call.request, now);
                     vec![]
                 });
                 return Ok(Received::Stream(start, bytes));
--- a/crates/flaxtide-entry/src/exchange.rs
+++ b/crates/flaxtide-entry/src/exchange.rs
@@ -179,7 +179,7 @@
                 .map_err(|_| RouteFault::Unreachable)?,
         };
         // The server may have asked for less while this one waited for its connection.
-        if !state.ask(|core, now| core.passes_gate(number, now)) {
+        if !state.ask(|core, now| core.permit_send(number, now)) {
             state.links.keep(server, link, None, state.now());
             return Err(RouteFault::Withheld);
         }
--- a/crates/flaxtide-entry/src/instance.rs
+++ b/crates/flaxtide-entry/src/instance.rs
@@ -267,7 +267,7 @@
         tokio::time::sleep(TICK).await;
         jumps.tick(&state);
         ticks += 1;
-        if state.ask(|core, _| core.waits()) {
+        if state.ask(|core, _| core.has_waiting_requests()) {
             state.decide(|core, now| core.tick(now));
         }
         expire_servers(&state);
@@ -307,11 +307,11 @@
 
 /// Logs what the router has come to believe of servers.
 fn note_servers(state: &TrafficState) {
-    for note in state.ask(|core, now| core.review(now)) {
-        let event = if note.well { "server gets work" } else { "server gets no work" };
+    for note in state.ask(|core, now| core.health_changes(now)) {
+        let event = if note.healthy { "server gets work" } else { "server gets no work" };
         log::info!(
             server = state.server_name(note.server).unwrap_or_default(),
-            failures_percent = (note.failures * 100.0) as u64,
+            failures_percent = (note.failure_rate * 100.0) as u64,
             heard_ago_ms = note.heard_ago.as_millis() as u64;
             "{event}"
         );
--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -258,7 +258,7 @@
     /// Tells whether the request may leave a server that is silent.
     pub(crate) fn may_break_off(&self, resumable: bool) -> bool {
         self.state
-            .ask(|core, now| core.may_break_off(self.request, resumable, now))
+            .ask(|core, now| core.may_abort_silent(self.request, resumable, now))
     }
 
     /// Records it if the server of a request has ended under it.
@@ -292,7 +292,7 @@
         let quarantined = self.state.quarantine.holds(request);
         self.state.decide(|core, now| {
             if quarantined {
-                return core.abandon(self.request, fault, now);
+                return core.fail_without_retry(self.request, fault, now);
             }
             let (decided, actions) = core.fail(self.request, fault, resumable, now);
             verdict = decided;
@@ -314,7 +314,7 @@
     fn drop(&mut self) {
         self.end("caller_left", 0);
         self.state.forget(self.request);
-        self.state.decide(|core, now| core.leave(self.request, now));
+        self.state.decide(|core, now| core.cancel(self.request, now));
         self.state.open.set(self.state.open.get() - 1);
         self.state.metrics.open_calls.set(self.state.open.get() as i64);
     }
--- a/crates/flaxtide-entry/src/relay.rs
+++ b/crates/flaxtide-entry/src/relay.rs
@@ -108,7 +108,7 @@
             match state.wait_until(until, source.next(&state)).await {
                 Some(Ok(Some(bytes))) => {
                     state.decide(|core, now| {
-                        core.heard(self.call.request, now);
+                        core.record_response_data(self.call.request, now);
                         vec![]
                     });
                     return Ok(Some(bytes));
--- a/crates/flaxtide-lab/src/burst.rs
+++ b/crates/flaxtide-lab/src/burst.rs
@@ -276,7 +276,7 @@
         let call = self.count_token(call, at, end);
         self.calls.insert(request, call);
         if call.tokens == 0 {
-            self.core.heard(request, at);
+            self.core.record_response_data(request, at);
         }
         if end {
             self.calls.remove(&request);
--- a/crates/flaxtide-lab/src/world.rs
+++ b/crates/flaxtide-lab/src/world.rs
@@ -263,7 +263,7 @@
         let Sending { instance, request, .. } = sending;
         let actions = match answer {
             ServerAnswer::Done => {
-                self.core(instance).heard(request, now);
+                self.core(instance).record_response_data(request, now);
                 self.count(request, now);
                 self.core(instance).finish(request, now)
             }
@@ -296,7 +296,7 @@
                 continue;
             }
             let peer = &mut self.instances[peer as usize];
-            peer.core.hear_peer(instance, &loads, now);
+            peer.core.set_peer_loads(instance, &loads, now);
             peer.heard.insert(instance, loads.clone());
         }
         if let (Some(period), _) = periods(self.pattern.gossip) {
@@ -316,7 +316,7 @@
             let sums = self.sums_at(contact, now);
             // Groups are told apart from instances by keys that no instance has.
             let key = self.pattern.instances + group;
-            self.core(instance).hear_peer(key, &sums, now);
+            self.core(instance).set_peer_loads(key, &sums, now);
         }
         self.events.push(now + digest_period, LabEvent::Ask(instance));
     }
--- a/crates/flaxtide-lab/tests/rate.rs
+++ b/crates/flaxtide-lab/tests/rate.rs
@@ -201,7 +201,7 @@
     fn take(&mut self, number: usize, actions: &[RouteAction], now: Duration) {
         for action in actions {
             if let RouteAction::Dispatch { request, choice, .. } = action
-                && self.cores[number].passes_gate(*request, now)
+                && self.cores[number].permit_send(*request, now)
             {
                 self.arrivals.entry(choice.server).or_default().push(now);
                 let answer = (now + WORK, number, *request, choice.server, now);
--- a/crates/flaxtide-lab/tests/shed.rs
+++ b/crates/flaxtide-lab/tests/shed.rs
@@ -156,7 +156,7 @@
             let actions = if refused {
                 let (verdict, actions) = core.fail(request, RouteFault::Full, false, now);
                 if verdict == RetryVerdict::End {
-                    core.leave(request, now);
+                    core.cancel(request, now);
                 }
                 actions
             } else {
@@ -172,7 +172,7 @@
     fn take(&mut self, number: usize, actions: &[RouteAction], now: Duration) {
         for action in actions {
             let RouteAction::Dispatch { request, choice, .. } = action else { continue };
-            if !self.cores[number].passes_gate(*request, now) {
+            if !self.cores[number].permit_send(*request, now) {
                 continue;
             }
             let sheds = sheds(choice.server, now);
--- a/crates/flaxtide-policy/benches/gate.rs
+++ b/crates/flaxtide-policy/benches/gate.rs
@@ -76,7 +76,7 @@
         choice.saturating_record(start.elapsed().as_nanos() as u64);
         if matches!(actions[..], [RouteAction::Dispatch { .. }]) {
             let start = Instant::now();
-            std::hint::black_box(core.passes_gate(request, now));
+            std::hint::black_box(core.permit_send(request, now));
             gate.saturating_record(start.elapsed().as_nanos() as u64);
         }
         if request > OPEN {
--- a/crates/flaxtide-policy/src/lib.rs
+++ b/crates/flaxtide-policy/src/lib.rs
@@ -46,11 +46,10 @@
 };
 pub use self::rendezvous::{bounded_owners, rendezvous_order, rendezvous_owner};
 pub use self::router::{
-    CallProgress, EngineShape, LEVELS, LevelTokens, PartFetch, PartKey, PeerKey,
-    PeerLoad, PromptPart, PromptShape, PushbackCount, ReadNote, RefusalCause,
+    CallProgress, EngineShape, HealthChange, LEVELS, LevelTokens, PartFetch, PartKey,
+    PeerKey, PeerLoad, PromptPart, PromptShape, PushbackCount, ReadNote, RefusalCause,
     RetryVerdict, RouteAction, RouteCall, RouteChoice, RouteCore, RouteFault,
-    RouteOptions, RouteReason, RoutedServer, ServerLoad, ServerNote, StatementNote,
-    WAIT_PART,
+    RouteOptions, RouteReason, RoutedServer, ServerLoad, StatementNote, WAIT_PART,
 };
 pub use self::rule::{ClassRule, OrganisationRule, RuleSet, ServerRule};
 pub use self::scaling::{
--- a/crates/flaxtide-policy/src/router/mod.rs
+++ b/crates/flaxtide-policy/src/router/mod.rs
@@ -78,13 +78,13 @@
 
 /// What the router has come to believe of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ServerNote {
+pub struct HealthChange {
     /// The server.
     pub server: ServerId,
     /// Whether it gets work.
-    pub well: bool,
+    pub healthy: bool,
     /// The decayed part of its requests that failed.
-    pub failures: f64,
+    pub failure_rate: f64,
     /// How long ago anything came from it.
     pub heard_ago: Duration,
 }
@@ -206,7 +206,7 @@
     }
 
     /// Takes in what a peer has at servers: all of it.
-    pub fn hear_peer(&mut self, peer: PeerKey, loads: &[PeerLoad], now: Duration) {
+    pub fn set_peer_loads(&mut self, peer: PeerKey, loads: &[PeerLoad], now: Duration) {
         for pool in self.pools.values_mut() {
             for (id, server) in &mut pool.servers {
                 let load = loads.iter().find(|load| load.server == *id);
@@ -216,7 +216,7 @@
     }
 
     /// Takes in what a peer saw servers read.
-    pub fn hear_reads(&mut self, reads: &[(ServerId, PartKey)], now: Duration) {
+    pub fn record_peer_prefills(&mut self, reads: &[(ServerId, PartKey)], now: Duration) {
         for (server, part) in reads {
             if let Some(server) = find_server(&mut self.pools, *server) {
                 server.hear_read(*part, now);
@@ -225,12 +225,12 @@
     }
 
     /// Returns the shared parts that servers have read lately for this instance.
-    pub fn own_reads(&mut self, now: Duration) -> Vec<ReadNote> {
+    pub fn recent_prefills(&mut self, now: Duration) -> Vec<ReadNote> {
         self.reads.recent(&self.options, now)
     }
 
     /// Takes in that a peer has found servers silent.
-    pub fn hear_rumours(&mut self, servers: &[ServerId], now: Duration) {
+    pub fn record_silence_reports(&mut self, servers: &[ServerId], now: Duration) {
         for pool in self.pools.values_mut() {
             for server in servers {
                 if let Some(server) = pool.servers.get_mut(server) {
@@ -291,7 +291,7 @@
     }
 
     /// Takes in that anything came from the server of a request.
-    pub fn heard(&mut self, request: RequestId, now: Duration) {
+    pub fn record_response_data(&mut self, request: RequestId, now: Duration) {
         let Some(call) = self.calls.get_mut(&request) else { return };
         let CallPlace::Running { server, since, .. } = call.place else { return };
         let first = call.hear(now);
@@ -341,7 +341,7 @@
 
     /// Takes in that a request ended without an answer of use to the router: its caller
     /// has gone, or its time is over.
-    pub fn leave(&mut self, request: RequestId, now: Duration) -> Vec<RouteAction> {
+    pub fn cancel(&mut self, request: RequestId, now: Duration) -> Vec<RouteAction> {
         let Some(call) = self.calls.remove(&request) else { return vec![] };
         self.free(&call, now);
         self.take_actions()
@@ -358,7 +358,7 @@
     }
 
     /// Returns of which servers it believes something else than at the last review.
-    pub fn review(&mut self, now: Duration) -> Vec<ServerNote> {
+    pub fn health_changes(&mut self, now: Duration) -> Vec<HealthChange> {
         let mut notes = vec![];
         for pool in self.pools.keys().copied().collect::<Vec<PoolId>>() {
             let staying = self.staying(pool);
@@ -372,10 +372,10 @@
                     continue;
                 }
                 server.believed_well = is_well;
-                notes.push(ServerNote {
+                notes.push(HealthChange {
                     server: *id,
-                    well: is_well,
-                    failures: server.health.failures(),
+                    healthy: is_well,
+                    failure_rate: server.health.failures(),
                     heard_ago: now.saturating_sub(server.health.heard()),
                 });
             }
@@ -385,7 +385,7 @@
 
     /// Tells whether any request waits for a server.
     #[must_use]
-    pub fn waits(&self) -> bool {
+    pub fn has_waiting_requests(&self) -> bool {
         self.pools
             .values()
             .any(|pool| pool.queue.len() > 0 || !pool.retries.is_empty())
--- a/crates/flaxtide-policy/src/router/pushback.rs
+++ b/crates/flaxtide-policy/src/router/pushback.rs
@@ -120,7 +120,7 @@
 
     /// Returns whether a request may be written now to the server that it was given. Between the
     /// choice of the server and this moment the server may have asked for less.
-    pub fn passes_gate(&mut self, request: RequestId, now: Duration) -> bool {
+    pub fn permit_send(&mut self, request: RequestId, now: Duration) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
         let CallPlace::Running { server, .. } = call.place else { return false };
         let pool = self.pools.get_mut(&call.call.pool);
--- a/crates/flaxtide-policy/src/router/retry.rs
+++ b/crates/flaxtide-policy/src/router/retry.rs
@@ -21,7 +21,7 @@
     /// Tells whether a request whose server is silent may be broken off there: only if
     /// another try is granted, which it pays for. Without one it would be lost, though the
     /// server may still answer. [`RouteCore::fail`] must follow.
-    pub fn may_break_off(
+    pub fn may_abort_silent(
         &mut self,
         request: RequestId,
         resumable: bool,
@@ -99,7 +99,7 @@
 
     /// Records that a server failed a request which isn't tried again, whatever the budget
     /// allows.
-    pub fn abandon(
+    pub fn fail_without_retry(
         &mut self,
         request: RequestId,
         fault: RouteFault,
--- a/crates/flaxtide-policy/src/router/standstill.rs
+++ b/crates/flaxtide-policy/src/router/standstill.rs
@@ -8,7 +8,7 @@
 impl RouteCore {
     /// Goes on after this instance has stood still for a while. Servers weren't silent for that
     /// long, and didn't take it for what they were sent.
-    pub fn resume(&mut self, span: Duration, now: Duration) {
+    pub fn discount_stall(&mut self, span: Duration, now: Duration) {
         for pool in self.pools.values_mut() {
             for server in pool.servers.values_mut() {
                 server.health.resume(span, now);
--- a/crates/flaxtide-policy/tests/pushback.rs
+++ b/crates/flaxtide-policy/tests/pushback.rs
@@ -54,7 +54,7 @@
     for request in first..first + count {
         let arrival = RouteCall { give_up: now + ms(1), ..call(request, 100, true) };
         let actions = core.arrive(arrival, now);
-        if server_of(&actions).is_some() && core.passes_gate(request, now) {
+        if server_of(&actions).is_some() && core.permit_send(request, now) {
             sent += 1;
             core.finish(request, now);
         }
@@ -70,7 +70,7 @@
     for word in ["rest", "rate", "leaves", "gone"] {
         let mut core = core_alone(1);
         let server = server_of(&core.arrive(call(1, 100, true), ms(0))).unwrap();
-        assert!(core.passes_gate(1, ms(0)));
+        assert!(core.permit_send(1, ms(0)));
         let now = ms(5);
         match word {
             "rest" => _ = core.hear_statement(server, rest(1000), ms(1), now),
@@ -82,7 +82,7 @@
             }
             _ => _ = core.set_servers(POOL, &[], now),
         }
-        assert!(!core.passes_gate(1, now), "{word}");
+        assert!(!core.permit_send(1, now), "{word}");
         // It goes to another server, and costs nothing of the budget of repeats.
         core.set_servers(POOL, &[engine(server), engine(server + 1)], now);
         let (verdict, actions) = core.fail(1, RouteFault::Withheld, false, now);
@@ -98,8 +98,8 @@
     let now = ms(1001);
     assert!(server_of(&core.arrive(call(1, 100, true), now)).is_some());
     // A kept connection that turns out to be closed has it written anew.
-    assert!(core.passes_gate(1, now));
-    assert!(core.passes_gate(1, now));
+    assert!(core.permit_send(1, now));
+    assert!(core.permit_send(1, now));
     assert_eq!(count_sent(&mut core, 2, 5, now), 0);
     assert_eq!(count_sent(&mut core, 10, 5, now + ms(1000)), 1);
 }
--- a/crates/flaxtide-policy/tests/router.rs
+++ b/crates/flaxtide-policy/tests/router.rs
@@ -84,7 +84,7 @@
             == RetryVerdict::Again
         {
             repeats += 1;
-            core.leave(request, ms(request));
+            core.cancel(request, ms(request));
         }
     }
     let allowed =
@@ -109,7 +109,7 @@
             requests += 1;
             if core.fail(request, RouteFault::Full, false, now).0 == RetryVerdict::Again {
                 repeats += 1;
-                core.leave(request, now);
+                core.cancel(request, now);
             }
         }
     }
@@ -121,7 +121,7 @@
 fn a_silent_server_with_streams_gets_no_more_work() {
     let mut core = core_with(2);
     let first = server_of(&core.arrive(call(1, 100, true), ms(0))).unwrap();
-    core.heard(1, ms(20));
+    core.record_response_data(1, ms(20));
     // Nothing has come for a second, though a stream is under way there.
     for request in 2..6 {
         let actions = core.arrive(call(request, 100, true), ms(1020));
@@ -146,7 +146,7 @@
         long: 0,
         unread: [0, 60_000, 0],
     };
-    core.hear_peer(7, &[busy], ms(0));
+    core.set_peer_loads(7, &[busy], ms(0));
     for request in 0..3 {
         assert_eq!(server_of(&core.arrive(call(request, 100, true), ms(1))), Some(1));
     }
@@ -169,7 +169,7 @@
         order.prompt.parts = vec![shared, own];
         let now = ms(request * 400);
         let server = server_of(&core.arrive(order, now)).unwrap();
-        core.heard(request, now + ms(40));
+        core.record_response_data(request, now + ms(40));
         core.finish(request, now + ms(100));
         *servers.entry(server).or_insert(0) += 1;
     }
@@ -189,7 +189,7 @@
         unread: [0; 3],
     };
     let loads: Vec<PeerLoad> = (0..10).map(busy).collect();
-    core.hear_peer(7, &loads, ms(0));
+    core.set_peer_loads(7, &loads, ms(0));
     core.arrive(call(1000, 100, true), ms(0));
     let mut engines = BTreeSet::new();
     for request in 0..20 {
@@ -345,7 +345,7 @@
                 }
                 Happening::Hear(place) => {
                     if let Some(request) = pick(place) {
-                        core.heard(request, now);
+                        core.record_response_data(request, now);
                     }
                     vec![]
                 }
@@ -361,7 +361,7 @@
                     Some(request) => {
                         let known = seen.get_mut(&request).unwrap();
                         (known.running, known.over) = (false, true);
-                        core.leave(request, now)
+                        core.cancel(request, now)
                     }
                     None => vec![],
                 },
@@ -417,30 +417,30 @@
         let servers: Vec<RoutedServer> = (0..4).map(engine).collect();
         core.set_servers(POOL, &servers, now);
         core.tick(now + ms(60_000));
-        prop_assert!(!core.waits());
+        prop_assert!(!core.has_waiting_requests());
     }
 }
 
 #[test]
 fn what_is_believed_of_a_server_is_told_once() {
     let mut core = core_with(2);
-    assert_eq!(core.review(ms(0)), []);
+    assert_eq!(core.health_changes(ms(0)), []);
     let server = server_of(&core.arrive(call(1, 100, true), ms(0))).unwrap();
     core.fail(1, RouteFault::Unreachable, false, ms(10));
-    let notes = core.review(ms(20));
-    assert_eq!((notes.len(), notes[0].server, notes[0].well), (1, server, false));
-    assert_eq!(core.review(ms(30)), []);
-    core.leave(1, ms(40));
-    let notes = core.review(ms(5000));
-    assert_eq!((notes.len(), notes[0].server, notes[0].well), (1, server, true));
+    let notes = core.health_changes(ms(20));
+    assert_eq!((notes.len(), notes[0].server, notes[0].healthy), (1, server, false));
+    assert_eq!(core.health_changes(ms(30)), []);
+    core.cancel(1, ms(40));
+    let notes = core.health_changes(ms(5000));
+    assert_eq!((notes.len(), notes[0].server, notes[0].healthy), (1, server, true));
 }
 
 #[test]
 fn a_request_whose_caller_left_says_nothing_against_its_server() {
     let mut core = core_with(1);
     core.arrive(call(1, 100, true), ms(0));
-    core.leave(1, ms(100));
-    assert_eq!(core.review(ms(10_000)), [], "nobody has waited since");
+    core.cancel(1, ms(100));
+    assert_eq!(core.health_changes(ms(10_000)), [], "nobody has waited since");
 }
 
 #[test]
@@ -453,7 +453,7 @@
                 || request > 0
         );
         now += ms(2000);
-        core.heard(request, now);
+        core.record_response_data(request, now);
         core.finish(request, now);
     }
     // Six tokens a millisecond were seen: 12,000 take two seconds, the target is half of one.
--- a/crates/flaxtide-policy/tests/router_lanes.rs
+++ b/crates/flaxtide-policy/tests/router_lanes.rs
@@ -16,9 +16,9 @@
         order.target = ms(target_ms);
         let now = ms(request * 60);
         engines.extend(server_of(&core.arrive(order, now)));
-        core.leave(request, now + ms(50));
+        core.cancel(request, now + ms(50));
         core.arrive(call(2000 + request, 100, true), now + ms(51));
-        core.leave(2000 + request, now + ms(52));
+        core.cancel(2000 + request, now + ms(52));
         // Each engine is busy with the last long prompt, so the next goes elsewhere.
         let mut busy = call(3000 + request, 9000, true);
         busy.target = ms(target_ms);
--- a/crates/flaxtide-policy/tests/router_memory.rs
+++ b/crates/flaxtide-policy/tests/router_memory.rs
@@ -41,9 +41,9 @@
 fn a_shared_part_is_taken_over_from_the_engine_that_a_peer_saw_read_it() {
     let mut core = linked_core(Some(280.0));
     let home = server_of(&core.arrive(sharing(1), ms(0))).unwrap();
-    core.leave(1, ms(1));
+    core.cancel(1, ms(1));
     let holder = (home + 1) % 4;
-    core.hear_reads(&[(holder, SHARED.short_key())], ms(10));
+    core.record_peer_prefills(&[(holder, SHARED.short_key())], ms(10));
     // The holder is out, so the request goes elsewhere, but its memory can be read.
     for request in 10..40 {
         let choice = choice_of(&core.arrive(sharing(request), ms(20)));
@@ -61,19 +61,19 @@
     let mut core = linked_core(None);
     let home = server_of(&core.arrive(sharing(1), ms(0))).unwrap();
     let holder = (home + 1) % 4;
-    core.hear_reads(&[(holder, SHARED.short_key())], ms(10));
+    core.record_peer_prefills(&[(holder, SHARED.short_key())], ms(10));
     for request in 10..30 {
         let choice = choice_of(&core.arrive(sharing(request), ms(20)));
         assert_eq!(choice.fetch, None);
         assert_eq!(choice.uncached, if choice.server == holder { 300 } else { 6300 });
-        core.leave(request, ms(20));
+        core.cancel(request, ms(20));
     }
 }
 
 #[test]
 fn what_a_peer_saw_read_long_ago_counts_no_more() {
     let mut core = linked_core(Some(280.0));
-    core.hear_reads(&[(0, SHARED.short_key())], ms(0));
+    core.record_peer_prefills(&[(0, SHARED.short_key())], ms(0));
     let choice = choice_of(&core.arrive(sharing(1), ms(30_000)));
     assert_eq!((choice.fetch, choice.uncached), (None, 6300));
 }
@@ -82,13 +82,13 @@
 fn peers_are_told_of_shared_parts_while_they_are_news() {
     let mut core = linked_core(Some(280.0));
     let server = server_of(&core.arrive(sharing(1), ms(0))).unwrap();
-    assert!(core.own_reads(ms(50)).is_empty(), "it hasn't been read");
-    core.heard(1, ms(100));
-    let notes = core.own_reads(ms(150));
+    assert!(core.recent_prefills(ms(50)).is_empty(), "it hasn't been read");
+    core.record_response_data(1, ms(100));
+    let notes = core.recent_prefills(ms(150));
     let told: Vec<_> =
         notes.iter().map(|note| (note.server, note.part, note.age)).collect();
     assert_eq!(told, [(server, SHARED.short_key(), ms(50))]);
-    assert!(core.own_reads(ms(5000)).is_empty());
+    assert!(core.recent_prefills(ms(5000)).is_empty());
 }
 
 #[test]
@@ -97,8 +97,8 @@
     let mut order = call(1, 500, true);
     let part = PromptPart { key: 0x88, tokens: 200 };
     order.prompt.parts = vec![part, PromptPart { key: 1, tokens: 300 }];
-    core.hear_reads(&[(0, part.short_key()), (1, part.short_key())], ms(0));
+    core.record_peer_prefills(&[(0, part.short_key()), (1, part.short_key())], ms(0));
     assert_eq!(choice_of(&core.arrive(order, ms(1))).fetch, None);
-    core.heard(1, ms(10));
-    assert!(core.own_reads(ms(11)).is_empty(), "and nobody is told");
+    core.record_response_data(1, ms(10));
+    assert!(core.recent_prefills(ms(11)).is_empty(), "and nobody is told");
 }
--- a/crates/flaxtide-policy/tests/router_shed.rs
+++ b/crates/flaxtide-policy/tests/router_shed.rs
@@ -14,7 +14,7 @@
     let options = RouteOptions { refused_cost_ms, ..RouteOptions::default() };
     let mut core = core_with_options(2, options);
     let sheds = sent(&mut core, 1, 0);
-    core.heard(1, ms(20));
+    core.record_response_data(1, ms(20));
     let mut request = 2;
     let mut other = None;
     // Four requests stay at the other server.
@@ -22,15 +22,15 @@
         let server = sent(&mut core, request, 30);
         if server == sheds {
             core.fail(request, RouteFault::Full, false, ms(31));
-            core.leave(request, ms(32));
+            core.cancel(request, ms(32));
         } else {
             other = Some(server);
-            core.heard(request, ms(400));
+            core.record_response_data(request, ms(400));
         }
         request += 1;
     }
     // The stream goes on.
-    core.heard(1, ms(410));
+    core.record_response_data(1, ms(410));
     let next = sent(&mut core, request, 430);
     (sheds, other.unwrap(), next)
 }
