--- a/crates/flaxtide-entry/src/answer.rs
+++ b/crates/flaxtide-entry/src/answer.rs
@@ -1,7 +1,7 @@
 //! A server's answer, from its head to the whole of it, or to the start of a stream.
 
 use bytes::{Bytes, BytesMut};
-use flaxtide_policy::{RetryVerdict, RouteFault};
+use flaxtide_policy::{RetryDecision, RouteFault};
 use hyper::{Response, StatusCode};
 
 use crate::contract::CallKind;
@@ -81,7 +81,7 @@
             }
         }
     }
-    if call.fail(request, RouteFault::Failed, false).await == RetryVerdict::Again {
+    if call.fail(request, RouteFault::Failed, false).await == RetryDecision::Retry {
         return Ok(Received::Again);
     }
     let (status, headers) = (start.status, start.headers);
--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -6,7 +6,9 @@
 
 use bytes::Bytes;
 use flaxtide_core::TierRank;
-use flaxtide_policy::{RefusalCause, RetryVerdict, RouteAction, RouteCall, WAIT_PART};
+use flaxtide_policy::{
+    QUEUE_WAIT_DIVISOR, RefusalCause, RetryDecision, RouteAction, RouteCall,
+};
 use http_body_util::{BodyExt, Limited};
 use hyper::Request;
 use hyper::body::Incoming;
@@ -123,7 +125,9 @@
         tier,
         level,
         target: call.class.class().target,
-        give_up: call.deadline.min(received + call.class.class().target / WAIT_PART),
+        give_up: call
+            .deadline
+            .min(received + call.class.class().target / QUEUE_WAIT_DIVISOR),
         deadline: call.deadline,
         repeatable: call.class.class().kind.repeatable(),
         run_limit: call.class.class().attempt_limit,
@@ -183,9 +187,9 @@
     state.decide(|core, now| core.arrive(order, now));
     loop {
         let decided = state.wait_until(call.deadline, decision).await;
-        let (choice, patience) = match decided {
-            Some(Ok(RouteAction::Dispatch { choice, patience, .. })) => {
-                (choice, patience)
+        let (choice, silence_timeout) = match decided {
+            Some(Ok(RouteAction::Dispatch { choice, silence_timeout, .. })) => {
+                (choice, silence_timeout)
             }
             Some(Ok(RouteAction::Refuse { reason, retry_after, expected, .. })) => {
                 return refuse(&call, reason, retry_after, expected);
@@ -195,7 +199,8 @@
         };
         // Whoever is told to try again waits for the next decision.
         decision = state.await_decision(call.request);
-        let fault = match call.try_server(&request, &choice, patience, None).await {
+        let fault = match call.try_server(&request, &choice, silence_timeout, None).await
+        {
             TryEnd::Started(start) => match receive(&call, &request, start).await {
                 Ok(Received::Whole(answer)) => return answer,
                 Ok(Received::Stream(start, first)) => {
@@ -209,7 +214,7 @@
             TryEnd::TimeOver => return call.time_over(),
             TryEnd::Quarantined => return call.quarantine(&request),
         };
-        if call.fail(&request, fault, false).await == RetryVerdict::End {
+        if call.fail(&request, fault, false).await == RetryDecision::Stop {
             return call.give_up(fault);
         }
     }
--- a/crates/flaxtide-entry/src/duty/board.rs
+++ b/crates/flaxtide-entry/src/duty/board.rs
@@ -8,7 +8,7 @@
 use flaxtide_core::{DataCentreName, MilliClock, OrganisationName, WallClock};
 use flaxtide_fleet::{DutyExchange, FleetKey, UsageNews, UsageNotice, fleet_key};
 use flaxtide_policy::{
-    ScalingRules, ServerStock, UsageCounts, UsageLedger, UsageSource, UsageTally,
+    ScalingRules, ServerCounts, UsageCounts, UsageLedger, UsageSource, UsageTally,
     WindowNumber, WindowTotal, window_of,
 };
 
@@ -25,7 +25,7 @@
     /// How many requests a server works on at once.
     pub(crate) slots: u32,
     /// The servers that serve.
-    pub(crate) stocks: BTreeMap<DataCentreName, ServerStock>,
+    pub(crate) stocks: BTreeMap<DataCentreName, ServerCounts>,
 }
 
 /// What a holder has to know of the rules and the servers.
@@ -227,7 +227,7 @@
 impl DutyExchange for DutyBoard {
     fn news(&self, fence: u64) -> UsageNews {
         let state = self.lock();
-        let (windows, mark) = state.ledger.news(fence);
+        let (windows, mark) = state.ledger.unconfirmed(fence);
         UsageNews {
             told_until_ms: state.wall.now().as_millis() as u64,
             windows,
@@ -251,7 +251,7 @@
         } else {
             heard.open.insert(name, (now, notice.open));
         }
-        heard.tally.hear(
+        heard.tally.record_report(
             UsageSource { name, epoch: notice.epoch },
             fleet_key(&notice.from.data_centre),
             Duration::from_millis(notice.told_until_ms),
--- a/crates/flaxtide-entry/src/duty/thread.rs
+++ b/crates/flaxtide-entry/src/duty/thread.rs
@@ -293,7 +293,7 @@
         );
         self.count("orders", outcome_text(&sent).as_str());
         let outcome = match sent {
-            Ok(DutyAnswer::Taken) => OrderOutcome::Taken,
+            Ok(DutyAnswer::Taken) => OrderOutcome::Accepted,
             // The next write tells whether the lease is lost.
             Ok(DutyAnswer::Refused) => OrderOutcome::Unavailable,
             Ok(DutyAnswer::Busy) | Err(FeedError::Refused { .. }) => {
@@ -303,7 +303,7 @@
         };
         self.orders.record(order, outcome, now);
         match outcome {
-            OrderOutcome::Taken => true,
+            OrderOutcome::Accepted => true,
             OrderOutcome::Unavailable => {
                 self.watch.renew();
                 true
--- a/crates/flaxtide-entry/src/duty/view.rs
+++ b/crates/flaxtide-entry/src/duty/view.rs
@@ -4,7 +4,7 @@
 
 use flaxtide_core::DataCentreName;
 use flaxtide_fleet::fleet_key;
-use flaxtide_policy::ServerStock;
+use flaxtide_policy::ServerCounts;
 
 use super::board::{DutyBoard, DutyView, ScaledService};
 use crate::state::TrafficState;
@@ -35,8 +35,8 @@
 fn stocks_of(
     state: &TrafficState,
     service: &str,
-) -> BTreeMap<DataCentreName, ServerStock> {
-    let mut stocks: BTreeMap<DataCentreName, ServerStock> = BTreeMap::new();
+) -> BTreeMap<DataCentreName, ServerCounts> {
+    let mut stocks: BTreeMap<DataCentreName, ServerCounts> = BTreeMap::new();
     for listed in state.directory.borrow().of_service(service) {
         let entry = &listed.entry;
         let stock = stocks.entry(entry.data_centre.clone()).or_default();
--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -15,7 +15,7 @@
     SettingsCopy, fleet_key,
 };
 use flaxtide_policy::{
-    CrashReport, PartKey, PeerLoad, PushbackReport, ReadNote, ServerLoad,
+    CrashReport, PartKey, PeerLoad, PrefillRecord, PushbackReport, ServerLoad,
 };
 use tokio::sync::mpsc;
 
@@ -327,7 +327,7 @@
 }
 
 /// Spells what a server has read as peers are told, with its age.
-fn part_read(state: &TrafficState, note: &ReadNote) -> Option<(Duration, PartRead)> {
+fn part_read(state: &TrafficState, note: &PrefillRecord) -> Option<(Duration, PartRead)> {
     let server = state.server_key(note.server)?;
     Some((note.age, PartRead { server, part: note.part }))
 }
@@ -356,7 +356,7 @@
         short: u8::try_from(load.short).unwrap_or(u8::MAX),
         long: u8::try_from(load.long).unwrap_or(u8::MAX),
         unread: load
-            .unread
+            .pending_prefill
             .map(|tokens| u16::try_from(tokens / TOKENS_PER_UNIT).unwrap_or(u16::MAX)),
     })
 }
@@ -374,7 +374,7 @@
             server,
             short: u32::from(load.short),
             long: u32::from(load.long),
-            unread: load.unread.map(|units| u32::from(units) * TOKENS_PER_UNIT),
+            pending_prefill: load.unread.map(|units| u32::from(units) * TOKENS_PER_UNIT),
         })
     });
     let known: Vec<PeerLoad> = known.collect();
--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use flaxtide_core::{RequestId, ServerId};
-use flaxtide_policy::{RetryVerdict, RouteChoice, RouteFault};
+use flaxtide_policy::{RetryDecision, RouteChoice, RouteFault};
 
 use crate::contract::RequestHead;
 use crate::crash::server_has_ended;
@@ -207,7 +207,7 @@
         &self,
         request: &CallerRequest,
         choice: &RouteChoice,
-        patience: Option<Duration>,
+        silence_timeout: Option<Duration>,
         last_event: Option<u64>,
     ) -> TryEnd {
         let left = self.left();
@@ -237,7 +237,8 @@
         let mut sent = std::pin::pin!(sent);
         loop {
             let left = self.left();
-            let wait = patience.map_or(left, |patience| patience.min(left));
+            let wait =
+                silence_timeout.map_or(left, |silence_timeout| silence_timeout.min(left));
             let until = self.state.now() + wait;
             match self.state.wait_until(until, &mut sent).await {
                 Some(Ok(start)) => return TryEnd::Started(start),
@@ -279,7 +280,7 @@
         request: &CallerRequest,
         fault: RouteFault,
         resumable: bool,
-    ) -> RetryVerdict {
+    ) -> RetryDecision {
         self.note_crash(request, fault).await;
         if !fault.not_run() {
             self.may_have_run.set(true);
@@ -288,7 +289,7 @@
         if let (RouteFault::Silent, Some(server)) = (fault, self.server.get()) {
             self.state.links.doubt(server);
         }
-        let mut verdict = RetryVerdict::End;
+        let mut verdict = RetryDecision::Stop;
         let quarantined = self.state.quarantine.holds(request);
         self.state.decide(|core, now| {
             if quarantined {
@@ -302,7 +303,7 @@
         self.state.metrics.faults.with_label_values(&[&label]).inc();
         let server = self.server.get().and_then(|server| self.state.server_name(server));
         log::info!(
-            request = self.attempt, server = server.unwrap_or_default(), fault = label, again = verdict == RetryVerdict::Again,
+            request = self.attempt, server = server.unwrap_or_default(), fault = label, again = verdict == RetryDecision::Retry,
             left_ms = self.left().as_millis() as u64;
             "fault"
         );
--- a/crates/flaxtide-entry/src/pushback.rs
+++ b/crates/flaxtide-entry/src/pushback.rs
@@ -9,7 +9,7 @@
 use flaxtide_fleet::FleetKey;
 use flaxtide_policy::{
     PushbackReport, ReportEffect, ReportSchedule, RequestRate, ServerStatement,
-    StatedRate, StatementNote,
+    StatedRate, StatementChange,
 };
 
 use crate::state::TrafficState;
@@ -46,14 +46,14 @@
             self.tell(state, server);
         }
         let note =
-            state.ask(|core, now| core.hear_statement(server, statement, sent, now));
-        if let Some(span) = note.and_then(|note| note.rests) {
+            state.ask(|core, now| core.record_statement(server, statement, sent, now));
+        if let Some(span) = note.and_then(|note| note.new_backoff) {
             log_rest(state, server, span);
         }
         let due = self.schedule.borrow().is_due(server, statement.rate, state.now());
-        match note.filter(|note| note.restated) {
-            Some(StatementNote { rate, part, .. }) => {
-                log_rate(state, server, rate, part, "server");
+        match note.filter(|note| note.rate_changed) {
+            Some(StatementChange { rate, share, .. }) => {
+                log_rate(state, server, rate, share, "server");
                 self.tell(state, server);
             }
             None if due => self.tell(state, server),
@@ -76,7 +76,7 @@
         }
         let effect = server.and_then(|server| {
             let heard = report.heard(came);
-            state.ask(|core, now| core.hear_peer_rate(server, report.rate, heard, now))
+            state.ask(|core, now| core.record_peer_rate(server, report.rate, heard, now))
         });
         match (server, effect) {
             (Some(server), Some(ReportEffect::News)) => {
@@ -143,7 +143,7 @@
 /// Shows how many servers ask for less.
 pub(crate) fn show_pushback(state: &TrafficState) {
     let count = state.ask(|core, now| core.count_pushback(now));
-    for (kind, count) in [("limited", count.limited), ("resting", count.resting)] {
+    for (kind, count) in [("limited", count.limited), ("resting", count.backing_off)] {
         state.metrics.pushback.with_label_values(&[kind]).set(count as i64);
     }
 }
--- a/crates/flaxtide-entry/src/relay.rs
+++ b/crates/flaxtide-entry/src/relay.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use flaxtide_policy::{RetryVerdict, RouteAction, RouteFault};
+use flaxtide_policy::{RetryDecision, RouteAction, RouteFault};
 use futures::StreamExt;
 use futures::stream;
 use http_body_util::{Either, StreamBody};
@@ -148,15 +148,20 @@
             let decision = state.await_decision(self.call.request);
             let resumable = self.resumable();
             let verdict = self.call.fail(&self.request, fault, resumable).await;
-            if verdict == RetryVerdict::End {
+            if verdict == RetryDecision::Stop {
                 return Err(self.cut("stream_broken"));
             }
             let decided = state.wait_until(self.call.deadline, decision).await;
-            let Some(Ok(RouteAction::Dispatch { choice, patience, .. })) = decided else {
+            let Some(Ok(RouteAction::Dispatch { choice, silence_timeout, .. })) = decided
+            else {
                 return Err(self.cut("stream_broken"));
             };
             let last = self.events.last_event;
-            match self.call.try_server(&self.request, &choice, patience, last).await {
+            match self
+                .call
+                .try_server(&self.request, &choice, silence_timeout, last)
+                .await
+            {
                 TryEnd::Started(start) if start.status.is_success() => {
                     self.source = Some(start.body);
                     return Ok(());
--- a/crates/flaxtide-entry/src/state.rs
+++ b/crates/flaxtide-entry/src/state.rs
@@ -303,14 +303,14 @@
                 let slots = engine.map_or(entry.slots, |engine| engine.slots);
                 RoutedServer {
                     server: self.server_number(entry),
-                    rank: xxh3_64(entry.name.as_bytes()),
+                    name_hash: xxh3_64(entry.name.as_bytes()),
                     slots: if slots == 0 { SLOTS_OF_PLAIN_SERVICE } else { slots },
                     engine: engine.map(|engine| EngineShape {
                         memory_tokens: engine.memory_tokens,
                         fetch_tokens_per_ms: engine.fetch_tokens_per_ms,
                     }),
                     data_centre: fleet_key(&entry.data_centre),
-                    near: entry.data_centre == home,
+                    local: entry.data_centre == home,
                     leaving: entry.leaving,
                     lapsed: listed.lapsed(),
                 }
--- a/crates/flaxtide-lab/src/burst.rs
+++ b/crates/flaxtide-lab/src/burst.rs
@@ -151,14 +151,14 @@
         let mut core = RouteCore::new(options);
         let server = |number: u32| RoutedServer {
             server: number,
-            rank: u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            name_hash: u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15),
             slots: pattern.slots,
             engine: Some(EngineShape {
                 memory_tokens: 400_000,
                 fetch_tokens_per_ms: None,
             }),
             data_centre: 0,
-            near: true,
+            local: true,
             leaving: false,
             lapsed: false,
         };
--- a/crates/flaxtide-lab/src/world.rs
+++ b/crates/flaxtide-lab/src/world.rs
@@ -5,7 +5,7 @@
 
 use flaxtide_core::{RequestId, ServerId};
 use flaxtide_policy::{
-    PeerLoad, PromptShape, RetryVerdict, RouteAction, RouteCall, RouteCore, RouteFault,
+    PeerLoad, PromptShape, RetryDecision, RouteAction, RouteCall, RouteCore, RouteFault,
     RouteOptions, RoutedServer,
 };
 use rand::{Rng, SeedableRng};
@@ -131,7 +131,7 @@
         let instance = |number: u32| {
             let servers = (0..pattern.servers).map(|server| RoutedServer {
                 data_centre: server % pattern.data_centres,
-                near: server % pattern.data_centres == number % pattern.data_centres,
+                local: server % pattern.data_centres == number % pattern.data_centres,
                 ..plain_server(server, pattern)
             });
             let servers: Vec<RoutedServer> = servers.collect();
@@ -270,7 +270,7 @@
             ServerAnswer::Full => {
                 let core = self.core(instance);
                 let (verdict, actions) = core.fail(request, RouteFault::Full, false, now);
-                if verdict == RetryVerdict::End {
+                if verdict == RetryDecision::Stop {
                     self.lose(request);
                 }
                 actions
@@ -327,7 +327,12 @@
         let own = instance.core.own_loads(now);
         let mut sums: BTreeMap<ServerId, PeerLoad> = BTreeMap::new();
         for load in instance.heard.values().flatten().chain(&own) {
-            let empty = PeerLoad { short: 0, long: 0, unread: [0; 3], ..*load };
+            let empty = PeerLoad {
+                short: 0,
+                long: 0,
+                pending_prefill: [0; 3],
+                ..*load
+            };
             let sum = sums.entry(load.server).or_insert(empty);
             sum.short += load.short;
             sum.long += load.long;
@@ -360,11 +365,11 @@
 fn plain_server(server: ServerId, pattern: &LoadPattern) -> RoutedServer {
     RoutedServer {
         server,
-        rank: u64::from(server).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        name_hash: u64::from(server).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         slots: pattern.slots as u32,
         engine: None,
         data_centre: 0,
-        near: true,
+        local: true,
         leaving: false,
         lapsed: false,
     }
--- a/crates/flaxtide-lab/tests/common/mod.rs
+++ b/crates/flaxtide-lab/tests/common/mod.rs
@@ -31,17 +31,17 @@
 /// Makes a plain server with 64 slots.
 pub fn plain_server(
     server: ServerId,
-    rank: u64,
+    name_hash: u64,
     data_centre: u32,
-    near: bool,
+    local: bool,
 ) -> RoutedServer {
     RoutedServer {
         server,
-        rank,
+        name_hash,
         slots: 64,
         engine: None,
         data_centre,
-        near,
+        local,
         leaving: false,
         lapsed: false,
     }
--- a/crates/flaxtide-lab/tests/rate.rs
+++ b/crates/flaxtide-lab/tests/rate.rs
@@ -172,7 +172,7 @@
             self.answers.pop();
             let core = &mut self.cores[number];
             let statement = ServerStatement { rate, ..ServerStatement::default() };
-            core.hear_statement(server, statement, sent, now);
+            core.record_statement(server, statement, sent, now);
             let actions = core.finish(request, now);
             self.take(number, &actions, now);
         }
@@ -244,7 +244,7 @@
     for server in 0..pattern.data_centres as u32 {
         let rate = RequestRate::from_per_second(pattern.rate);
         let heard = Duration::from_millis(1);
-        core.hear_peer_rate(server, rate, heard, heard);
+        core.record_peer_rate(server, rate, heard, heard);
     }
     core
 }
--- a/crates/flaxtide-lab/tests/shed.rs
+++ b/crates/flaxtide-lab/tests/shed.rs
@@ -9,7 +9,7 @@
 
 use flaxtide_core::{RequestId, ServerId};
 use flaxtide_policy::{
-    RetryVerdict, RouteAction, RouteCore, RouteFault, RouteOptions, RoutedServer,
+    RetryDecision, RouteAction, RouteCore, RouteFault, RouteOptions, RoutedServer,
     ServerStatement,
 };
 use rand::rngs::SmallRng;
@@ -152,10 +152,10 @@
             let core = &mut self.cores[number];
             let rest = refused.then_some(REST);
             let statement = ServerStatement { rest, ..ServerStatement::default() };
-            core.hear_statement(server, statement, sent, now);
+            core.record_statement(server, statement, sent, now);
             let actions = if refused {
                 let (verdict, actions) = core.fail(request, RouteFault::Full, false, now);
-                if verdict == RetryVerdict::End {
+                if verdict == RetryDecision::Stop {
                     core.cancel(request, now);
                 }
                 actions
--- a/crates/flaxtide-policy/benches/gate.rs
+++ b/crates/flaxtide-policy/benches/gate.rs
@@ -23,11 +23,11 @@
     core.set_group(Arc::new(group), Duration::ZERO);
     let engine = |server: u32| RoutedServer {
         server,
-        rank: u64::from(server),
+        name_hash: u64::from(server),
         slots: 64,
         engine: Some(EngineShape { memory_tokens: 400_000, fetch_tokens_per_ms: None }),
         data_centre: 0,
-        near: true,
+        local: true,
         leaving: false,
         lapsed: false,
     };
@@ -35,7 +35,7 @@
     core.set_servers(1, &servers, Duration::ZERO);
     let rate = RequestRate::from_per_second(1000.0);
     for server in (0..engines).step_by(4) {
-        core.hear_peer_rate(
+        core.record_peer_rate(
             server,
             rate,
             Duration::from_millis(1),
--- a/crates/flaxtide-policy/src/choice.rs
+++ b/crates/flaxtide-policy/src/choice.rs
@@ -8,7 +8,7 @@
 
 use crate::action::{ChoiceRule, ServerChoice};
 use crate::options::PolicyOptions;
-use crate::rendezvous::numbered_weight;
+use crate::rendezvous::rendezvous_weight;
 use crate::server::{BackendServer, ServerTable};
 
 /// What a choice is made for.
@@ -90,7 +90,7 @@
     let owner = *pool
         .members
         .iter()
-        .max_by_key(|server| numbered_weight(prefix, u64::from(**server)))?;
+        .max_by_key(|server| rendezvous_weight(prefix, u64::from(**server)))?;
     let server = eligible.iter().find(|server| server.server == owner)?;
     let load = cost(server);
     if load > pool.typical_load * options.affinity_bound + 1.0 / f64::from(server.slots) {
--- a/crates/flaxtide-policy/src/lib.rs
+++ b/crates/flaxtide-policy/src/lib.rs
@@ -46,14 +46,15 @@
 };
 pub use self::rendezvous::{bounded_owners, rendezvous_order, rendezvous_owner};
 pub use self::router::{
-    CallProgress, EngineShape, HealthChange, LEVELS, LevelTokens, PartFetch, PartKey,
-    PeerKey, PeerLoad, PromptPart, PromptShape, PushbackCount, ReadNote, RefusalCause,
-    RetryVerdict, RouteAction, RouteCall, RouteChoice, RouteCore, RouteFault,
-    RouteOptions, RouteReason, RoutedServer, ServerLoad, StatementNote, WAIT_PART,
+    CallProgress, EngineShape, HealthChange, LevelTokens, PartFetch, PartKey, PeerKey,
+    PeerLoad, PrefillRecord, PromptPart, PromptShape, PushbackCount, QUEUE_WAIT_DIVISOR,
+    RefusalCause, RetryDecision, RouteAction, RouteCall, RouteChoice, RouteCore,
+    RouteFault, RouteOptions, RouteReason, RoutedServer, ServerLoad, StatementChange,
+    URGENCY_LEVELS,
 };
 pub use self::rule::{ClassRule, OrganisationRule, RuleSet, ServerRule};
 pub use self::scaling::{
-    OrderOutcome, ScalerOptions, ScalingRules, ServerOrder, ServerScaler, ServerStock,
+    OrderOutcome, ScalerOptions, ScalingRules, ServerCounts, ServerOrder, ServerScaler,
 };
 pub use self::share::{SlotDemand, divide_slots, equal_share};
 pub use self::usage::{
--- a/crates/flaxtide-policy/src/pushback/group.rs
+++ b/crates/flaxtide-policy/src/pushback/group.rs
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 
 use super::statement::RequestRate;
-use crate::rendezvous::numbered_weight;
+use crate::rendezvous::rendezvous_weight;
 
 /// Stands for the name of an instance.
 pub type InstanceKey = u32;
@@ -75,7 +75,7 @@
         let order = |member: &GroupMember| {
             // Those beside the server go first: a cut parts them from it last.
             let far = member.data_centre != data_centre;
-            (far, Reverse(numbered_weight(rank, u64::from(member.instance))))
+            (far, Reverse(rendezvous_weight(rank, u64::from(member.instance))))
         };
         let own = order(&self.own);
         let before = self.members.iter().filter(|member| order(member) < own).count();
@@ -94,7 +94,8 @@
         if self.others.contains(&data_centre) {
             return false;
         }
-        let weight = |place: DataCentreKey| (numbered_weight(rank, place.into()), place);
+        let weight =
+            |place: DataCentreKey| (rendezvous_weight(rank, place.into()), place);
         let own = weight(self.own.data_centre);
         self.others.iter().all(|other| weight(*other) < own)
     }
--- a/crates/flaxtide-policy/src/rendezvous.rs
+++ b/crates/flaxtide-policy/src/rendezvous.rs
@@ -57,7 +57,7 @@
 }
 
 /// Returns the weight of a numbered member for a key.
-pub(crate) fn numbered_weight(key: u64, member: u64) -> u64 {
+pub(crate) fn rendezvous_weight(key: u64, member: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), key)
 }
 
--- a/crates/flaxtide-policy/src/router/choose.rs
+++ b/crates/flaxtide-policy/src/router/choose.rs
@@ -9,7 +9,7 @@
 use super::health::FAILING_PART;
 use super::lane::{LaneSplit, PromptLane, in_lane};
 use super::server::ServerState;
-use crate::rendezvous::numbered_weight;
+use crate::rendezvous::rendezvous_weight;
 
 /// What a server that isn't listed just now costs more, in milliseconds.
 const LAPSED_COST_MS: f64 = 500.0;
@@ -129,7 +129,8 @@
         let servers = state.servers.values();
         let mut staying: Vec<&ServerState> =
             servers.filter(|server| server.facts.in_service()).collect();
-        staying.sort_by_key(|server| numbered_weight(LANE_SEED, server.facts.rank));
+        staying
+            .sort_by_key(|server| rendezvous_weight(LANE_SEED, server.facts.name_hash));
         staying
     }
 
@@ -340,7 +341,7 @@
         let running = f64::from(count);
         let mut cost_ms = 0.0;
         let mut ahead = 0.0;
-        if !server.facts.near {
+        if !server.facts.local {
             cost_ms += self.options.far_cost_ms;
         }
         if server.facts.lapsed {
@@ -411,7 +412,7 @@
         if server.facts.engine.is_some() {
             return 0.0;
         }
-        let draw = numbered_weight(request ^ self.seed, server.facts.rank);
+        let draw = rendezvous_weight(request ^ self.seed, server.facts.name_hash);
         PLAIN_SPREAD_MS * draw as f64 / u64::MAX as f64
     }
 
@@ -441,7 +442,9 @@
     let Some(part) = prompt.shared_part() else { return vec![] };
     let mut ranked: Vec<(u64, ServerId)> = servers
         .iter()
-        .map(|server| (numbered_weight(part.key, server.facts.rank), server.facts.server))
+        .map(|server| {
+            (rendezvous_weight(part.key, server.facts.name_hash), server.facts.server)
+        })
         .collect();
     ranked.sort_unstable_by(|one, other| other.cmp(one));
     ranked.truncate(HOMES);
--- a/crates/flaxtide-policy/src/router/load.rs
+++ b/crates/flaxtide-policy/src/router/load.rs
@@ -18,7 +18,7 @@
     /// Its requests there with long prompts.
     pub long: u32,
     /// Prompt tokens of them that are still to be read, by the level of their class.
-    pub unread: LevelTokens,
+    pub pending_prefill: LevelTokens,
 }
 
 impl ServerLoad {
@@ -30,14 +30,14 @@
 }
 
 /// How many levels of classes are told apart; less urgent ones count as the last.
-pub const LEVELS: usize = 3;
+pub const URGENCY_LEVELS: usize = 3;
 
 /// Prompt tokens by the level of their class.
-pub type LevelTokens = [u32; LEVELS];
+pub type LevelTokens = [u32; URGENCY_LEVELS];
 
 /// Returns the place of a level.
 fn level_place(level: u8) -> usize {
-    usize::from(level).min(LEVELS - 1)
+    usize::from(level).min(URGENCY_LEVELS - 1)
 }
 
 /// What a peer has at a server.
@@ -163,7 +163,7 @@
         let mut ages = 0.0;
         let mut count = 0.0f64;
         for (load, age) in self.heard(options, now) {
-            let urgent = &load.unread[..=level_place(level)];
+            let urgent = &load.pending_prefill[..=level_place(level)];
             told += urgent.iter().copied().map(f64::from).sum::<f64>();
             ages += age.as_secs_f64() * 1000.0;
             count += 1.0;
@@ -187,7 +187,7 @@
             server,
             short: (self.own.len() - self.own_long) as u32,
             long: self.own_long as u32,
-            unread: unread.map(|tokens| tokens as u32),
+            pending_prefill: unread.map(|tokens| tokens as u32),
         }
     }
 
@@ -210,9 +210,9 @@
         calls: &HashMap<RequestId, RoutedCall>,
         tokens_per_ms: f64,
         now: Duration,
-    ) -> [f64; LEVELS] {
+    ) -> [f64; URGENCY_LEVELS] {
         // An engine reads one prompt after the other, about, in the order of requests.
-        let mut unread = [0.0; LEVELS];
+        let mut unread = [0.0; URGENCY_LEVELS];
         let mut waiting: Vec<&RoutedCall> = self.unanswered(calls).collect();
         // The most urgent class first, and in it the request that came first.
         waiting.sort_by_key(|call| call.call.level);
--- a/crates/flaxtide-policy/src/router/mod.rs
+++ b/crates/flaxtide-policy/src/router/mod.rs
@@ -29,11 +29,11 @@
     CallProgress, PartKey, PromptPart, PromptShape, RouteCall, RouteFault,
 };
 pub use self::choose::{PartFetch, RouteChoice, RouteReason};
-pub use self::load::{LEVELS, LevelTokens, PeerKey, PeerLoad, ServerLoad};
+pub use self::load::{LevelTokens, PeerKey, PeerLoad, ServerLoad, URGENCY_LEVELS};
 pub use self::options::RouteOptions;
-pub use self::pushback::{PushbackCount, StatementNote};
-pub use self::read::ReadNote;
-pub use self::retry::RetryVerdict;
+pub use self::pushback::{PushbackCount, StatementChange};
+pub use self::read::PrefillRecord;
+pub use self::retry::RetryDecision;
 pub use self::server::{EngineShape, RoutedServer};
 
 use self::budget::RetryWindow;
@@ -48,7 +48,7 @@
 
 /// A request that waits for a server is refused after this part of its target: the rest is
 /// left for its caller's next try.
-pub const WAIT_PART: u32 = 2;
+pub const QUEUE_WAIT_DIVISOR: u32 = 2;
 
 /// Something to be done about a request.
 #[derive(Debug, Clone, PartialEq)]
@@ -61,7 +61,7 @@
         choice: RouteChoice,
         /// How long the server may be silent before the request goes elsewhere; without
         /// it, the request stays.
-        patience: Option<Duration>,
+        silence_timeout: Option<Duration>,
     },
     /// Refuse it: it hasn't run.
     Refuse {
@@ -225,7 +225,7 @@
     }
 
     /// Returns the shared parts that servers have read lately for this instance.
-    pub fn recent_prefills(&mut self, now: Duration) -> Vec<ReadNote> {
+    pub fn recent_prefills(&mut self, now: Duration) -> Vec<PrefillRecord> {
         self.reads.recent(&self.options, now)
     }
 
@@ -432,7 +432,7 @@
         call.ahead = choice.ahead;
         let movable = call.call.repeatable && call.runs + 1 < call.call.run_limit;
         let expected = choice.expected;
-        let patience = movable.then(|| {
+        let silence_timeout = movable.then(|| {
             let usual = expected.mul_f64(self.options.patience_factor);
             usual.max(self.options.shortest_patience)
         });
@@ -444,7 +444,8 @@
             let long = call.call.prompt.is_long(&self.options);
             server.load.start(request, long, &self.calls, now);
         }
-        self.actions.push(RouteAction::Dispatch { request, choice, patience });
+        self.actions
+            .push(RouteAction::Dispatch { request, choice, silence_timeout });
     }
 
     /// Returns what has been decided.
--- a/crates/flaxtide-policy/src/router/pushback.rs
+++ b/crates/flaxtide-policy/src/router/pushback.rs
@@ -10,7 +10,7 @@
 use super::server::RoutedServer;
 use super::{RefusalCause, RouteAction, RouteCore, find_server};
 use crate::pushback::{InstanceGroup, ReportEffect, RequestRate, ServerStatement};
-use crate::rendezvous::numbered_weight;
+use crate::rendezvous::rendezvous_weight;
 
 /// The part of the time until a server may be sent a request by which callers are spread that
 /// are asked to come back then.
@@ -18,15 +18,15 @@
 
 /// What was learnt from what a server states.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StatementNote {
+pub struct StatementChange {
     /// The rate that it takes from all instances.
     pub rate: Option<RequestRate>,
     /// This instance's part of it, in requests a second.
-    pub part: Option<f64>,
+    pub share: Option<f64>,
     /// Whether the rate is another one than before.
-    pub restated: bool,
+    pub rate_changed: bool,
     /// For how long it wants nothing from this instance, if that is new.
-    pub rests: Option<Duration>,
+    pub new_backoff: Option<Duration>,
 }
 
 /// How many servers ask for less.
@@ -35,7 +35,7 @@
     /// Servers that state a rate.
     pub limited: usize,
     /// Servers that want nothing from this instance now.
-    pub resting: usize,
+    pub backing_off: usize,
 }
 
 impl RouteCore {
@@ -49,7 +49,7 @@
                 continue;
             }
             let facts = &server.facts;
-            let part = |rate| group.rate_part(facts.rank, facts.data_centre, rate);
+            let part = |rate| group.rate_part(facts.name_hash, facts.data_centre, rate);
             server.pushback.set_part(part, now);
         }
         self.group = Some(group);
@@ -57,32 +57,32 @@
 
     /// Records what a server states in an answer to a request that was sent at `sent`. Returns
     /// what is new, if anything is.
-    pub fn hear_statement(
+    pub fn record_statement(
         &mut self,
         server: ServerId,
         statement: ServerStatement,
         sent: Duration,
         now: Duration,
-    ) -> Option<StatementNote> {
+    ) -> Option<StatementChange> {
         let group = self.group.as_deref();
         let server = find_server(&mut self.pools, server)?;
         let part = |rate| own_part(group, &server.facts, rate);
         let pushback = &mut server.pushback;
         let rest = statement.rest.map(|rest| rest.min(self.options.longest_rest));
-        let rests = rest.filter(|rest| pushback.rest(*rest, now));
-        let restated = pushback.hear_rate(statement.rate, part, sent, now);
-        let (rate, part) = (pushback.rate(), pushback.part());
-        (restated || rests.is_some()).then_some(StatementNote {
+        let new_backoff = rest.filter(|rest| pushback.rest(*rest, now));
+        let rate_changed = pushback.hear_rate(statement.rate, part, sent, now);
+        let (rate, share) = (pushback.rate(), pushback.part());
+        (rate_changed || new_backoff.is_some()).then_some(StatementChange {
             rate,
-            part,
-            restated,
-            rests,
+            share,
+            rate_changed,
+            new_backoff,
         })
     }
 
     /// Records that a peer heard a server state a rate, or none, at `heard`. Returns what that
     /// does to what is known; nothing if the server isn't known.
-    pub fn hear_peer_rate(
+    pub fn record_peer_rate(
         &mut self,
         server: ServerId,
         rate: Option<RequestRate>,
@@ -113,7 +113,7 @@
         let mut count = PushbackCount::default();
         for server in self.pools.values().flat_map(|pool| pool.servers.values()) {
             count.limited += usize::from(server.pushback.rate().is_some());
-            count.resting += usize::from(server.pushback.rests(now));
+            count.backing_off += usize::from(server.pushback.rests(now));
         }
         count
     }
@@ -193,7 +193,7 @@
 
     /// Lengthens a time for some requests, so that their callers don't come back together.
     fn spread(&self, request: RequestId, wait: Duration) -> Duration {
-        let draw = numbered_weight(request, self.seed) as f64;
+        let draw = rendezvous_weight(request, self.seed) as f64;
         wait.mul_f64(1.0 + RETURN_SPREAD * draw / u64::MAX as f64)
     }
 }
@@ -216,5 +216,5 @@
     facts: &RoutedServer,
     rate: RequestRate,
 ) -> f64 {
-    group.map_or(0.0, |group| group.rate_part(facts.rank, facts.data_centre, rate))
+    group.map_or(0.0, |group| group.rate_part(facts.name_hash, facts.data_centre, rate))
 }
--- a/crates/flaxtide-policy/src/router/read.rs
+++ b/crates/flaxtide-policy/src/router/read.rs
@@ -13,7 +13,7 @@
 
 /// A server has read a shared part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReadNote {
+pub struct PrefillRecord {
     /// The server.
     pub server: ServerId,
     /// The last part that other requests share; it stands for all before it.
@@ -53,9 +53,9 @@
         &mut self,
         options: &RouteOptions,
         now: Duration,
-    ) -> Vec<ReadNote> {
+    ) -> Vec<PrefillRecord> {
         self.notes.retain(|(_, _, at)| now < *at + options.read_life);
-        let notes = self.notes.iter().map(|(server, part, at)| ReadNote {
+        let notes = self.notes.iter().map(|(server, part, at)| PrefillRecord {
             server: *server,
             part: *part,
             age: now.saturating_sub(*at),
--- a/crates/flaxtide-policy/src/router/retry.rs
+++ b/crates/flaxtide-policy/src/router/retry.rs
@@ -6,15 +6,15 @@
 use flaxtide_core::{PoolId, RequestId};
 
 use super::call::{CallPlace, RouteFault, RoutedCall};
-use super::{RouteAction, RouteCore, WAIT_PART};
+use super::{QUEUE_WAIT_DIVISOR, RouteAction, RouteCore};
 
 /// What is decided after a request failed at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RetryVerdict {
+pub enum RetryDecision {
     /// It waits for another server; an action follows.
-    Again,
+    Retry,
     /// It ends here.
-    End,
+    Stop,
 }
 
 impl RouteCore {
@@ -68,9 +68,9 @@
         fault: RouteFault,
         resumable: bool,
         now: Duration,
-    ) -> (RetryVerdict, Vec<RouteAction>) {
+    ) -> (RetryDecision, Vec<RouteAction>) {
         let Some(mut call) = self.calls.remove(&request) else {
-            return (RetryVerdict::End, vec![]);
+            return (RetryDecision::Stop, vec![]);
         };
         let pool = call.call.pool;
         self.blame(&call, fault, now);
@@ -84,17 +84,17 @@
         let again = granted || self.may_repeat(&call, fault, resumable, now);
         self.free(&call, now);
         if !again {
-            return (RetryVerdict::End, self.take_actions());
+            return (RetryDecision::Stop, self.take_actions());
         }
         call.place = CallPlace::Waiting;
-        let patience = now + call.call.target / WAIT_PART;
+        let patience = now + call.call.target / QUEUE_WAIT_DIVISOR;
         call.call.give_up = call.call.give_up.max(patience).min(call.call.deadline);
         self.calls.insert(request, call);
         if let Some(state) = self.pools.get_mut(&pool) {
             state.retries.push(request);
         }
         self.pump(pool, now);
-        (RetryVerdict::Again, self.take_actions())
+        (RetryDecision::Retry, self.take_actions())
     }
 
     /// Records that a server failed a request which isn't tried again, whatever the budget
--- a/crates/flaxtide-policy/src/router/server.rs
+++ b/crates/flaxtide-policy/src/router/server.rs
@@ -20,7 +20,7 @@
     /// The server.
     pub server: ServerId,
     /// A number that is the same on every instance, from its name.
-    pub rank: u64,
+    pub name_hash: u64,
     /// How many requests it works on at once.
     pub slots: u32,
     /// What its engine can do; nothing for a plain service.
@@ -28,7 +28,7 @@
     /// The data centre in which it stands.
     pub data_centre: DataCentreKey,
     /// Whether it stands in this instance's data centre.
-    pub near: bool,
+    pub local: bool,
     /// Whether it is leaving.
     pub leaving: bool,
     /// Whether the platform doesn't list it just now, though nobody said that it left.
--- a/crates/flaxtide-policy/src/scaling/mod.rs
+++ b/crates/flaxtide-policy/src/scaling/mod.rs
@@ -9,7 +9,7 @@
 mod stock;
 
 pub use self::scaler::{ScalerOptions, ServerScaler};
-pub use self::stock::{OrderOutcome, ServerOrder, ServerStock};
+pub use self::stock::{OrderOutcome, ServerCounts, ServerOrder};
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,11 +20,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScalingRules {
     /// The fewest servers in a data centre, of both prices together.
-    pub least: u32,
+    pub min_servers: u32,
     /// The most.
-    pub most: u32,
+    pub max_servers: u32,
     /// How long an ordered server takes until it serves.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// The part of the full price at which servers may be had that may be taken away; nothing
     /// if there are none.
     pub spot_price: Option<f64>,
--- a/crates/flaxtide-policy/src/scaling/scaler.rs
+++ b/crates/flaxtide-policy/src/scaling/scaler.rs
@@ -7,7 +7,7 @@
 
 use super::ScalingRules;
 use super::demand::DemandLog;
-use super::stock::{OrderOutcome, OrderState, ServerOrder, ServerStock};
+use super::stock::{OrderOutcome, OrderState, ServerCounts, ServerOrder};
 
 /// Servers that are missing for so long beyond their boot are ordered again.
 const REPLACE_AFTER: Duration = Duration::from_secs(4);
@@ -68,7 +68,7 @@
     /// The demand.
     demand: DemandLog,
     /// How many servers stood when this began.
-    began: Option<ServerStock>,
+    began: Option<ServerCounts>,
     /// Since when that hasn't grown.
     began_at: Duration,
     /// The orders, by data centre and price.
@@ -111,11 +111,11 @@
     pub fn plan(
         &mut self,
         rules: &ScalingRules,
-        stocks: &BTreeMap<DataCentreName, ServerStock>,
+        stocks: &BTreeMap<DataCentreName, ServerCounts>,
         slots: u32,
         now: Duration,
     ) -> Vec<ServerOrder> {
-        let mut serving = ServerStock::default();
+        let mut serving = ServerCounts::default();
         for stock in stocks.values() {
             serving.regular += stock.regular;
             serving.spot += stock.spot;
@@ -145,7 +145,7 @@
 
     /// Returns how many servers stood when this began. The list of them may come in pieces, so
     /// more than at first count as long as they stood before any was ordered.
-    fn began(&mut self, serving: ServerStock, now: Duration) -> ServerStock {
+    fn began(&mut self, serving: ServerCounts, now: Duration) -> ServerCounts {
         let began = self.began.get_or_insert_with(|| {
             self.began_at = now;
             serving
@@ -194,7 +194,7 @@
         if rules.spot_price.is_none() {
             return BTreeMap::new();
         }
-        let most = rules.most.saturating_sub(rules.least);
+        let most = rules.max_servers.saturating_sub(rules.min_servers);
         let refuses = |name: &DataCentreName| {
             let state = self.orders.get(&(name.clone(), true));
             state.is_some_and(|state| state.is_unavailable(now))
@@ -211,7 +211,7 @@
     fn spread_regular(
         &self,
         rules: &ScalingRules,
-        stocks: &BTreeMap<DataCentreName, ServerStock>,
+        stocks: &BTreeMap<DataCentreName, ServerCounts>,
         spot: &BTreeMap<DataCentreName, u32>,
         target: ServerTarget,
         now: Duration,
@@ -232,13 +232,14 @@
         let part = |there: u32| goal.saturating_sub(there).div_ceil(places);
         let parts = names().map(|name| {
             let stock = stock_of(name);
-            let most = rules.most.saturating_sub(stock.spot).max(rules.least);
+            let most =
+                rules.max_servers.saturating_sub(stock.spot).max(rules.min_servers);
             let (least, enough) = (part(coming.max(serving)), part(serving));
             let state = self.orders.get(&(name.clone(), false));
             let ordered = state.and_then(|state| state.ordered);
             let current = ordered.map_or(stock.regular, |(count, _)| count);
             let count = current.clamp(least, enough.max(least));
-            (name.clone(), count.clamp(rules.least, most))
+            (name.clone(), count.clamp(rules.min_servers, most))
         });
         parts.collect()
     }
@@ -248,7 +249,7 @@
     fn coming(
         &self,
         name: &DataCentreName,
-        stock: ServerStock,
+        stock: ServerCounts,
         wanted: Option<u32>,
         rules: &ScalingRules,
         now: Duration,
@@ -257,7 +258,7 @@
         let state = self.orders.get(&(name.clone(), true));
         let ordered = state.and_then(|state| state.ordered);
         let overdue = ordered.is_some_and(|(count, at)| {
-            count == wanted && now >= at + rules.boot + REPLACE_AFTER
+            count == wanted && now >= at + rules.boot_time + REPLACE_AFTER
         });
         if overdue { stock.spot } else { wanted.max(stock.spot) }
     }
@@ -268,7 +269,7 @@
         data_centre: DataCentreName,
         spot: bool,
         count: u32,
-        stock: ServerStock,
+        stock: ServerCounts,
         rules: &ScalingRules,
         now: Duration,
     ) -> Option<ServerOrder> {
@@ -288,7 +289,7 @@
             // What was taken away isn't always replaced.
             let missed = stock.of(spot) < count;
             let due =
-                since.is_some_and(|since| now >= since + rules.boot + REPLACE_AFTER);
+                since.is_some_and(|since| now >= since + rules.boot_time + REPLACE_AFTER);
             return (missed && due).then_some(ServerOrder { data_centre, spot, count });
         }
         if count < current {
--- a/crates/flaxtide-policy/src/scaling/stock.rs
+++ b/crates/flaxtide-policy/src/scaling/stock.rs
@@ -9,14 +9,14 @@
 
 /// The servers of a service in a data centre that serve and aren't leaving.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ServerStock {
+pub struct ServerCounts {
     /// At the full price.
     pub regular: u32,
     /// At the lower price; they may be taken away.
     pub spot: u32,
 }
 
-impl ServerStock {
+impl ServerCounts {
     /// Returns how many there are at one of the prices.
     #[must_use]
     pub fn of(self, spot: bool) -> u32 {
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// It is in force.
-    Taken,
+    Accepted,
     /// There are none to be had there now.
     Unavailable,
     /// It was refused, and nothing was done.
@@ -69,7 +69,7 @@
     /// Records what came of an order.
     pub(super) fn record(&mut self, count: u32, outcome: OrderOutcome, now: Duration) {
         match outcome {
-            OrderOutcome::Taken => {
+            OrderOutcome::Accepted => {
                 self.ordered = Some((count, now));
                 self.unavailable_until = None;
                 self.unknown = false;
--- a/crates/flaxtide-policy/src/usage/ledger.rs
+++ b/crates/flaxtide-policy/src/usage/ledger.rs
@@ -10,11 +10,11 @@
 /// use flaxtide_policy::UsageLedger;
 /// let mut ledger = UsageLedger::default();
 /// ledger.record(7, 3);
-/// let (news, mark) = ledger.news(1);
+/// let (news, mark) = ledger.unconfirmed(1);
 /// assert_eq!(news[0].counts, [(7, 1)]);
 /// ledger.confirm(1, mark);
-/// assert!(ledger.news(1).0.is_empty(), "told already");
-/// assert_eq!(ledger.news(2).0.len(), 1, "a new holder hears all");
+/// assert!(ledger.unconfirmed(1).0.is_empty(), "told already");
+/// assert_eq!(ledger.unconfirmed(2).0.len(), 1, "a new holder hears all");
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct UsageLedger {
@@ -56,7 +56,7 @@
     /// Returns the windows that the holder with this fencing number doesn't know as they are,
     /// and a mark with which to confirm that it does.
     #[must_use]
-    pub fn news(&self, fence: u64) -> (Vec<WindowCounts>, u64) {
+    pub fn unconfirmed(&self, fence: u64) -> (Vec<WindowCounts>, u64) {
         let known = if self.told.0 == fence { self.told.1 } else { 0 };
         let changed = self.windows.iter().filter(|(_, window)| window.mark > known);
         let news = changed.map(|(number, window)| WindowCounts {
--- a/crates/flaxtide-policy/src/usage/tally.rs
+++ b/crates/flaxtide-policy/src/usage/tally.rs
@@ -69,7 +69,7 @@
 
     /// Records what an instance has told. `told_until` is the moment, counted from the start of
     /// 1970, up to which it has told everything.
-    pub fn hear(
+    pub fn record_report(
         &mut self,
         source: UsageSource,
         data_centre: u32,
--- a/crates/flaxtide-policy/tests/common/mod.rs
+++ b/crates/flaxtide-policy/tests/common/mod.rs
@@ -22,11 +22,11 @@
 pub fn engine(server: ServerId) -> RoutedServer {
     RoutedServer {
         server,
-        rank: u64::from(server).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        name_hash: u64::from(server).wrapping_mul(0x9e37_79b9_7f4a_7c15),
         slots: 8,
         engine: Some(EngineShape { memory_tokens: 100_000, fetch_tokens_per_ms: None }),
         data_centre: 0,
-        near: true,
+        local: true,
         leaving: false,
         lapsed: false,
     }
--- a/crates/flaxtide-policy/tests/pushback.rs
+++ b/crates/flaxtide-policy/tests/pushback.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use flaxtide_policy::{
-    GroupMember, InstanceGroup, RefusalCause, RequestRate, RetryVerdict, RouteAction,
+    GroupMember, InstanceGroup, RefusalCause, RequestRate, RetryDecision, RouteAction,
     RouteCall, RouteCore, RouteFault, RouteOptions, ServerStatement, StatedRate,
 };
 
@@ -73,8 +73,8 @@
         assert!(core.permit_send(1, ms(0)));
         let now = ms(5);
         match word {
-            "rest" => _ = core.hear_statement(server, rest(1000), ms(1), now),
-            "rate" => _ = core.hear_statement(server, limited(0.5), ms(1), now),
+            "rest" => _ = core.record_statement(server, rest(1000), ms(1), now),
+            "rate" => _ = core.record_statement(server, limited(0.5), ms(1), now),
             "leaves" => {
                 let mut left = engine(server);
                 left.leaving = true;
@@ -86,7 +86,7 @@
         // It goes to another server, and costs nothing of the budget of repeats.
         core.set_servers(POOL, &[engine(server), engine(server + 1)], now);
         let (verdict, actions) = core.fail(1, RouteFault::Withheld, false, now);
-        assert_eq!(verdict, RetryVerdict::Again, "{word}");
+        assert_eq!(verdict, RetryDecision::Retry, "{word}");
         assert_eq!(server_of(&actions), Some(server + 1), "{word}");
     }
 }
@@ -94,7 +94,7 @@
 #[test]
 fn a_request_takes_its_part_of_a_rate_once() {
     let mut core = core_alone(1);
-    core.hear_statement(0, limited(1.0), ms(0), ms(1));
+    core.record_statement(0, limited(1.0), ms(0), ms(1));
     let now = ms(1001);
     assert!(server_of(&core.arrive(call(1, 100, true), now)).is_some());
     // A kept connection that turns out to be closed has it written anew.
@@ -107,7 +107,7 @@
 #[test]
 fn what_was_saved_up_while_idle_is_no_burst() {
     let mut core = core_alone(1);
-    core.hear_statement(0, limited(2.0), ms(0), ms(1));
+    core.record_statement(0, limited(2.0), ms(0), ms(1));
     assert_eq!(count_sent(&mut core, 1, 20, ms(60_000)), 1);
 }
 
@@ -124,8 +124,8 @@
     ];
     for (statement, sent, expected) in cases {
         let mut core = core_alone(1);
-        core.hear_statement(0, limited(1.0), ms(50), ms(100));
-        core.hear_statement(0, statement, sent, ms(150));
+        core.record_statement(0, limited(1.0), ms(50), ms(100));
+        core.record_statement(0, statement, sent, ms(150));
         let (rate, _) = core.stated_rate(0).unwrap();
         assert_eq!(rate.map(RequestRate::per_second), expected, "{statement:?}");
     }
@@ -134,10 +134,10 @@
 #[test]
 fn a_word_that_is_not_understood_changes_nothing() {
     let mut core = core_alone(1);
-    core.hear_statement(0, limited(1.0), ms(50), ms(100));
+    core.record_statement(0, limited(1.0), ms(50), ms(100));
     for rate in [StatedRate::Unreadable, StatedRate::Unstated] {
         let unread = ServerStatement { rate, ..nothing() };
-        assert_eq!(core.hear_statement(0, unread, ms(110), ms(150)), None);
+        assert_eq!(core.record_statement(0, unread, ms(110), ms(150)), None);
         assert!(core.stated_rate(0).unwrap().0.is_some());
     }
 }
@@ -145,8 +145,8 @@
 #[test]
 fn what_a_server_said_outlives_a_lapse_of_its_row() {
     let mut core = core_alone(2);
-    core.hear_statement(0, limited(1.0), ms(0), ms(1));
-    core.hear_statement(1, rest(30_000), ms(0), ms(1));
+    core.record_statement(0, limited(1.0), ms(0), ms(1));
+    core.record_statement(1, rest(30_000), ms(0), ms(1));
     core.set_servers(POOL, &[], ms(10));
     core.set_servers(POOL, &[engine(0), engine(1)], ms(20));
     core.set_group(alone(), ms(20));
@@ -157,11 +157,11 @@
 fn no_answer_shortens_a_rest() {
     let mut core = core_alone(1);
     core.arrive(call(1, 100, true), ms(0));
-    core.hear_statement(0, rest(2000), ms(0), ms(10));
+    core.record_statement(0, rest(2000), ms(0), ms(10));
     // One that was under way ends well, another one asks for less.
-    core.hear_statement(0, nothing(), ms(5), ms(20));
+    core.record_statement(0, nothing(), ms(5), ms(20));
     core.finish(1, ms(20));
-    core.hear_statement(0, rest(100), ms(15), ms(30));
+    core.record_statement(0, rest(100), ms(15), ms(30));
     assert_eq!(count_sent(&mut core, 2, 5, ms(2005)), 0);
     assert_eq!(count_sent(&mut core, 10, 5, ms(2010)), 5);
 }
@@ -170,7 +170,7 @@
 fn no_server_rests_for_longer_than_is_believed() {
     let longest = RouteOptions::default().longest_rest;
     let mut core = core_alone(1);
-    core.hear_statement(0, rest(1000 * 60 * 60 * 24 * 365), ms(0), ms(0));
+    core.record_statement(0, rest(1000 * 60 * 60 * 24 * 365), ms(0), ms(0));
     assert_eq!(count_sent(&mut core, 1, 5, longest - ms(1)), 0);
     assert_eq!(count_sent(&mut core, 10, 5, longest), 5);
 }
@@ -178,8 +178,8 @@
 #[test]
 fn where_all_servers_rest_callers_are_told_at_once_when_the_first_is_back() {
     let mut core = core_alone(2);
-    core.hear_statement(0, rest(3000), ms(0), ms(0));
-    core.hear_statement(1, rest(2000), ms(0), ms(0));
+    core.record_statement(0, rest(3000), ms(0), ms(0));
+    core.record_statement(1, rest(2000), ms(0), ms(0));
     let arrival = RouteCall { give_up: ms(250), ..call(1, 100, true) };
     let actions = core.arrive(arrival, ms(0));
     let [RouteAction::Refuse { reason, retry_after, .. }] = &actions[..] else {
@@ -197,13 +197,13 @@
 fn a_request_that_one_server_turned_away_is_not_tried_at_others_that_rest() {
     let mut core = core_alone(3);
     for server in 0..3 {
-        core.hear_statement(server, rest(500_000), ms(0), ms(0));
+        core.record_statement(server, rest(500_000), ms(0), ms(0));
     }
     core.set_servers(POOL, &[engine(0), engine(1), engine(2), engine(3)], ms(1));
     let arrival = RouteCall { deadline: ms(1000), ..call(1, 100, true) };
     assert_eq!(server_of(&core.arrive(arrival, ms(1))), Some(3));
     let (verdict, _) = core.fail(1, RouteFault::Full, false, ms(2));
-    assert_eq!(verdict, RetryVerdict::End);
+    assert_eq!(verdict, RetryDecision::Stop);
 }
 
 /// An instance that was frozen sees nobody alive for a moment, and would take all of a rate.
@@ -216,7 +216,7 @@
     };
     let mut core = core_with(1);
     core.set_group(group(2), ms(0));
-    core.hear_statement(0, limited(100.0), ms(0), ms(0));
+    core.record_statement(0, limited(100.0), ms(0), ms(0));
     let sent_in_a_second = |core: &mut RouteCore, members, from: u64| -> usize {
         let steps = (0..100u64).map(|step| {
             let now = ms(from + step * 10);
--- a/crates/flaxtide-policy/tests/router.rs
+++ b/crates/flaxtide-policy/tests/router.rs
@@ -7,8 +7,8 @@
 
 use flaxtide_core::RequestId;
 use flaxtide_policy::{
-    PeerLoad, PromptPart, RefusalCause, RetryVerdict, RouteAction, RouteCore, RouteFault,
-    RouteOptions, RoutedServer,
+    PeerLoad, PromptPart, RefusalCause, RetryDecision, RouteAction, RouteCore,
+    RouteFault, RouteOptions, RoutedServer,
 };
 use proptest::prelude::*;
 
@@ -42,22 +42,22 @@
 fn a_failed_request_goes_elsewhere_only_if_that_is_right() {
     // fault, may be repeated, whether it is tried again
     let cases = [
-        (RouteFault::Full, false, RetryVerdict::Again),
-        (RouteFault::Withheld, false, RetryVerdict::Again),
-        (RouteFault::Unreachable, false, RetryVerdict::Again),
-        (RouteFault::Replaced, false, RetryVerdict::Again),
-        (RouteFault::Broken, false, RetryVerdict::End),
-        (RouteFault::Silent, false, RetryVerdict::End),
-        (RouteFault::Failed, false, RetryVerdict::End),
-        (RouteFault::Broken, true, RetryVerdict::Again),
-        (RouteFault::Silent, true, RetryVerdict::Again),
+        (RouteFault::Full, false, RetryDecision::Retry),
+        (RouteFault::Withheld, false, RetryDecision::Retry),
+        (RouteFault::Unreachable, false, RetryDecision::Retry),
+        (RouteFault::Replaced, false, RetryDecision::Retry),
+        (RouteFault::Broken, false, RetryDecision::Stop),
+        (RouteFault::Silent, false, RetryDecision::Stop),
+        (RouteFault::Failed, false, RetryDecision::Stop),
+        (RouteFault::Broken, true, RetryDecision::Retry),
+        (RouteFault::Silent, true, RetryDecision::Retry),
     ];
     for (fault, repeatable, expected) in cases {
         let mut core = core_with(3);
         let first = server_of(&core.arrive(call(1, 100, repeatable), ms(0)));
         let (verdict, actions) = core.fail(1, fault, false, ms(10));
         assert_eq!(verdict, expected, "{fault:?}, repeatable: {repeatable}");
-        if verdict == RetryVerdict::Again {
+        if verdict == RetryDecision::Retry {
             assert_ne!(server_of(&actions), first, "{fault:?}");
             assert!(server_of(&actions).is_some());
         }
@@ -68,8 +68,8 @@
 fn a_request_runs_on_no_more_servers_than_its_limit() {
     let mut core = core_with(5);
     core.arrive(call(1, 100, true), ms(0));
-    assert_eq!(core.fail(1, RouteFault::Broken, false, ms(1)).0, RetryVerdict::Again);
-    assert_eq!(core.fail(1, RouteFault::Broken, false, ms(2)).0, RetryVerdict::End);
+    assert_eq!(core.fail(1, RouteFault::Broken, false, ms(1)).0, RetryDecision::Retry);
+    assert_eq!(core.fail(1, RouteFault::Broken, false, ms(2)).0, RetryDecision::Stop);
 }
 
 #[test]
@@ -81,7 +81,7 @@
     for request in 0..400 {
         core.arrive(call(request, 100, true), ms(request));
         if core.fail(request, RouteFault::Full, false, ms(request)).0
-            == RetryVerdict::Again
+            == RetryDecision::Retry
         {
             repeats += 1;
             core.cancel(request, ms(request));
@@ -107,7 +107,8 @@
             let now = ms(request * 100);
             core.arrive(call(request, 100, true), now);
             requests += 1;
-            if core.fail(request, RouteFault::Full, false, now).0 == RetryVerdict::Again {
+            if core.fail(request, RouteFault::Full, false, now).0 == RetryDecision::Retry
+            {
                 repeats += 1;
                 core.cancel(request, now);
             }
@@ -144,7 +145,7 @@
         server: 0,
         short: 7,
         long: 0,
-        unread: [0, 60_000, 0],
+        pending_prefill: [0, 60_000, 0],
     };
     core.set_peer_loads(7, &[busy], ms(0));
     for request in 0..3 {
@@ -186,7 +187,7 @@
         server,
         short: short_at_each,
         long: 0,
-        unread: [0; 3],
+        pending_prefill: [0; 3],
     };
     let loads: Vec<PeerLoad> = (0..10).map(busy).collect();
     core.set_peer_loads(7, &loads, ms(0));
@@ -371,7 +372,7 @@
                         known.running = false;
                         known.may_have_run += u32::from(!fault.not_run());
                         let (verdict, actions) = core.fail(request, fault, false, now);
-                        known.over = verdict == RetryVerdict::End;
+                        known.over = verdict == RetryDecision::Stop;
                         actions
                     }
                     None => vec![],
--- a/crates/flaxtide-policy/tests/router_silence.rs
+++ b/crates/flaxtide-policy/tests/router_silence.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use flaxtide_policy::{RetryVerdict, RouteAction, RouteCall, RouteFault};
+use flaxtide_policy::{RetryDecision, RouteAction, RouteCall, RouteFault};
 
 use self::common::{call, core_with, ms, server_of};
 
@@ -18,7 +18,7 @@
     let first = server_of(&core.arrive(call(1, 100, true), ms(0)));
     assert!(core.may_abort_silent(1, false, ms(3000)));
     let (verdict, actions) = core.fail(1, RouteFault::Silent, false, ms(3000));
-    assert_eq!(verdict, RetryVerdict::Again);
+    assert_eq!(verdict, RetryDecision::Retry);
     assert_ne!(server_of(&actions), first);
 }
 
@@ -31,7 +31,7 @@
         if core.may_abort_silent(request, false, ms(6000)) {
             assert_eq!(
                 core.fail(request, RouteFault::Silent, false, ms(6000)).0,
-                RetryVerdict::Again
+                RetryDecision::Retry
             );
             granted += 1;
         }
@@ -109,15 +109,18 @@
     core.arrive(order, ms(0));
     for _ in 0..3 {
         let (verdict, _) = core.fail(1, RouteFault::Unreachable, false, ms(1));
-        assert_eq!(verdict, RetryVerdict::Again);
+        assert_eq!(verdict, RetryDecision::Retry);
     }
-    assert_eq!(core.fail(1, RouteFault::Unreachable, false, ms(1)).0, RetryVerdict::End);
+    assert_eq!(
+        core.fail(1, RouteFault::Unreachable, false, ms(1)).0,
+        RetryDecision::Stop
+    );
     // Just started, an instance has two free repeats; they are all left.
     for request in 2..4 {
         core.arrive(call(request, 100, false), ms(2));
         assert_eq!(
             core.fail(request, RouteFault::Full, false, ms(2)).0,
-            RetryVerdict::Again
+            RetryDecision::Retry
         );
     }
 }
--- a/crates/flaxtide-policy/tests/scaling.rs
+++ b/crates/flaxtide-policy/tests/scaling.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use flaxtide_policy::{
-    OrderOutcome, ScalerOptions, ScalingRules, ServerOrder, ServerScaler, ServerStock,
+    OrderOutcome, ScalerOptions, ScalingRules, ServerCounts, ServerOrder, ServerScaler,
 };
 
 /// How many requests a server works on at once.
@@ -14,7 +14,7 @@
 struct Place {
     scaler: ServerScaler,
     rules: ScalingRules,
-    stocks: BTreeMap<String, ServerStock>,
+    stocks: BTreeMap<String, ServerCounts>,
     booting: Vec<(Duration, ServerOrder)>,
     /// Data centres that have no servers at the lower price.
     dry: Vec<String>,
@@ -28,14 +28,14 @@
         let names = ["a", "b", "c", "d"];
         let price = |name: &&str| ((*name).to_owned(), 1.0);
         let stock = |name: &&str| {
-            ((*name).to_owned(), ServerStock { regular: standing, spot: 0 })
+            ((*name).to_owned(), ServerCounts { regular: standing, spot: 0 })
         };
         Self {
             scaler: ServerScaler::new(ScalerOptions::default()),
             rules: ScalingRules {
-                least: 1,
-                most: 56,
-                boot: Duration::from_secs(4),
+                min_servers: 1,
+                max_servers: 56,
+                boot_time: Duration::from_secs(4),
                 spot_price: Some(0.22),
                 prices: names.iter().map(price).collect(),
             },
@@ -63,7 +63,8 @@
     /// Takes an order.
     fn take(&mut self, order: ServerOrder) {
         let dry = order.spot && self.dry.contains(&order.data_centre);
-        let outcome = if dry { OrderOutcome::Unavailable } else { OrderOutcome::Taken };
+        let outcome =
+            if dry { OrderOutcome::Unavailable } else { OrderOutcome::Accepted };
         self.scaler.record_outcome(&order, outcome, self.now);
         if dry {
             return;
@@ -74,7 +75,7 @@
         if order.count < *serving {
             *serving = order.count;
         }
-        self.booting.push((self.now + self.rules.boot, order));
+        self.booting.push((self.now + self.rules.boot_time, order));
     }
 
     /// Puts servers into service that have booted.
--- a/crates/flaxtide-policy/tests/usage.rs
+++ b/crates/flaxtide-policy/tests/usage.rs
@@ -23,7 +23,7 @@
 }
 
 fn hear(tally: &mut UsageTally, (index, at, windows): Notice) {
-    tally.hear(source(index), 7, at, false, windows, at);
+    tally.record_report(source(index), 7, at, false, windows, at);
 }
 
 proptest! {
@@ -42,7 +42,7 @@
             let window = window_of(at, WINDOW);
             ledgers[index].record(organisation, window);
             *truth.entry(window).or_default().entry(organisation).or_default() += 1;
-            let (news, mark) = ledgers[index].news(1);
+            let (news, mark) = ledgers[index].unconfirmed(1);
             match fates[number % fates.len()] {
                 // Lost, or its answer is: it tells all of it again.
                 0 | 1 => notices.push((index, at, news)),
@@ -55,7 +55,7 @@
         }
         let end = START + Duration::from_secs(12);
         for (index, ledger) in ledgers.iter().enumerate() {
-            notices.push((index, end, ledger.news(2).0));
+            notices.push((index, end, ledger.unconfirmed(2).0));
         }
         let mut tally = UsageTally::default();
         // Doubled, and in another order than they were sent.
@@ -103,7 +103,7 @@
     hear(&mut tally, (0, START, told(40)));
     let again = UsageSource { name: 0, epoch: 2 };
     let end = window_end(window, WINDOW);
-    tally.hear(again, 7, end, false, told(5), end);
+    tally.record_report(again, 7, end, false, told(5), end);
     assert_eq!(tally.total(window, WINDOW, end).counts[&1], 45);
     assert!(tally.is_complete(window, WINDOW, end), "nobody waits for the one that died");
 }
@@ -116,10 +116,10 @@
     let mut tally = UsageTally::default();
     // Instances 0 and 1 stand in data centre 7, instance 2 in data centre 8.
     for (index, place) in [(0, 7), (1, 7), (2, 8)] {
-        tally.hear(source(index), place, begin, false, told(first, 10), begin);
+        tally.record_report(source(index), place, begin, false, told(first, 10), begin);
     }
     // Of data centre 7 one instance goes on; of data centre 8 nobody is heard.
-    tally.hear(source(0), 7, end, false, told(first + 1, 12), end);
+    tally.record_report(source(0), 7, end, false, told(first + 1, 12), end);
     let total = tally.total(first + 1, WINDOW, end);
     assert_eq!((total.counts[&1], total.estimated, total.missing), (22, 10, 2));
     assert!(!tally.is_complete(first + 1, WINDOW, end));
@@ -135,6 +135,6 @@
         hear(&mut tally, (0, at, vec![WindowCounts { window, counts: vec![(1, 1)] }]));
         tally.expire(window, at);
     }
-    assert!(ledger.news(1).0.len() <= 9);
+    assert!(ledger.unconfirmed(1).0.len() <= 9);
     assert!(tally.drafts().len() <= 9);
 }
