--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -15,7 +15,7 @@
     SettingsCopy, fleet_key,
 };
 use flaxtide_policy::{
-    CrashReport, PartKey, PeerLoad, PushbackReport, ReadNote, ServerLoad,
+    CrashReport, PartKey, PeerLoad, PrefillRecord, PushbackReport, ServerLoad,
 };
 use tokio::sync::mpsc;
 
@@ -277,7 +277,7 @@
 ) {
     let loads = state.ask(|core, now| core.own_loads(now));
     let loads = loads.iter().filter_map(|load| own_load(state, load)).collect();
-    let notes = state.ask(|core, now| core.own_reads(now));
+    let notes = state.ask(|core, now| core.recent_prefills(now));
     let reads: Vec<(Duration, PartRead)> =
         notes.iter().filter_map(|note| part_read(state, note)).collect();
     let silent = state.ask(|core, now| core.silent_servers(now));
@@ -329,7 +329,7 @@
 }
 
 /// Spells what a server has read as peers are told, with its age.
-fn part_read(state: &TrafficState, note: &ReadNote) -> Option<(Duration, PartRead)> {
+fn part_read(state: &TrafficState, note: &PrefillRecord) -> Option<(Duration, PartRead)> {
     let server = state.server_key(note.server)?;
     Some((note.age, PartRead { server, part: note.part }))
 }
@@ -338,7 +338,7 @@
 pub(crate) fn take_peer_unresponsive(state: &TrafficState, servers: &[FleetKey]) {
     let known: Vec<ServerId> =
         servers.iter().filter_map(|key| state.server_with_key(*key)).collect();
-    state.ask(|core, now| core.hear_rumours(&known, now));
+    state.ask(|core, now| core.record_silence_reports(&known, now));
 }
 
 /// Takes in what servers have read for a peer.
@@ -348,7 +348,7 @@
         Some((server, read.part))
     });
     let known: Vec<(ServerId, PartKey)> = known.collect();
-    state.ask(|core, now| core.hear_reads(&known, now));
+    state.ask(|core, now| core.record_peer_prefills(&known, now));
 }
 
 /// Spells a load as peers are told.
@@ -358,7 +358,7 @@
         short: u8::try_from(load.short).unwrap_or(u8::MAX),
         long: u8::try_from(load.long).unwrap_or(u8::MAX),
         unread: load
-            .unread
+            .pending_prefill
             .map(|tokens| u16::try_from(tokens / TOKENS_PER_UNIT).unwrap_or(u16::MAX)),
     })
 }
@@ -376,9 +376,9 @@
             server,
             short: u32::from(load.short),
             long: u32::from(load.long),
-            unread: load.unread.map(|units| u32::from(units) * TOKENS_PER_UNIT),
+            pending_prefill: load.unread.map(|units| u32::from(units) * TOKENS_PER_UNIT),
         })
     });
     let known: Vec<PeerLoad> = known.collect();
-    state.ask(|core, now| core.hear_peer(peer, &known, now));
+    state.ask(|core, now| core.set_peer_loads(peer, &known, now));
 }
