--- a/crates/flaxtide-entry/src/answer.rs
+++ b/crates/flaxtide-entry/src/answer.rs
@@ -6,7 +6,7 @@
 
 use crate::contract::CallKind;
 use crate::exchange::{AnswerStart, CallerRequest};
-use crate::open_call::{OpenCall, TryEnd};
+use crate::open_call::{AttemptOutcome, OpenCall};
 use crate::relay::{StreamRelay, relay_body};
 use crate::reply::{CallerAnswer, whole};
 
@@ -25,7 +25,7 @@
     call: &OpenCall,
     request: &CallerRequest,
     mut start: AnswerStart,
-) -> Result<Received, TryEnd> {
+) -> Result<Received, AttemptOutcome> {
     let state = &call.state;
     if start.status.is_server_error() && call.class.class().kind == CallKind::Idempotent {
         // Another server may answer it. If none may, this answer is lost, so it is kept.
@@ -37,9 +37,9 @@
         let next = state.wait_until(call.deadline, start.body.next(state)).await;
         let Some(next) = next else {
             call.may_have_run.set(true);
-            return Err(TryEnd::TimeOver);
+            return Err(AttemptOutcome::TimedOut);
         };
-        match next.map_err(TryEnd::Fault)? {
+        match next.map_err(AttemptOutcome::Fault)? {
             Some(bytes) if streams => {
                 state.decide(|core, now| {
                     core.heard(call.request, now);
@@ -64,7 +64,7 @@
     call: &OpenCall,
     request: &CallerRequest,
     mut start: AnswerStart,
-) -> Result<Received, TryEnd> {
+) -> Result<Received, AttemptOutcome> {
     let mut collected = BytesMut::new();
     loop {
         let next = call
@@ -74,14 +74,15 @@
         match next {
             Some(Ok(Some(bytes))) => collected.extend_from_slice(&bytes),
             Some(Ok(None)) => break,
-            Some(Err(fault)) => return Err(TryEnd::Fault(fault)),
+            Some(Err(fault)) => return Err(AttemptOutcome::Fault(fault)),
             None => {
                 call.may_have_run.set(true);
-                return Err(TryEnd::TimeOver);
+                return Err(AttemptOutcome::TimedOut);
             }
         }
     }
-    if call.fail(request, RouteFault::Failed, false).await == RetryVerdict::Again {
+    if call.handle_fault(request, RouteFault::Failed, false).await == RetryVerdict::Again
+    {
         return Ok(Received::Again);
     }
     let (status, headers) = (start.status, start.headers);
@@ -96,12 +97,12 @@
     body: Bytes,
 ) -> CallerAnswer {
     call.note_first();
-    call.note_late();
+    call.record_missed_target();
     let mut answer = Response::new(whole(body));
     *answer.status_mut() = status;
     *answer.headers_mut() = headers;
     call.may_have_run.set(true);
-    call.end("answered", status.as_u16());
+    call.record_end("answered", status.as_u16());
     answer
 }
 
--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -17,7 +17,7 @@
 use crate::contract::RequestHead;
 use crate::duty::CallUsage;
 use crate::exchange::{CallerRequest, strip_hop_headers};
-use crate::open_call::{LATEST_RETRY, OpenCall, RETRY_PART, TryEnd};
+use crate::open_call::{AttemptOutcome, LATEST_RETRY, OpenCall, RETRY_PART};
 use crate::reply::{CallerAnswer, OwnReply};
 use crate::routes::{CallerIdentity, ClassMatch};
 use crate::state::{LifePhase, TrafficState};
@@ -196,20 +196,21 @@
         // Whoever is told to try again waits for the next decision.
         decision = state.await_decision(call.request);
         let fault = match call.try_server(&request, &choice, patience, None).await {
-            TryEnd::Started(start) => match receive(&call, &request, start).await {
+            AttemptOutcome::Started(start) => match receive(&call, &request, start).await
+            {
                 Ok(Received::Whole(answer)) => return answer,
                 Ok(Received::Stream(start, first)) => {
                     return begin_stream(call, request, start, first);
                 }
                 Ok(Received::Again) => continue,
-                Err(TryEnd::Fault(fault)) => fault,
+                Err(AttemptOutcome::Fault(fault)) => fault,
                 Err(_) => return call.time_over(),
             },
-            TryEnd::Fault(fault) => fault,
-            TryEnd::TimeOver => return call.time_over(),
-            TryEnd::Quarantined => return call.quarantine(&request),
+            AttemptOutcome::Fault(fault) => fault,
+            AttemptOutcome::TimedOut => return call.time_over(),
+            AttemptOutcome::Quarantined => return call.quarantine(&request),
         };
-        if call.fail(&request, fault, false).await == RetryVerdict::End {
+        if call.handle_fault(&request, fault, false).await == RetryVerdict::End {
             return call.give_up(fault);
         }
     }
@@ -237,5 +238,5 @@
         RefusalCause::NoServer => OwnReply::NoServer,
         RefusalCause::TooLate => OwnReply::TooLate,
     };
-    call.reply(reply, Some(retry_after.min(call.left() / RETRY_PART)))
+    call.reply(reply, Some(retry_after.min(call.time_left() / RETRY_PART)))
 }
--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -55,13 +55,13 @@
 }
 
 /// What became of one try.
-pub(crate) enum TryEnd {
+pub(crate) enum AttemptOutcome {
     /// The answer has started.
     Started(AnswerStart),
     /// A server failed it.
     Fault(RouteFault),
     /// Its time is over.
-    TimeOver,
+    TimedOut,
     /// It isn't sent: servers end under it.
     Quarantined,
 }
@@ -99,7 +99,7 @@
     }
 
     /// Logs how the request ended, once.
-    pub(crate) fn end(&self, end: &'static str, status: u16) {
+    pub(crate) fn record_end(&self, end: &'static str, status: u16) {
         if self.ended.replace(true) {
             return;
         }
@@ -116,7 +116,7 @@
     }
 
     /// Counts a whole answer that missed its target.
-    pub(crate) fn note_late(&self) {
+    pub(crate) fn record_missed_target(&self) {
         if let Some(cause) = self.late_cause() {
             self.state.metrics.late.with_label_values(&[cause]).inc();
         }
@@ -151,7 +151,7 @@
     }
 
     /// Returns how much time is left.
-    pub(crate) fn left(&self) -> Duration {
+    pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_sub(self.state.now())
     }
 
@@ -162,7 +162,7 @@
         retry_after: Option<Duration>,
     ) -> CallerAnswer {
         let answer = reply.answer(retry_after);
-        self.end(reply.name(), answer.status().as_u16());
+        self.record_end(reply.name(), answer.status().as_u16());
         answer
     }
 
@@ -175,7 +175,7 @@
             };
             return self.reply(reply, None);
         }
-        let retry_after = self.left() / RETRY_PART;
+        let retry_after = self.time_left() / RETRY_PART;
         self.reply(OwnReply::NoServer, Some(retry_after.min(LATEST_RETRY)))
     }
 
@@ -209,14 +209,14 @@
         choice: &RouteChoice,
         patience: Option<Duration>,
         last_event: Option<u64>,
-    ) -> TryEnd {
-        let left = self.left();
+    ) -> AttemptOutcome {
+        let left = self.time_left();
         if left.is_zero() {
-            return TryEnd::TimeOver;
+            return AttemptOutcome::TimedOut;
         }
         // It may have been found to crash servers while it waited.
         if self.state.quarantine.holds(request) {
-            return TryEnd::Quarantined;
+            return AttemptOutcome::Quarantined;
         }
         self.server.set(Some(choice.server));
         self.sent.set(self.state.now());
@@ -236,20 +236,20 @@
         let sent = exchange(&self.state, request, attempt);
         let mut sent = std::pin::pin!(sent);
         loop {
-            let left = self.left();
+            let left = self.time_left();
             let wait = patience.map_or(left, |patience| patience.min(left));
             let until = self.state.now() + wait;
             match self.state.wait_until(until, &mut sent).await {
-                Some(Ok(start)) => return TryEnd::Started(start),
-                Some(Err(fault)) => return TryEnd::Fault(fault),
-                None if wait < left && !self.left().is_zero() => {
+                Some(Ok(start)) => return AttemptOutcome::Started(start),
+                Some(Err(fault)) => return AttemptOutcome::Fault(fault),
+                None if wait < left && !self.time_left().is_zero() => {
                     if self.may_break_off(false) {
-                        return TryEnd::Fault(RouteFault::Silent);
+                        return AttemptOutcome::Fault(RouteFault::Silent);
                     }
                 }
                 None => {
                     self.may_have_run.set(true);
-                    return TryEnd::TimeOver;
+                    return AttemptOutcome::TimedOut;
                 }
             }
         }
@@ -274,7 +274,7 @@
     }
 
     /// Tells the router of a fault. Returns whether the request is tried again.
-    pub(crate) async fn fail(
+    pub(crate) async fn handle_fault(
         &self,
         request: &CallerRequest,
         fault: RouteFault,
@@ -303,7 +303,7 @@
         let server = self.server.get().and_then(|server| self.state.server_name(server));
         log::info!(
             request = self.attempt, server = server.unwrap_or_default(), fault = label, again = verdict == RetryVerdict::Again,
-            left_ms = self.left().as_millis() as u64;
+            left_ms = self.time_left().as_millis() as u64;
             "fault"
         );
         verdict
@@ -312,7 +312,7 @@
 
 impl Drop for OpenCall {
     fn drop(&mut self) {
-        self.end("caller_left", 0);
+        self.record_end("caller_left", 0);
         self.state.forget(self.request);
         self.state.decide(|core, now| core.leave(self.request, now));
         self.state.open.set(self.state.open.get() - 1);
--- a/crates/flaxtide-entry/src/relay.rs
+++ b/crates/flaxtide-entry/src/relay.rs
@@ -13,7 +13,7 @@
 
 use crate::contract::CallKind;
 use crate::exchange::{AnswerSource, CallerRequest};
-use crate::open_call::{OpenCall, TryEnd};
+use crate::open_call::{AttemptOutcome, OpenCall};
 use crate::reply::AnswerBody;
 
 /// A server that is silent for this long in the midst of a stream that another one can go
@@ -79,7 +79,7 @@
                     }
                 }
                 Ok(None) => return Ok(self.finish()),
-                Err(TryEnd::Fault(fault)) => self.resume(fault).await?,
+                Err(AttemptOutcome::Fault(fault)) => self.resume(fault).await?,
                 Err(_) => return Err(self.cut("timed_out")),
             }
         }
@@ -95,14 +95,14 @@
     }
 
     /// Receives the next bytes.
-    async fn receive(&mut self) -> Result<Option<Bytes>, TryEnd> {
+    async fn receive(&mut self) -> Result<Option<Bytes>, AttemptOutcome> {
         let resumable = self.resumable();
         let Some(source) = &mut self.source else {
-            return Err(TryEnd::Fault(RouteFault::Broken));
+            return Err(AttemptOutcome::Fault(RouteFault::Broken));
         };
         let state = self.call.state.clone();
         loop {
-            let left = self.call.left();
+            let left = self.call.time_left();
             let wait = if resumable { left.min(STALLED) } else { left };
             let until = state.now() + wait;
             match state.wait_until(until, source.next(&state)).await {
@@ -114,13 +114,13 @@
                     return Ok(Some(bytes));
                 }
                 Some(Ok(None)) => return Ok(None),
-                Some(Err(fault)) => return Err(TryEnd::Fault(fault)),
-                None if wait < left && !self.call.left().is_zero() => {
+                Some(Err(fault)) => return Err(AttemptOutcome::Fault(fault)),
+                None if wait < left && !self.call.time_left().is_zero() => {
                     if self.call.may_break_off(resumable) {
-                        return Err(TryEnd::Fault(RouteFault::Silent));
+                        return Err(AttemptOutcome::Fault(RouteFault::Silent));
                     }
                 }
-                None => return Err(TryEnd::TimeOver),
+                None => return Err(AttemptOutcome::TimedOut),
             }
         }
     }
@@ -131,8 +131,8 @@
             .state
             .decide(|core, now| core.finish(self.call.request, now));
         self.call.state.quarantine.clear(&self.call.state, &self.request);
-        self.call.note_late();
-        self.call.end("streamed", 200);
+        self.call.record_missed_target();
+        self.call.record_end("streamed", 200);
         self.ended = true;
         let rest = self.events.take_rest();
         (!rest.is_empty()).then_some(rest)
@@ -147,7 +147,7 @@
         loop {
             let decision = state.await_decision(self.call.request);
             let resumable = self.resumable();
-            let verdict = self.call.fail(&self.request, fault, resumable).await;
+            let verdict = self.call.handle_fault(&self.request, fault, resumable).await;
             if verdict == RetryVerdict::End {
                 return Err(self.cut("stream_broken"));
             }
@@ -157,14 +157,14 @@
             };
             let last = self.events.last_event;
             match self.call.try_server(&self.request, &choice, patience, last).await {
-                TryEnd::Started(start) if start.status.is_success() => {
+                AttemptOutcome::Started(start) if start.status.is_success() => {
                     self.source = Some(start.body);
                     return Ok(());
                 }
-                TryEnd::Started(_) => fault = RouteFault::Failed,
-                TryEnd::Fault(next) => fault = next,
-                TryEnd::TimeOver => return Err(self.cut("timed_out")),
-                TryEnd::Quarantined => return Err(self.cut("stream_broken")),
+                AttemptOutcome::Started(_) => fault = RouteFault::Failed,
+                AttemptOutcome::Fault(next) => fault = next,
+                AttemptOutcome::TimedOut => return Err(self.cut("timed_out")),
+                AttemptOutcome::Quarantined => return Err(self.cut("stream_broken")),
             }
         }
     }
@@ -173,7 +173,7 @@
     fn cut(&mut self, end: &'static str) -> io::Error {
         self.source = None;
         self.ended = true;
-        self.call.end(end, 200);
+        self.call.record_end(end, 200);
         io::Error::other("the stream broke")
     }
 }
