--- a/crates/flaxtide-entry/src/answer.rs
+++ b/crates/flaxtide-entry/src/answer.rs
@@ -5,17 +5,17 @@
 use hyper::{Response, StatusCode};
 
 use crate::contract::CallKind;
-use crate::exchange::{AnswerStart, CallerRequest};
+use crate::exchange::{CallerRequest, ResponseStart};
 use crate::open_call::{AttemptOutcome, OpenCall};
 use crate::relay::{StreamRelay, relay_body};
-use crate::reply::{CallerAnswer, whole};
+use crate::reply::{CallerResponse, whole};
 
 /// An answer that has come, or has started to.
 pub(crate) enum Received {
     /// It is whole.
-    Whole(CallerAnswer),
+    Whole(CallerResponse),
     /// It is a stream, whose first bytes these are.
-    Stream(AnswerStart, Bytes),
+    Stream(ResponseStart, Bytes),
     /// It is a server's error, and the router tries the request elsewhere.
     Again,
 }
@@ -24,7 +24,7 @@
 pub(crate) async fn receive(
     call: &OpenCall,
     request: &CallerRequest,
-    mut start: AnswerStart,
+    mut start: ResponseStart,
 ) -> Result<Received, AttemptOutcome> {
     let state = &call.state;
     if start.status.is_server_error() && call.class.class().kind == CallKind::Idempotent {
@@ -41,7 +41,7 @@
         };
         match next.map_err(AttemptOutcome::Fault)? {
             Some(bytes) if streams => {
-                state.decide(|core, now| {
+                state.run_router(|core, now| {
                     core.heard(call.request, now);
                     vec![]
                 });
@@ -51,7 +51,7 @@
             None => break,
         }
     }
-    state.decide(|core, now| core.finish(call.request, now));
+    state.run_router(|core, now| core.finish(call.request, now));
     if start.status.is_success() {
         state.quarantine.clear(state, request);
     }
@@ -63,7 +63,7 @@
 async fn receive_failure(
     call: &OpenCall,
     request: &CallerRequest,
-    mut start: AnswerStart,
+    mut start: ResponseStart,
 ) -> Result<Received, AttemptOutcome> {
     let mut collected = BytesMut::new();
     loop {
@@ -95,7 +95,7 @@
     status: StatusCode,
     headers: hyper::HeaderMap,
     body: Bytes,
-) -> CallerAnswer {
+) -> CallerResponse {
     call.note_first();
     call.record_missed_target();
     let mut answer = Response::new(whole(body));
@@ -110,9 +110,9 @@
 pub(crate) fn begin_stream(
     call: OpenCall,
     request: CallerRequest,
-    start: AnswerStart,
+    start: ResponseStart,
     first: Bytes,
-) -> CallerAnswer {
+) -> CallerResponse {
     call.note_first();
     call.may_have_run.set(true);
     let (status, headers) = (start.status, start.headers);
--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -18,7 +18,7 @@
 use crate::duty::CallUsage;
 use crate::exchange::{CallerRequest, strip_hop_headers};
 use crate::open_call::{AttemptOutcome, LATEST_RETRY, OpenCall, RETRY_PART};
-use crate::reply::{CallerAnswer, OwnReply};
+use crate::reply::{CallerResponse, LocalReply};
 use crate::routes::{CallerIdentity, ClassMatch};
 use crate::state::{LifePhase, TrafficState};
 
@@ -29,7 +29,7 @@
 pub(crate) async fn serve(
     state: Rc<TrafficState>,
     request: Request<Incoming>,
-) -> CallerAnswer {
+) -> CallerResponse {
     // The HTTP library drops a length beside chunks. What follows such a request may be a
     // part of its body to whoever sent it, so it is never read as another request.
     let chunked = request.headers().contains_key(TRANSFER_ENCODING);
@@ -44,8 +44,8 @@
                 "turned away"
             );
             let retry_after = match reply {
-                OwnReply::NoRules | OwnReply::OldRules => Some(LATEST_RETRY),
-                OwnReply::Stopping => Some(Duration::ZERO),
+                LocalReply::NoRules | LocalReply::OldRules => Some(LATEST_RETRY),
+                LocalReply::Stopping => Some(Duration::ZERO),
                 _ => None,
             };
             reply.answer(retry_after)
@@ -60,7 +60,7 @@
 }
 
 /// A request that is turned away before it is a call: why, and what identifies it.
-type TurnedAway = (OwnReply, String);
+type TurnedAway = (LocalReply, String);
 
 /// What the rules say of a request.
 struct MatchedRules {
@@ -83,7 +83,7 @@
 async fn answer(
     state: &Rc<TrafficState>,
     request: Request<Incoming>,
-) -> Result<CallerAnswer, TurnedAway> {
+) -> Result<CallerResponse, TurnedAway> {
     let received = state.now();
     let (parts, body) = request.into_parts();
     let head = state.dialect.read_request(&parts.headers);
@@ -93,11 +93,11 @@
     let MatchedRules { class, caller, tier, level, body_bytes, .. } = found;
     let wait = head.deadline.unwrap_or(class.class().timeout);
     let body = state.wait_until(received + wait, read_body(body, body_bytes)).await;
-    let body = body.unwrap_or(Err(OwnReply::BodyTooSlow)).map_err(turn_away)?;
+    let body = body.unwrap_or(Err(LocalReply::BodyTooSlow)).map_err(turn_away)?;
     let mut headers = parts.headers;
     strip_hop_headers(&mut headers);
     let (service, is_engine) =
-        found.service.ok_or_else(|| turn_away(OwnReply::UnknownTarget))?;
+        found.service.ok_or_else(|| turn_away(LocalReply::UnknownTarget))?;
     let request = CallerRequest {
         method: parts.method,
         uri: parts.uri,
@@ -138,15 +138,15 @@
     state: &TrafficState,
     parts: &Parts,
     head: &RequestHead,
-) -> Result<MatchedRules, OwnReply> {
-    let table = state.table().ok_or(OwnReply::NoRules)?;
+) -> Result<MatchedRules, LocalReply> {
+    let table = state.table().ok_or(LocalReply::NoRules)?;
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
-    let host = host.ok_or(OwnReply::Malformed)?;
-    let class = table.find(host, parts.uri.path()).ok_or(OwnReply::UnknownTarget)?;
+    let host = host.ok_or(LocalReply::Malformed)?;
+    let class = table.find(host, parts.uri.path()).ok_or(LocalReply::UnknownTarget)?;
     let caller = table.admit(class.class(), head.key.as_deref());
-    let caller = caller.ok_or(OwnReply::UnknownKey)?;
+    let caller = caller.ok_or(LocalReply::UnknownKey)?;
     if state.ends_too_soon(class.class().kind.streams()) {
-        return Err(OwnReply::Stopping);
+        return Err(LocalReply::Stopping);
     }
     let drawn = class.draw_service(&mut *state.random.borrow_mut()).map(str::to_owned);
     Ok(MatchedRules {
@@ -163,24 +163,28 @@
 }
 
 /// Reads a body whole.
-async fn read_body(body: Incoming, most: usize) -> Result<Bytes, OwnReply> {
+async fn read_body(body: Incoming, most: usize) -> Result<Bytes, LocalReply> {
     let read = Limited::new(body, most).collect().await;
     let collected =
         read.map_err(|fault| match fault.is::<http_body_util::LengthLimitError>() {
-            true => OwnReply::BodyTooLarge,
-            false => OwnReply::Malformed,
+            true => LocalReply::BodyTooLarge,
+            false => LocalReply::Malformed,
         })?;
     Ok(collected.to_bytes())
 }
 
 /// Leads a call through its tries to the start of its answer.
-async fn lead(call: OpenCall, request: CallerRequest, order: RouteCall) -> CallerAnswer {
+async fn lead(
+    call: OpenCall,
+    request: CallerRequest,
+    order: RouteCall,
+) -> CallerResponse {
     let state = call.state.clone();
     if state.quarantine.holds(&request) {
         return call.quarantine(&request);
     }
     let mut decision = state.await_decision(call.request);
-    state.decide(|core, now| core.arrive(order, now));
+    state.run_router(|core, now| core.arrive(order, now));
     loop {
         let decided = state.wait_until(call.deadline, decision).await;
         let (choice, patience) = match decided {
@@ -222,7 +226,7 @@
     cause: RefusalCause,
     retry_after: Duration,
     expected: Option<Duration>,
-) -> CallerAnswer {
+) -> CallerResponse {
     let class = call.class.class();
     log::info!(
         request = call.attempt, class = class.name, cause:? = cause,
@@ -232,11 +236,11 @@
         "refusal"
     );
     if call.may_have_run.get() {
-        return call.reply(OwnReply::ServerFailed, None);
+        return call.reply(LocalReply::ServerFailed, None);
     }
     let reply = match cause {
-        RefusalCause::NoServer => OwnReply::NoServer,
-        RefusalCause::TooLate => OwnReply::TooLate,
+        RefusalCause::NoServer => LocalReply::NoServer,
+        RefusalCause::TooLate => LocalReply::TooLate,
     };
     call.reply(reply, Some(retry_after.min(call.time_left() / RETRY_PART)))
 }
--- a/crates/flaxtide-entry/src/config.rs
+++ b/crates/flaxtide-entry/src/config.rs
@@ -132,7 +132,7 @@
 
     /// Returns whether a task is to be done.
     #[must_use]
-    pub fn does(&self, task: &str) -> bool {
+    pub fn has_task(&self, task: &str) -> bool {
         self.tasks.iter().any(|known| known == task)
     }
 }
--- a/crates/flaxtide-entry/src/directory.rs
+++ b/crates/flaxtide-entry/src/directory.rs
@@ -138,7 +138,7 @@
     }
 
     /// Records that the platform is out.
-    pub fn trouble(&mut self, now: Duration) {
+    pub fn record_outage(&mut self, now: Duration) {
         match &mut self.outage {
             Some(outage) if now <= outage.last + RETURN_GRACE => outage.last = now,
             _ => self.outage = Some(OutageSpan { since: now, last: now }),
@@ -226,7 +226,7 @@
     }
 
     /// Returns whether an entry is of another start of a known server.
-    pub(crate) fn starts_again(&self, entry: &ServerEntry) -> bool {
+    pub(crate) fn is_restart(&self, entry: &ServerEntry) -> bool {
         let known = self.servers.get(&entry.name).and_then(|known| known.entry.started);
         known.is_some() && entry.started.is_some() && known != entry.started
     }
@@ -263,7 +263,7 @@
     }
 
     /// Applies a whole list: what it lacks has gone at some time in the last `unseen`.
-    pub(crate) fn keep_only(
+    pub(crate) fn retain_listed(
         &mut self,
         listed: &[ServerName],
         unseen: Duration,
--- a/crates/flaxtide-entry/src/duty/thread.rs
+++ b/crates/flaxtide-entry/src/duty/thread.rs
@@ -128,12 +128,12 @@
         if fence.is_none() {
             return;
         }
-        if self.config.does(DutyConfig::USAGE) {
+        if self.config.has_task(DutyConfig::USAGE) {
             self.report();
             // A platform that doesn't answer takes the time in which the lease is to be renewed.
             self.keep_lease();
         }
-        if self.config.does(DutyConfig::SCALING) {
+        if self.config.has_task(DutyConfig::SCALING) {
             self.order();
         }
     }
@@ -325,7 +325,7 @@
 
     /// Counts a call.
     fn count(&self, topic: &str, result: &str) {
-        self.metrics.platform.with_label_values(&[topic, result]).inc();
+        self.metrics.platform_calls.with_label_values(&[topic, result]).inc();
     }
 }
 
--- a/crates/flaxtide-entry/src/exchange.rs
+++ b/crates/flaxtide-entry/src/exchange.rs
@@ -79,17 +79,17 @@
 }
 
 /// The start of an answer that passes for right.
-pub(crate) struct AnswerStart {
+pub(crate) struct ResponseStart {
     /// The status.
     pub(crate) status: StatusCode,
     /// The headers, without those that concern one connection only.
     pub(crate) headers: HeaderMap,
     /// The body.
-    pub(crate) body: AnswerSource,
+    pub(crate) body: UpstreamBody,
 }
 
 /// The body of an answer, as it comes over its connection.
-pub(crate) struct AnswerSource {
+pub(crate) struct UpstreamBody {
     /// The body.
     body: Incoming,
     /// Its connection.
@@ -100,7 +100,7 @@
     keep_alive: Option<Duration>,
 }
 
-impl AnswerSource {
+impl UpstreamBody {
     /// Returns the next bytes of the body; nothing at its end.
     ///
     /// # Errors
@@ -156,7 +156,7 @@
     state: &Rc<TrafficState>,
     request: &CallerRequest,
     attempt: ServerTry<'_>,
-) -> Result<AnswerStart, RouteFault> {
+) -> Result<ResponseStart, RouteFault> {
     let ServerTry { number, choice, left, last_event, fresh } = attempt;
     let server = choice.server;
     let name = state.server_name(server).ok_or(RouteFault::Unreachable)?;
@@ -179,7 +179,7 @@
                 .map_err(|_| RouteFault::Unreachable)?,
         };
         // The server may have asked for less while this one waited for its connection.
-        if !state.ask(|core, now| core.passes_gate(number, now)) {
+        if !state.with_router(|core, now| core.passes_gate(number, now)) {
             state.links.keep(server, link, None, state.now());
             return Err(RouteFault::Withheld);
         }
@@ -229,7 +229,7 @@
     sent: Duration,
     link: ServerLink,
     answer: Response<Incoming>,
-) -> Result<AnswerStart, RouteFault> {
+) -> Result<ResponseStart, RouteFault> {
     let (parts, body) = answer.into_parts();
     let head = state.dialect.read_answer(parts.status.as_u16(), &parts.headers);
     if head.replaced {
@@ -243,12 +243,12 @@
         if statement.rate == StatedRate::Unlimited && !vouches {
             statement.rate = StatedRate::Unstated;
         }
-        state.pushback.hear_server(state, server, statement, sent);
+        state.pushback.apply_statement(state, server, statement, sent);
     }
     if head.not_run && (ours || head.attempt.is_none()) {
         let link = Some(link);
         let keep_alive = head.keep_alive;
-        keep_refusing(state, AnswerSource { body, link, server, keep_alive });
+        keep_refusing(state, UpstreamBody { body, link, server, keep_alive });
         return Err(RouteFault::Full);
     }
     if !ours || (parts.status.is_success() && !head.sealed) {
@@ -262,12 +262,12 @@
     let mut headers = parts.headers;
     strip_hop_headers(&mut headers);
     let keep_alive = head.keep_alive;
-    let body = AnswerSource { body, link: Some(link), server, keep_alive };
-    Ok(AnswerStart { status: parts.status, headers, body })
+    let body = UpstreamBody { body, link: Some(link), server, keep_alive };
+    Ok(ResponseStart { status: parts.status, headers, body })
 }
 
 /// Reads the rest of a refusal beside, so that its connection can be kept.
-fn keep_refusing(state: &Rc<TrafficState>, mut rest: AnswerSource) {
+fn keep_refusing(state: &Rc<TrafficState>, mut rest: UpstreamBody) {
     let state = state.clone();
     tokio::task::spawn_local(async move {
         let read = async { while let Ok(Some(_)) = rest.next(&state).await {} };
--- a/crates/flaxtide-entry/src/feed.rs
+++ b/crates/flaxtide-entry/src/feed.rs
@@ -79,10 +79,10 @@
                 take_servers(&state, &*feed, batch, whole, unseen);
             }
             FeedEvent::Lost | FeedEvent::Regained => {
-                state.directory.borrow_mut().trouble(now);
+                state.directory.borrow_mut().record_outage(now);
             }
             // Rules that are in force already aren't decoded again.
-            FeedEvent::PeerRules(copy) if !state.needs(copy.version) => {}
+            FeedEvent::PeerRules(copy) if !state.needs_rules(copy.version) => {}
             FeedEvent::PeerRules(copy) => {
                 take_peer_rules(&state, &*feed, &shared, copy);
             }
@@ -91,13 +91,17 @@
                 take_peer_unresponsive(&state, &servers);
             }
             FeedEvent::PeerReads(reads) => take_peer_reads(&state, &reads),
-            FeedEvent::Crashes(reports) => state.quarantine.hear(&state, &reports),
-            FeedEvent::Pushback(reports) => state.pushback.hear_peers(&state, &reports),
+            FeedEvent::Crashes(reports) => {
+                state.quarantine.apply_reports(&state, &reports)
+            }
+            FeedEvent::Pushback(reports) => {
+                state.pushback.apply_reports(&state, &reports)
+            }
             FeedEvent::Fleet { live, newest_rules, knows_crashes, group } => {
-                state.quarantine.set_informed(knows_crashes);
+                state.quarantine.set_synced(knows_crashes);
                 state.newest_rules.set(newest_rules);
                 state.metrics.instances.set(i64::from(live));
-                state.ask(|core, now| {
+                state.with_router(|core, now| {
                     core.set_instances(live);
                     if let Some(group) = group {
                         core.set_group(group, now);
@@ -140,7 +144,7 @@
     };
     let version = rules.version;
     let counts = (rules.classes.len() as u64, rules.keys.len() as u64);
-    if state.adopt(rules) {
+    if state.install_rules(rules) {
         shared.put(RulesCopy { version, text });
         state.fleet.announce(version);
         log::info!(source, version, classes = counts.0, keys = counts.1; "rules in force");
@@ -164,11 +168,11 @@
         changed |= take_server(state, feed, row, unseen, now);
     }
     if whole {
-        changed |= state.directory.borrow_mut().keep_only(&names, unseen, now);
+        changed |= state.directory.borrow_mut().retain_listed(&names, unseen, now);
     }
-    let first = !state.listed.replace(true);
+    let first = !state.servers_listed.replace(true);
     if changed || first {
-        state.tell_servers();
+        state.update_router_servers();
     }
 }
 
@@ -199,7 +203,7 @@
         }
     };
     let (service, leaving) = (entry.service.clone(), entry.leaving);
-    if directory.starts_again(&entry) {
+    if directory.is_restart(&entry) {
         state.metrics.servers_started_again.inc();
         log::info!(server = row.name, service; "server started again");
     }
--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -273,12 +273,12 @@
     link: &FleetLink,
     events: &mpsc::Sender<FeedEvent>,
 ) {
-    let loads = state.ask(|core, now| core.own_loads(now));
+    let loads = state.with_router(|core, now| core.own_loads(now));
     let loads = loads.iter().filter_map(|load| own_load(state, load)).collect();
-    let notes = state.ask(|core, now| core.own_reads(now));
+    let notes = state.with_router(|core, now| core.own_reads(now));
     let reads: Vec<(Duration, PartRead)> =
         notes.iter().filter_map(|note| part_read(state, note)).collect();
-    let silent = state.ask(|core, now| core.silent_servers(now));
+    let silent = state.with_router(|core, now| core.silent_servers(now));
     let silent: Vec<FleetKey> =
         silent.iter().filter_map(|server| state.server_key(*server)).collect();
     let events = events.clone();
@@ -336,7 +336,7 @@
 pub(crate) fn take_peer_unresponsive(state: &TrafficState, servers: &[FleetKey]) {
     let known: Vec<ServerId> =
         servers.iter().filter_map(|key| state.server_with_key(*key)).collect();
-    state.ask(|core, now| core.hear_rumours(&known, now));
+    state.with_router(|core, now| core.hear_rumours(&known, now));
 }
 
 /// Takes in what servers have read for a peer.
@@ -346,7 +346,7 @@
         Some((server, read.part))
     });
     let known: Vec<(ServerId, PartKey)> = known.collect();
-    state.ask(|core, now| core.hear_reads(&known, now));
+    state.with_router(|core, now| core.hear_reads(&known, now));
 }
 
 /// Spells a load as peers are told.
@@ -378,5 +378,5 @@
         })
     });
     let known: Vec<PeerLoad> = known.collect();
-    state.ask(|core, now| core.hear_peer(peer, &known, now));
+    state.with_router(|core, now| core.hear_peer(peer, &known, now));
 }
--- a/crates/flaxtide-entry/src/follower.rs
+++ b/crates/flaxtide-entry/src/follower.rs
@@ -203,7 +203,7 @@
     fn count(&self, result: &str) {
         let topic = self.topic.to_string();
         self.metrics
-            .platform
+            .platform_calls
             .with_label_values(&[topic.as_str(), result])
             .inc();
     }
--- a/crates/flaxtide-entry/src/instance.rs
+++ b/crates/flaxtide-entry/src/instance.rs
@@ -29,7 +29,7 @@
 use crate::shared_rules::SharedRules;
 use crate::source::ListSource;
 use crate::state::TrafficState;
-use crate::stop::{SignalEvent, obey_signals, register_signals, reload, watch_signals};
+use crate::stop::{SignalEvent, handle_signals, register_signals, reload, watch_signals};
 
 /// The length of the ring from the feed threads.
 const FEED_RING: usize = 64;
@@ -193,7 +193,7 @@
         tokio::task::spawn_local(take_feed(state.clone(), feed, shared, feed_ring));
         let house = keep_house(state.clone(), path.clone(), events, source, bytes);
         tokio::task::spawn_local(house);
-        obey_signals(&state, &path, &mut signals).await;
+        handle_signals(&state, &path, &mut signals).await;
         Ok(())
     }
 }
@@ -267,8 +267,8 @@
         tokio::time::sleep(TICK).await;
         jumps.tick(&state);
         ticks += 1;
-        if state.ask(|core, _| core.waits()) {
-            state.decide(|core, now| core.tick(now));
+        if state.with_router(|core, _| core.waits()) {
+            state.run_router(|core, now| core.tick(now));
         }
         expire_servers(&state);
         note_servers(&state);
@@ -291,7 +291,7 @@
 /// Forgets servers that the platform hasn't listed for too long.
 fn expire_servers(state: &TrafficState) {
     if state.directory.borrow_mut().release_held(state.now()) {
-        state.tell_servers();
+        state.update_router_servers();
     }
     if !state.directory.borrow().misses_any() {
         return;
@@ -301,13 +301,13 @@
         log::info!(server; "server gone");
     }
     if !gone.is_empty() {
-        state.tell_servers();
+        state.update_router_servers();
     }
 }
 
 /// Logs what the router has come to believe of servers.
 fn note_servers(state: &TrafficState) {
-    for note in state.ask(|core, now| core.review(now)) {
+    for note in state.with_router(|core, now| core.review(now)) {
         let event = if note.well { "server gets work" } else { "server gets no work" };
         log::info!(
             server = state.server_name(note.server).unwrap_or_default(),
--- a/crates/flaxtide-entry/src/jump.rs
+++ b/crates/flaxtide-entry/src/jump.rs
@@ -54,7 +54,7 @@
     log::warn!(span_ms = span.as_millis() as u64; "time jumped");
     state.rejoined_at.set(now + REJOIN_TIME);
     state.links.close_idle();
-    state.ask(|core, now| core.resume(span, now));
+    state.with_router(|core, now| core.resume(span, now));
     state.jumped.notify_waiters();
 }
 
--- a/crates/flaxtide-entry/src/listen.rs
+++ b/crates/flaxtide-entry/src/listen.rs
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 use crate::call::serve;
-use crate::reply::{CallerAnswer, whole};
+use crate::reply::{CallerResponse, whole};
 use crate::state::{LifePhase, TrafficState};
 use crate::upstream::watch_peer;
 
@@ -249,7 +249,7 @@
 }
 
 /// Answers one probe.
-fn probe(state: &TrafficState, path: &str) -> CallerAnswer {
+fn probe(state: &TrafficState, path: &str) -> CallerResponse {
     if path == state.config().ready_path {
         let status =
             if state.ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
--- a/crates/flaxtide-entry/src/metrics.rs
+++ b/crates/flaxtide-entry/src/metrics.rs
@@ -24,7 +24,7 @@
     /// Connections to servers, by whether they were new.
     pub(crate) connections: IntCounterVec,
     /// Calls to the platform, by topic and result.
-    pub(crate) platform: IntCounterVec,
+    pub(crate) platform_calls: IntCounterVec,
     /// Dependencies, 1 while they answer.
     pub(crate) dependencies: IntGaugeVec,
     /// Requests in the instance.
@@ -67,9 +67,9 @@
 
 /// One of what a gauge counts, from its making to its end.
 #[derive(Debug)]
-pub(crate) struct CountedOne(IntGauge);
+pub(crate) struct GaugeGuard(IntGauge);
 
-impl CountedOne {
+impl GaugeGuard {
     /// Counts one more.
     pub(crate) fn new(gauge: &IntGauge) -> Self {
         gauge.inc();
@@ -77,7 +77,7 @@
     }
 }
 
-impl Drop for CountedOne {
+impl Drop for GaugeGuard {
     fn drop(&mut self) {
         self.0.dec();
     }
@@ -98,7 +98,7 @@
             dispatches: counters("dispatches", "Requests sent to servers.", &["reason"]),
             faults: counters("faults", "Faults of servers.", &["fault"]),
             connections: counters("connections", "Connections used.", &["kind"]),
-            platform: counters(
+            platform_calls: counters(
                 "platform_calls",
                 "Calls to the platform.",
                 &["topic", "result"],
@@ -149,7 +149,7 @@
             Box::new(self.dispatches.clone()),
             Box::new(self.faults.clone()),
             Box::new(self.connections.clone()),
-            Box::new(self.platform.clone()),
+            Box::new(self.platform_calls.clone()),
             Box::new(self.dependencies.clone()),
             Box::new(self.open_calls.clone()),
             Box::new(self.rules_version.clone()),
--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -10,8 +10,8 @@
 use crate::contract::RequestHead;
 use crate::crash::server_has_ended;
 use crate::duty::CallUsage;
-use crate::exchange::{AnswerStart, CallerRequest, ServerTry, exchange};
-use crate::reply::{CallerAnswer, OwnReply};
+use crate::exchange::{CallerRequest, ResponseStart, ServerTry, exchange};
+use crate::reply::{CallerResponse, LocalReply};
 use crate::routes::ClassMatch;
 use crate::state::TrafficState;
 
@@ -57,7 +57,7 @@
 /// What became of one try.
 pub(crate) enum AttemptOutcome {
     /// The answer has started.
-    Started(AnswerStart),
+    Started(ResponseStart),
     /// A server failed it.
     Fault(RouteFault),
     /// Its time is over.
@@ -158,29 +158,29 @@
     /// Makes an answer of the instance's own, which ends the request.
     pub(crate) fn reply(
         &self,
-        reply: OwnReply,
+        reply: LocalReply,
         retry_after: Option<Duration>,
-    ) -> CallerAnswer {
+    ) -> CallerResponse {
         let answer = reply.answer(retry_after);
         self.record_end(reply.name(), answer.status().as_u16());
         answer
     }
 
     /// Answers a request that a server failed and that isn't tried again.
-    pub(crate) fn give_up(&self, fault: RouteFault) -> CallerAnswer {
+    pub(crate) fn give_up(&self, fault: RouteFault) -> CallerResponse {
         if self.may_have_run.get() {
             let reply = match fault {
-                RouteFault::Silent => OwnReply::TimedOut,
-                _ => OwnReply::ServerFailed,
+                RouteFault::Silent => LocalReply::TimedOut,
+                _ => LocalReply::ServerFailed,
             };
             return self.reply(reply, None);
         }
         let retry_after = self.time_left() / RETRY_PART;
-        self.reply(OwnReply::NoServer, Some(retry_after.min(LATEST_RETRY)))
+        self.reply(LocalReply::NoServer, Some(retry_after.min(LATEST_RETRY)))
     }
 
     /// Answers a request under which servers end.
-    pub(crate) fn quarantine(&self, request: &CallerRequest) -> CallerAnswer {
+    pub(crate) fn quarantine(&self, request: &CallerRequest) -> CallerResponse {
         self.state.quarantine.renew(&self.state, request);
         log::info!(
             request = self.attempt, class = self.class.class().name,
@@ -188,17 +188,17 @@
             "quarantined"
         );
         if self.may_have_run.get() {
-            return self.reply(OwnReply::ServerFailed, None);
+            return self.reply(LocalReply::ServerFailed, None);
         }
-        self.reply(OwnReply::Quarantined, None)
+        self.reply(LocalReply::Quarantined, None)
     }
 
     /// Answers a request whose time is over.
-    pub(crate) fn time_over(&self) -> CallerAnswer {
+    pub(crate) fn time_over(&self) -> CallerResponse {
         if self.may_have_run.get() {
-            return self.reply(OwnReply::TimedOut, None);
+            return self.reply(LocalReply::TimedOut, None);
         }
-        self.reply(OwnReply::TooLate, Some(LATEST_RETRY))
+        self.reply(LocalReply::TooLate, Some(LATEST_RETRY))
     }
 
     /// Sends the request to a server and waits for the start of the answer, as long as the
@@ -258,7 +258,7 @@
     /// Tells whether the request may leave a server that is silent.
     pub(crate) fn may_break_off(&self, resumable: bool) -> bool {
         self.state
-            .ask(|core, now| core.may_break_off(self.request, resumable, now))
+            .with_router(|core, now| core.may_break_off(self.request, resumable, now))
     }
 
     /// Records it if the server of a request has ended under it.
@@ -266,7 +266,7 @@
         let (RouteFault::Broken, Some(server)) = (fault, self.server.get()) else {
             return;
         };
-        let progress = self.state.ask(|core, _| core.progress(self.request));
+        let progress = self.state.with_router(|core, _| core.progress(self.request));
         let Some(progress) = progress else { return };
         if server_has_ended(&self.state, server).await {
             self.state.quarantine.record(&self.state, request, server, progress);
@@ -290,7 +290,7 @@
         }
         let mut verdict = RetryVerdict::End;
         let quarantined = self.state.quarantine.holds(request);
-        self.state.decide(|core, now| {
+        self.state.run_router(|core, now| {
             if quarantined {
                 return core.abandon(self.request, fault, now);
             }
@@ -314,7 +314,7 @@
     fn drop(&mut self) {
         self.record_end("caller_left", 0);
         self.state.forget(self.request);
-        self.state.decide(|core, now| core.leave(self.request, now));
+        self.state.run_router(|core, now| core.leave(self.request, now));
         self.state.open.set(self.state.open.get() - 1);
         self.state.metrics.open_calls.set(self.state.open.get() as i64);
     }
--- a/crates/flaxtide-entry/src/pushback.rs
+++ b/crates/flaxtide-entry/src/pushback.rs
@@ -31,7 +31,7 @@
 
 impl PushbackExchange {
     /// Handles what a server states in an answer to a request that was sent at `sent`.
-    pub(crate) fn hear_server(
+    pub(crate) fn apply_statement(
         &self,
         state: &TrafficState,
         server: ServerId,
@@ -45,8 +45,8 @@
             log_leaving(state, server, "server");
             self.tell(state, server);
         }
-        let note =
-            state.ask(|core, now| core.hear_statement(server, statement, sent, now));
+        let note = state
+            .with_router(|core, now| core.hear_statement(server, statement, sent, now));
         if let Some(span) = note.and_then(|note| note.rests) {
             log_rest(state, server, span);
         }
@@ -62,7 +62,7 @@
     }
 
     /// Handles what peers have heard servers say.
-    pub(crate) fn hear_peers(&self, state: &TrafficState, reports: &[PushbackReport]) {
+    pub(crate) fn apply_reports(&self, state: &TrafficState, reports: &[PushbackReport]) {
         for report in reports {
             self.hear_peer(state, report, state.now());
         }
@@ -76,7 +76,9 @@
         }
         let effect = server.and_then(|server| {
             let heard = report.heard(came);
-            state.ask(|core, now| core.hear_peer_rate(server, report.rate, heard, now))
+            state.with_router(|core, now| {
+                core.hear_peer_rate(server, report.rate, heard, now)
+            })
         });
         match (server, effect) {
             (Some(server), Some(ReportEffect::News)) => {
@@ -118,7 +120,7 @@
 
     /// Tells peers what a server has said.
     fn tell(&self, state: &TrafficState, server: ServerId) {
-        let known = state.ask(|core, _| core.stated_rate(server));
+        let known = state.with_router(|core, _| core.stated_rate(server));
         let (Some(key), Some((rate, heard))) = (state.server_key(server), known) else {
             return;
         };
@@ -142,7 +144,7 @@
 
 /// Shows how many servers ask for less.
 pub(crate) fn show_pushback(state: &TrafficState) {
-    let count = state.ask(|core, now| core.count_pushback(now));
+    let count = state.with_router(|core, now| core.count_pushback(now));
     for (kind, count) in [("limited", count.limited), ("resting", count.resting)] {
         state.metrics.pushback.with_label_values(&[kind]).set(count as i64);
     }
--- a/crates/flaxtide-entry/src/quarantine.rs
+++ b/crates/flaxtide-entry/src/quarantine.rs
@@ -88,7 +88,7 @@
     }
 
     /// Handles what peers report.
-    pub(crate) fn hear(&self, state: &TrafficState, reports: &[CrashReport]) {
+    pub(crate) fn apply_reports(&self, state: &TrafficState, reports: &[CrashReport]) {
         let now = state.now();
         for report in reports {
             self.log.borrow_mut().apply(report, now);
@@ -97,12 +97,12 @@
     }
 
     /// Records whether a peer has told what it knows.
-    pub(crate) fn set_informed(&self, informed: bool) {
+    pub(crate) fn set_synced(&self, informed: bool) {
         self.informed.set(self.informed.get() || informed);
     }
 
     /// Returns whether it is known which requests crash servers, as far as any peer could tell.
-    pub(crate) fn is_informed(&self, now: Duration) -> bool {
+    pub(crate) fn is_synced(&self, now: Duration) -> bool {
         self.informed.get() || now >= PEERS_WAIT
     }
 
--- a/crates/flaxtide-entry/src/relay.rs
+++ b/crates/flaxtide-entry/src/relay.rs
@@ -12,9 +12,9 @@
 use hyper::body::Frame;
 
 use crate::contract::CallKind;
-use crate::exchange::{AnswerSource, CallerRequest};
+use crate::exchange::{CallerRequest, UpstreamBody};
 use crate::open_call::{AttemptOutcome, OpenCall};
-use crate::reply::AnswerBody;
+use crate::reply::ResponseBody;
 
 /// A server that is silent for this long in the midst of a stream that another one can go
 /// on with is left. Callers wait two seconds at least.
@@ -27,7 +27,7 @@
     /// What the caller sent, to be sent again if the stream breaks.
     request: CallerRequest,
     /// The server's answer.
-    source: Option<AnswerSource>,
+    source: Option<UpstreamBody>,
     /// What has come of an event that isn't whole.
     events: EventCutter,
     /// What came before the first poll.
@@ -43,7 +43,7 @@
     pub(crate) fn new(
         call: OpenCall,
         request: CallerRequest,
-        source: AnswerSource,
+        source: UpstreamBody,
         first: Bytes,
     ) -> Self {
         let last_piece = call.state.now();
@@ -107,7 +107,7 @@
             let until = state.now() + wait;
             match state.wait_until(until, source.next(&state)).await {
                 Some(Ok(Some(bytes))) => {
-                    state.decide(|core, now| {
+                    state.run_router(|core, now| {
                         core.heard(self.call.request, now);
                         vec![]
                     });
@@ -129,7 +129,7 @@
     fn finish(&mut self) -> Option<Bytes> {
         self.call
             .state
-            .decide(|core, now| core.finish(self.call.request, now));
+            .run_router(|core, now| core.finish(self.call.request, now));
         self.call.state.quarantine.clear(&self.call.state, &self.request);
         self.call.record_missed_target();
         self.call.record_end("streamed", 200);
@@ -179,7 +179,7 @@
 }
 
 /// Makes the body of an answer out of a stream.
-pub(crate) fn relay_body(relay: StreamRelay) -> AnswerBody {
+pub(crate) fn relay_body(relay: StreamRelay) -> ResponseBody {
     let pieces = stream::unfold(relay, |mut relay| async move {
         if relay.ended {
             return None;
--- a/crates/flaxtide-entry/src/reply.rs
+++ b/crates/flaxtide-entry/src/reply.rs
@@ -12,15 +12,15 @@
 use serde_json::json;
 
 /// The body of an answer: whole, or passed on as it comes.
-pub(crate) type AnswerBody =
+pub(crate) type ResponseBody =
     Either<Full<Bytes>, StreamBody<LocalBoxStream<'static, io::Result<Frame<Bytes>>>>>;
 
 /// An answer to a caller.
-pub(crate) type CallerAnswer = Response<AnswerBody>;
+pub(crate) type CallerResponse = Response<ResponseBody>;
 
 /// Why the instance itself answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum OwnReply {
+pub(crate) enum LocalReply {
     /// The request isn't right.
     Malformed,
     /// Its body is too large.
@@ -49,7 +49,7 @@
     TimedOut,
 }
 
-impl OwnReply {
+impl LocalReply {
     /// Returns what is true if newer rules than those in force are known to exist: what they
     /// may allow isn't denied for good, which callers wouldn't try again.
     pub(crate) fn under_rules(self, behind: bool) -> Self {
@@ -120,7 +120,7 @@
     }
 
     /// Makes the answer.
-    pub(crate) fn answer(self, retry_after: Option<Duration>) -> CallerAnswer {
+    pub(crate) fn answer(self, retry_after: Option<Duration>) -> CallerResponse {
         let status = self.status();
         let ran = match status {
             StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => "unknown",
@@ -146,6 +146,6 @@
 }
 
 /// Makes a whole body.
-pub(crate) fn whole(content: Bytes) -> AnswerBody {
+pub(crate) fn whole(content: Bytes) -> ResponseBody {
     Either::Left(Full::new(content))
 }
--- a/crates/flaxtide-entry/src/routes.rs
+++ b/crates/flaxtide-entry/src/routes.rs
@@ -9,7 +9,7 @@
 use crate::contract::{
     BackendService, CallerLimits, EntryRules, OrganisationRules, RequestClass,
 };
-use crate::metrics::CountedOne;
+use crate::metrics::GaugeGuard;
 
 /// The rules in force, made quick to look things up in.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     /// The tiers of all classes, most urgent first.
     levels: Vec<TierRank>,
     /// Counts it while it is in memory.
-    _kept: CountedOne,
+    _kept: GaugeGuard,
 }
 
 /// The tier of a class, which goes first, and that of an organisation. Where an
@@ -63,7 +63,7 @@
 
 impl RouteTable {
     /// Makes a table of rules.
-    pub(crate) fn new(rules: EntryRules, kept: CountedOne) -> Self {
+    pub(crate) fn new(rules: EntryRules, kept: GaugeGuard) -> Self {
         let mut hosts: HashMap<String, Vec<ClassId>> = HashMap::new();
         for (index, class) in rules.classes.iter().enumerate() {
             hosts.entry(class.host.clone()).or_default().push(index as ClassId);
--- a/crates/flaxtide-entry/src/state.rs
+++ b/crates/flaxtide-entry/src/state.rs
@@ -22,7 +22,7 @@
 use crate::directory::ServerDirectory;
 use crate::duty::DutyBoard;
 use crate::fleet::FleetLink;
-use crate::metrics::{CountedOne, EntryMetrics};
+use crate::metrics::{EntryMetrics, GaugeGuard};
 use crate::names::NameTable;
 use crate::pushback::PushbackExchange;
 use crate::quarantine::CallQuarantine;
@@ -74,9 +74,9 @@
     /// The newest version of the rules that peers have told of.
     pub(crate) newest_rules: Cell<SettingsVersion>,
     /// Whether the platform's list of servers has been read.
-    pub(crate) listed: Cell<bool>,
+    pub(crate) servers_listed: Cell<bool>,
     /// The router.
-    core: RefCell<RouteCore>,
+    router: RefCell<RouteCore>,
     /// Who waits for the router's decision.
     waiters: RefCell<HashMap<RequestId, oneshot::Sender<RouteAction>>>,
     /// Numbers for names.
@@ -134,8 +134,8 @@
             table: RefCell::new(None),
             directory: RefCell::new(ServerDirectory::new(leave_within)),
             newest_rules: Cell::new(0),
-            listed: Cell::new(false),
-            core: RefCell::new(core),
+            servers_listed: Cell::new(false),
+            router: RefCell::new(core),
             waiters: RefCell::default(),
             names: RefCell::default(),
             next_request: Cell::new(1),
@@ -187,9 +187,9 @@
     pub(crate) fn ready(&self) -> bool {
         self.phase.get() == LifePhase::Serving
             && self.table.borrow().is_some()
-            && self.listed.get()
+            && self.servers_listed.get()
             && self.now() >= self.rejoined_at.get()
-            && self.quarantine.is_informed(self.now())
+            && self.quarantine.is_synced(self.now())
     }
 
     /// Tells whether a request that comes now may not end before the process must.
@@ -237,7 +237,7 @@
         let Some(name) = self.listed_name(server) else { return false };
         let news = self.directory.borrow_mut().mark_leaving(&name);
         if news {
-            self.tell_servers();
+            self.update_router_servers();
         }
         news
     }
@@ -275,24 +275,24 @@
     }
 
     /// Tells whether rules of a version would be newer than those in force.
-    pub(crate) fn needs(&self, version: SettingsVersion) -> bool {
+    pub(crate) fn needs_rules(&self, version: SettingsVersion) -> bool {
         self.table.borrow().is_none() || version > self.rules_version()
     }
 
     /// Puts rules in force, unless newer ones are. Returns whether it did.
-    pub(crate) fn adopt(&self, rules: EntryRules) -> bool {
-        if !self.needs(rules.version) {
+    pub(crate) fn install_rules(&self, rules: EntryRules) -> bool {
+        if !self.needs_rules(rules.version) {
             return false;
         }
         self.metrics.rules_version.set(rules.version as i64);
-        let kept = CountedOne::new(&self.metrics.rules_kept);
+        let kept = GaugeGuard::new(&self.metrics.rules_kept);
         *self.table.borrow_mut() = Some(Rc::new(RouteTable::new(rules, kept)));
-        self.tell_servers();
+        self.update_router_servers();
         true
     }
 
     /// Tells the router which servers each service has.
-    pub(crate) fn tell_servers(&self) {
+    pub(crate) fn update_router_servers(&self) {
         let Some(table) = self.table() else { return };
         let home = self.config().data_centre.clone();
         for service in &table.services {
@@ -318,19 +318,19 @@
             let servers: Vec<RoutedServer> = servers.collect();
             drop(directory);
             let pool = self.pool(&service.name);
-            self.decide(|core, now| core.set_servers(pool, &servers, now));
+            self.run_router(|core, now| core.set_servers(pool, &servers, now));
         }
         self.metrics.servers.set(self.directory.borrow().len() as i64);
         self.pushback.place(self);
     }
 
     /// Has the router decide, and tells those who wait what it has decided.
-    pub(crate) fn decide(
+    pub(crate) fn run_router(
         &self,
         ask: impl FnOnce(&mut RouteCore, Duration) -> Vec<RouteAction>,
     ) {
         let now = self.now();
-        let actions = ask(&mut self.core.borrow_mut(), now);
+        let actions = ask(&mut self.router.borrow_mut(), now);
         for action in actions {
             let request = match &action {
                 RouteAction::Dispatch { request, .. }
@@ -345,12 +345,12 @@
     }
 
     /// Asks the router something that decides nothing.
-    pub(crate) fn ask<Answer>(
+    pub(crate) fn with_router<Answer>(
         &self,
         ask: impl FnOnce(&mut RouteCore, Duration) -> Answer,
     ) -> Answer {
         let now = self.now();
-        ask(&mut self.core.borrow_mut(), now)
+        ask(&mut self.router.borrow_mut(), now)
     }
 
     /// Waits for the router's next decision about a request.
--- a/crates/flaxtide-entry/src/stop.rs
+++ b/crates/flaxtide-entry/src/stop.rs
@@ -57,7 +57,7 @@
 }
 
 /// Takes in signals; returns once the instance has stopped.
-pub(crate) async fn obey_signals(
+pub(crate) async fn handle_signals(
     state: &Rc<TrafficState>,
     path: &Path,
     events: &mut Receiver<SignalEvent>,
@@ -74,7 +74,7 @@
         Ok(config) if config == **state.config.borrow() => {}
         Ok(config) => {
             *state.config.borrow_mut() = Rc::new(config);
-            state.tell_servers();
+            state.update_router_servers();
             log::info!(cause; "instance file in force");
         }
         Err(fault) => {
--- a/crates/flaxtide-entry/tests/directory.rs
+++ b/crates/flaxtide-entry/tests/directory.rs
@@ -36,7 +36,7 @@
 fn gone_at(directory: &mut ServerDirectory, from: u64, to: u64) -> Option<u64> {
     for now in (from..from + 20_000).step_by(100) {
         if now < to {
-            directory.trouble(ms(now));
+            directory.record_outage(ms(now));
         }
         if !directory.expire(ms(now)).is_empty() {
             return Some(now);
@@ -70,7 +70,7 @@
 #[test]
 fn a_row_that_goes_in_an_outage_is_used_until_after_it() {
     let mut directory = directory();
-    directory.trouble(ms(10_000));
+    directory.record_outage(ms(10_000));
     directory.remove("i-0", ms(10_500));
     let gone = gone_at(&mut directory, 10_600, 18_000).unwrap();
     assert!(gone >= 18_000 + 2_000, "gone at {gone}");
