--- a/crates/flaxtide-entry/src/lib.rs
+++ b/crates/flaxtide-entry/src/lib.rs
@@ -60,5 +60,5 @@
 pub use self::instance::{EntryInstance, StopHandle};
 pub use self::lag::RulesLag;
 pub use self::logging::init_entry_logging;
-pub use self::pauses::PeerPauses;
+pub use self::pauses::PeerBackoff;
 pub use self::reader::ListLog;
--- a/crates/flaxtide-entry/src/pauses.rs
+++ b/crates/flaxtide-entry/src/pauses.rs
@@ -16,88 +16,94 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use flaxtide_entry::PeerPauses;
-/// let mut pauses = PeerPauses::new(Duration::from_millis(400));
+/// use flaxtide_entry::PeerBackoff;
+/// let mut backoff = PeerBackoff::new(Duration::from_millis(400));
 /// let peer = ([10, 0, 0, 1], 7000).into();
-/// pauses.record_unable(peer, Duration::ZERO);
-/// assert!(!pauses.may_ask(peer, Duration::from_millis(399)));
-/// assert!(pauses.may_ask(peer, Duration::from_millis(400)));
+/// backoff.record_unable(peer, Duration::ZERO);
+/// assert!(!backoff.may_ask(peer, Duration::from_millis(399)));
+/// assert!(backoff.may_ask(peer, Duration::from_millis(400)));
 /// ```
 #[derive(Debug)]
-pub struct PeerPauses {
+pub struct PeerBackoff {
     /// The first pause of a peer that answers that it can't tell; it doubles with each.
     first: Duration,
     /// The pauses.
-    pauses: HashMap<SocketAddr, PeerPause>,
+    entries: HashMap<SocketAddr, BackoffEntry>,
     /// When the peers that are asked were last drawn.
-    drawn: Option<Duration>,
+    peers_set_at: Option<Duration>,
 }
 
 /// The pause of one peer.
 #[derive(Debug, Clone, Copy)]
-struct PeerPause {
+struct BackoffEntry {
     /// Whether the peer has answered.
-    answers: bool,
+    reachable: bool,
     /// How long it is.
     span: Duration,
     /// When it ends.
     until: Duration,
 }
 
-impl PeerPauses {
+impl PeerBackoff {
     /// Starts without any.
     #[must_use]
     pub fn new(first: Duration) -> Self {
-        Self { first, pauses: HashMap::new(), drawn: None }
+        Self { first, entries: HashMap::new(), peers_set_at: None }
     }
 
     /// Returns whether a peer may be asked.
     #[must_use]
     pub fn may_ask(&self, peer: SocketAddr, now: Duration) -> bool {
-        self.pauses.get(&peer).is_none_or(|pause| now >= pause.until)
+        self.entries.get(&peer).is_none_or(|entry| now >= entry.until)
     }
 
     /// Returns whether a peer has answered that it can't tell, since one last told.
     #[must_use]
-    pub fn any_answers(&self) -> bool {
-        self.pauses.values().any(|pause| pause.answers)
+    pub fn any_unable(&self) -> bool {
+        self.entries.values().any(|entry| entry.reachable)
     }
 
     /// Returns whether the platform seems to be in trouble: a peer that should know has answered
     /// that it can't tell.
     #[must_use]
-    pub fn show_trouble(&self, now: Duration) -> bool {
-        let settled = self.drawn.is_none_or(|at| now >= at + DRAWN_LATELY);
-        settled && self.any_answers()
+    pub fn suggest_outage(&self, now: Duration) -> bool {
+        let settled = self.peers_set_at.is_none_or(|at| now >= at + DRAWN_LATELY);
+        settled && self.any_unable()
     }
 
     /// Forgets all peers but these, which are asked from now on.
-    pub fn draw(&mut self, peers: &[SocketAddr], now: Duration) {
-        self.pauses.retain(|peer, _| peers.contains(peer));
-        self.drawn = Some(now);
+    pub fn set_peers(&mut self, peers: &[SocketAddr], now: Duration) {
+        self.entries.retain(|peer, _| peers.contains(peer));
+        self.peers_set_at = Some(now);
     }
 
     /// Records that a peer has told. What others couldn't before says nothing of the next time
     /// that nobody tells.
-    pub fn record_told(&mut self, peer: SocketAddr) {
-        self.pauses.retain(|other, pause| *other != peer && !pause.answers);
+    pub fn record_success(&mut self, peer: SocketAddr) {
+        self.entries.retain(|other, entry| *other != peer && !entry.reachable);
     }
 
     /// Records that a peer has answered that it can't tell.
     pub fn record_unable(&mut self, peer: SocketAddr, now: Duration) {
-        let before = self.pauses.get(&peer).filter(|pause| pause.answers);
-        let span = before.map_or(self.first, |pause| pause.span * 2);
-        self.pause(peer, true, span.min(LONGEST_PAUSE), now);
+        let before = self.entries.get(&peer).filter(|entry| entry.reachable);
+        let span = before.map_or(self.first, |entry| entry.span * 2);
+        self.back_off(peer, true, span.min(LONGEST_PAUSE), now);
     }
 
     /// Records that no answer came from a peer.
     pub fn record_unreachable(&mut self, peer: SocketAddr, now: Duration) {
-        self.pause(peer, false, LONGEST_PAUSE, now);
+        self.back_off(peer, false, LONGEST_PAUSE, now);
     }
 
     /// Begins a pause.
-    fn pause(&mut self, peer: SocketAddr, answers: bool, span: Duration, now: Duration) {
-        self.pauses
-            .insert(peer, PeerPause { answers, span, until: now + span });
+    fn back_off(
+        &mut self,
+        peer: SocketAddr,
+        reachable: bool,
+        span: Duration,
+        now: Duration,
+    ) {
+        self.entries
+            .insert(peer, BackoffEntry { reachable, span, until: now + span });
     }
 }
--- a/crates/flaxtide-entry/src/source.rs
+++ b/crates/flaxtide-entry/src/source.rs
@@ -12,7 +12,7 @@
 use crate::fleet::FleetLink;
 use crate::follow::first_call_window;
 use crate::lag::RulesLag;
-use crate::pauses::PeerPauses;
+use crate::pauses::PeerBackoff;
 use crate::reader::FRESH_PART;
 
 /// How long a question to a reader waits for changes, as a part of the time within which a
@@ -57,7 +57,7 @@
     /// Who reads, as the group has drawn.
     plan: ListPlan,
     /// Peers that had nothing to tell.
-    pauses: PeerPauses,
+    backoff: PeerBackoff,
     /// When a peer last told.
     told: Option<Duration>,
     /// How long peers have known newer rules than those in force.
@@ -72,7 +72,7 @@
         let settling = if has_peers { SETTLING } else { Duration::ZERO };
         let state = SourceState {
             plan: ListPlan::default(),
-            pauses: PeerPauses::new(leave_within.mul_f64(UNABLE_PART)),
+            backoff: PeerBackoff::new(leave_within.mul_f64(UNABLE_PART)),
             told: None,
             lag: RulesLag::default(),
         };
@@ -91,7 +91,7 @@
         if state.plan == plan {
             return false;
         }
-        state.pauses.draw(&peers_of(&plan), now);
+        state.backoff.set_peers(&peers_of(&plan), now);
         state.plan = plan;
         true
     }
@@ -140,7 +140,7 @@
     pub(crate) fn start_window(&self) -> Duration {
         let now = self.clock.now();
         let state = self.lock();
-        let troubled = state.pauses.show_trouble(now);
+        let troubled = state.backoff.suggest_outage(now);
         first_call_window(state.plan.standby, troubled, self.leave_within)
     }
 
@@ -163,7 +163,7 @@
         let now = self.clock.now();
         let state = self.lock();
         let mut peers = peers_of(&state.plan);
-        peers.retain(|peer| state.pauses.may_ask(*peer, now));
+        peers.retain(|peer| state.backoff.may_ask(*peer, now));
         peers
     }
 
@@ -215,17 +215,17 @@
         let now = self.clock.now();
         let mut state = self.lock();
         state.told = Some(now);
-        state.pauses.record_told(peer);
+        state.backoff.record_success(peer);
     }
 
     /// Records that a peer had nothing to tell, and whether it has answered at all.
     fn record_pause(&self, peer: SocketAddr, answers: bool) {
         log::info!(peer = peer.to_string(), answers; "peer has no list to tell");
         let now = self.clock.now();
-        let pauses = &mut self.lock().pauses;
+        let backoff = &mut self.lock().backoff;
         match answers {
-            true => pauses.record_unable(peer, now),
-            false => pauses.record_unreachable(peer, now),
+            true => backoff.record_unable(peer, now),
+            false => backoff.record_unreachable(peer, now),
         }
     }
 
