--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -13,12 +13,12 @@
 use hyper::header::{CONNECTION, HOST, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 
-use crate::answer::{Received, begin_stream, receive};
 use crate::contract::RequestHead;
 use crate::duty::CallUsage;
 use crate::exchange::{CallerRequest, strip_hop_headers};
 use crate::open_call::{AttemptOutcome, LATEST_RETRY, OpenCall, RETRY_PART};
 use crate::reply::{CallerResponse, LocalReply};
+use crate::response::{Received, begin_stream, receive};
 use crate::routes::{CallerIdentity, ClassMatch};
 use crate::state::{LifePhase, TrafficState};
 
--- a/crates/flaxtide-entry/src/lib.rs
+++ b/crates/flaxtide-entry/src/lib.rs
@@ -11,7 +11,7 @@
 //! What the platform's words mean is not known here: an adapter implements
 //! [`WireDialect`] and [`PlatformFeed`].
 
-mod answer;
+mod backoff;
 mod call;
 mod config;
 mod contract;
@@ -32,12 +32,12 @@
 mod metrics;
 mod names;
 mod open_call;
-mod pauses;
 mod pushback;
 mod quarantine;
 mod reader;
 mod relay;
 mod reply;
+mod response;
 mod routes;
 mod shared_rules;
 mod source;
@@ -45,6 +45,7 @@
 mod stop;
 mod upstream;
 
+pub use self::backoff::PeerBackoff;
 pub use self::config::{DutyConfig, EntryConfig};
 pub use self::contract::{
     AnswerHead, BackendService, CallKind, CallerLimits, DutyAnswer, DutyPass,
@@ -60,5 +61,4 @@
 pub use self::instance::{EntryInstance, StopHandle};
 pub use self::lag::RulesLag;
 pub use self::logging::init_entry_logging;
-pub use self::pauses::PeerBackoff;
 pub use self::reader::ListLog;
--- a/crates/flaxtide-entry/src/source.rs
+++ b/crates/flaxtide-entry/src/source.rs
@@ -9,10 +9,10 @@
 use flaxtide_core::{MilliClock, SettingsVersion, StoreVersion};
 use flaxtide_fleet::{ListPlan, ListReader, RowAnswer, RowChanges, RowQuestion};
 
+use crate::backoff::PeerBackoff;
 use crate::fleet::FleetLink;
 use crate::follow::first_call_window;
 use crate::lag::RulesLag;
-use crate::pauses::PeerBackoff;
 use crate::reader::FRESH_PART;
 
 /// How long a question to a reader waits for changes, as a part of the time within which a
