--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -275,12 +275,12 @@
     link: &FleetLink,
     events: &mpsc::Sender<FeedEvent>,
 ) {
-    let loads = state.ask(|core, now| core.own_loads(now));
+    let loads = state.with_router(|core, now| core.own_loads(now));
     let loads = loads.iter().filter_map(|load| own_load(state, load)).collect();
-    let notes = state.ask(|core, now| core.recent_prefills(now));
+    let notes = state.with_router(|core, now| core.recent_prefills(now));
     let reads: Vec<(Duration, PartRead)> =
         notes.iter().filter_map(|note| part_read(state, note)).collect();
-    let silent = state.ask(|core, now| core.silent_servers(now));
+    let silent = state.with_router(|core, now| core.silent_servers(now));
     let silent: Vec<FleetKey> =
         silent.iter().filter_map(|server| state.server_key(*server)).collect();
     let events = events.clone();
@@ -338,7 +338,7 @@
 pub(crate) fn take_peer_unresponsive(state: &TrafficState, servers: &[FleetKey]) {
     let known: Vec<ServerId> =
         servers.iter().filter_map(|key| state.server_with_key(*key)).collect();
-    state.ask(|core, now| core.record_silence_reports(&known, now));
+    state.with_router(|core, now| core.record_silence_reports(&known, now));
 }
 
 /// Takes in what servers have read for a peer.
@@ -348,7 +348,7 @@
         Some((server, read.part))
     });
     let known: Vec<(ServerId, PartKey)> = known.collect();
-    state.ask(|core, now| core.record_peer_prefills(&known, now));
+    state.with_router(|core, now| core.record_peer_prefills(&known, now));
 }
 
 /// Spells a load as peers are told.
@@ -380,5 +380,5 @@
         })
     });
     let known: Vec<PeerLoad> = known.collect();
-    state.ask(|core, now| core.set_peer_loads(peer, &known, now));
+    state.with_router(|core, now| core.set_peer_loads(peer, &known, now));
 }
--- a/crates/flaxtide-entry/src/instance.rs
+++ b/crates/flaxtide-entry/src/instance.rs
@@ -31,7 +31,7 @@
 use crate::shared_rules::SharedRules;
 use crate::source::ServerListSource;
 use crate::state::TrafficState;
-use crate::stop::{SignalEvent, obey_signals, register_signals, reload, watch_signals};
+use crate::stop::{SignalEvent, handle_signals, register_signals, reload, watch_signals};
 
 /// The length of the ring from the feed threads.
 const FEED_RING: usize = 64;
@@ -202,7 +202,7 @@
         ));
         let house = keep_house(state.clone(), path.clone(), events, monitor, bytes);
         tokio::task::spawn_local(house);
-        obey_signals(&state, &path, &mut signals).await;
+        handle_signals(&state, &path, &mut signals).await;
         Ok(())
     }
 }
@@ -276,8 +276,8 @@
         tokio::time::sleep(TICK).await;
         jumps.tick(&state);
         ticks += 1;
-        if state.ask(|core, _| core.has_waiting_requests()) {
-            state.decide(|core, now| core.tick(now));
+        if state.with_router(|core, _| core.has_waiting_requests()) {
+            state.run_router(|core, now| core.tick(now));
         }
         expire_servers(&state);
         note_servers(&state);
@@ -300,7 +300,7 @@
 /// Forgets servers that the platform hasn't listed for too long.
 fn expire_servers(state: &TrafficState) {
     if state.directory.borrow_mut().release_held(state.now()) {
-        state.tell_servers();
+        state.update_router_servers();
     }
     if !state.directory.borrow().misses_any() {
         return;
@@ -310,13 +310,13 @@
         log::info!(server; "server gone");
     }
     if !gone.is_empty() {
-        state.tell_servers();
+        state.update_router_servers();
     }
 }
 
 /// Logs what the router has come to believe of servers.
 fn note_servers(state: &TrafficState) {
-    for note in state.ask(|core, now| core.health_changes(now)) {
+    for note in state.with_router(|core, now| core.health_changes(now)) {
         let event = if note.healthy { "server gets work" } else { "server gets no work" };
         log::info!(
             server = state.server_name(note.server).unwrap_or_default(),
