--- a/crates/flaxtide-entry/src/duty/thread.rs
+++ b/crates/flaxtide-entry/src/duty/thread.rs
@@ -144,7 +144,7 @@
         if now < self.retry_at {
             return;
         }
-        if self.watch.step(now) == LeaseStep::Look && !self.look(now) {
+        if self.watch.step(now) == LeaseStep::Read && !self.look(now) {
             self.retry_at = self.clock.now() + RETRY_PERIOD;
             return;
         }
@@ -166,13 +166,13 @@
         };
         self.count("lease", "read");
         self.era = self.era.max(read.era);
-        self.watch.raise_floor(self.era << ERA_BITS);
+        self.watch.raise_min_fence(self.era << ERA_BITS);
         let lease = read.row.as_ref().map(|(row, version)| (row.lease.clone(), *version));
         if let Some((row, _)) = &read.row {
             self.row_era = row.era;
             self.reports.take_row(row);
         }
-        self.watch.saw(lease, now);
+        self.watch.record_read(lease, now);
         true
     }
 
@@ -198,7 +198,7 @@
             }
         };
         self.count("lease", if version.is_some() { "written" } else { "failed" });
-        self.watch.wrote(lease, version, asked);
+        self.watch.record_write(lease, version, asked);
         if version.is_some() {
             self.reports.take_row(&row);
         }
@@ -209,7 +209,7 @@
 
     /// Notes whether the duties are held, and under which number.
     fn note_holding(&mut self, fence: Option<u64>) {
-        if fence.is_none() && self.watch.is_renumbering(self.clock.now()) {
+        if fence.is_none() && self.watch.is_advancing_fence(self.clock.now()) {
             return;
         }
         if fence == self.held {
@@ -264,7 +264,7 @@
                 self.reports.acknowledged = true;
                 self.board.close_window(report.window);
             }
-            Ok(DutyAnswer::Refused) => self.watch.lose(),
+            Ok(DutyAnswer::Refused) => self.watch.record_lost(),
             // A report that is carried out late says the same.
             Ok(DutyAnswer::Busy) | Err(_) => self.reports.put_off(now),
         }
@@ -311,7 +311,7 @@
             OrderOutcome::Refused => false,
             OrderOutcome::Unknown => {
                 // Carried out later, it is refused: newer ones bear a higher number.
-                self.watch.renumber();
+                self.watch.advance_fence();
                 false
             }
         }
--- a/crates/flaxtide-policy/src/lease.rs
+++ b/crates/flaxtide-policy/src/lease.rs
@@ -52,7 +52,7 @@
     /// Nothing for now.
     Wait,
     /// Read the row.
-    Look,
+    Read,
     /// Write the row if the table's row has this version; nothing means no row.
     Write {
         /// The version that must be found.
@@ -69,10 +69,10 @@
 /// use flaxtide_policy::{LeaseStep, LeaseTiming, LeaseWatch};
 /// let now = Duration::from_secs(1);
 /// let mut watch = LeaseWatch::new("a".into(), LeaseTiming::default(), now);
-/// assert_eq!(watch.step(now), LeaseStep::Look);
-/// watch.saw(None, now);
+/// assert_eq!(watch.step(now), LeaseStep::Read);
+/// watch.record_read(None, now);
 /// let LeaseStep::Write { expected: None, row } = watch.step(now) else { panic!() };
-/// watch.wrote(&row, Some(1), now);
+/// watch.record_write(&row, Some(1), now);
 /// assert_eq!(watch.fence(now, true), Some(1));
 /// ```
 #[derive(Debug, Clone)]
@@ -151,7 +151,7 @@
     /// Keeps each fencing number of this instance above a number that may have been used, as
     /// by a holder that a store which came back from a copy has forgotten. A lease under a lower
     /// number is lost.
-    pub fn raise_floor(&mut self, used: u64) {
+    pub fn raise_min_fence(&mut self, used: u64) {
         self.floor = self.floor.max(used);
         if self.held.is_some_and(|held| held.fence <= used) {
             self.held = None;
@@ -161,7 +161,7 @@
 
     /// Has the holder take a higher fencing number, so that what it has sent under the present
     /// one is refused if it arrives later.
-    pub fn renumber(&mut self) {
+    pub fn advance_fence(&mut self) {
         if self.held.is_some() && self.change.is_none() {
             self.change = Some(LeaseChange::Renumber);
         }
@@ -176,7 +176,7 @@
 
     /// Records that somebody else has used a higher fencing number: the lease is lost, whatever
     /// the row says.
-    pub fn lose(&mut self) {
+    pub fn record_lost(&mut self) {
         self.held = None;
         self.seen = None;
         self.unknown = None;
@@ -185,7 +185,7 @@
 
     /// Returns whether the lease holds, and gets another number.
     #[must_use]
-    pub fn is_renumbering(&self, now: Duration) -> bool {
+    pub fn is_advancing_fence(&self, now: Duration) -> bool {
         self.change == Some(LeaseChange::Renumber) && self.current(now).is_some()
     }
 
@@ -196,7 +196,7 @@
 
     /// Returns whether nothing is left to be done after a release.
     #[must_use]
-    pub fn is_retired(&self, now: Duration) -> bool {
+    pub fn is_released(&self, now: Duration) -> bool {
         self.change == Some(LeaseChange::Release) && self.current(now).is_none()
     }
 
@@ -208,18 +208,18 @@
     /// Returns what to do next.
     #[must_use]
     pub fn step(&self, now: Duration) -> LeaseStep {
-        if self.is_retired(now) {
+        if self.is_released(now) {
             return LeaseStep::Wait;
         }
         if let Some(held) = self.current(now) {
             return self.step_of_holder(held, now);
         }
-        let Some(looked) = self.looked else { return LeaseStep::Look };
+        let Some(looked) = self.looked else { return LeaseStep::Read };
         if now == looked && self.is_free(now) {
             return self.take();
         }
         if self.is_due(now, self.timing.poll_period) {
-            return LeaseStep::Look;
+            return LeaseStep::Read;
         }
         LeaseStep::Wait
     }
@@ -229,7 +229,7 @@
         if self.unknown.is_some() {
             if self.looked != Some(now) {
                 let due = self.is_due(now, self.timing.check_period);
-                return if due { LeaseStep::Look } else { LeaseStep::Wait };
+                return if due { LeaseStep::Read } else { LeaseStep::Wait };
             }
         } else if self.change.is_none() && !self.is_due(now, self.timing.poll_period) {
             return LeaseStep::Wait;
@@ -279,7 +279,7 @@
     }
 
     /// Records the row as it is in the table.
-    pub fn saw(&mut self, row: Option<(LeaseRow, u64)>, now: Duration) {
+    pub fn record_read(&mut self, row: Option<(LeaseRow, u64)>, now: Duration) {
         self.looked = Some(now);
         let Some((row, version)) = row else {
             self.held = None;
@@ -309,7 +309,12 @@
 
     /// Records whether the write of a row that was asked for at `asked` made a new version;
     /// nothing if the table's row was another, or no answer came.
-    pub fn wrote(&mut self, row: &LeaseRow, version: Option<u64>, asked: Duration) {
+    pub fn record_write(
+        &mut self,
+        row: &LeaseRow,
+        version: Option<u64>,
+        asked: Duration,
+    ) {
         self.looked = Some(asked);
         let Some(version) = version else {
             // Whether it took effect shows at the next look. Until then it counts from the
--- a/crates/flaxtide-policy/tests/lease.rs
+++ b/crates/flaxtide-policy/tests/lease.rs
@@ -10,18 +10,18 @@
 
 /// Gives a watch its turn. Returns whether its write took effect.
 fn turn(watch: &mut LeaseWatch, row: &mut Row, now: Duration, answered: bool) {
-    if watch.step(now) == LeaseStep::Look {
-        watch.saw(row.clone(), now);
+    if watch.step(now) == LeaseStep::Read {
+        watch.record_read(row.clone(), now);
     }
     let LeaseStep::Write { expected, row: next } = watch.step(now) else { return };
     let version = row.as_ref().map(|(_, version)| *version);
     if version != expected {
-        watch.wrote(&next, None, now);
+        watch.record_write(&next, None, now);
         return;
     }
     let version = version.unwrap_or_default() + 1;
     *row = Some((next.clone(), version));
-    watch.wrote(&next, answered.then_some(version), now);
+    watch.record_write(&next, answered.then_some(version), now);
 }
 
 #[test]
--- a/crates/flaxtide-policy/tests/lease_model.rs
+++ b/crates/flaxtide-policy/tests/lease_model.rs
@@ -112,10 +112,10 @@
 
     fn turn(&mut self, index: usize, answered: bool, carried_out: bool) {
         let now = self.now;
-        if self.watches[index].step(now) == LeaseStep::Look {
-            self.watches[index].raise_floor(self.era << ERA_BITS);
+        if self.watches[index].step(now) == LeaseStep::Read {
+            self.watches[index].raise_min_fence(self.era << ERA_BITS);
             let row = self.row.clone();
-            self.watches[index].saw(row, now);
+            self.watches[index].record_read(row, now);
         }
         let LeaseStep::Write { expected, row } = self.watches[index].step(now) else {
             return;
@@ -130,11 +130,11 @@
         if !carried_out {
             self.late.push(write);
             self.late.truncate(3);
-            self.watches[index].wrote(&row, None, now);
+            self.watches[index].record_write(&row, None, now);
             return;
         }
         let version = self.carry_out(&write).filter(|_| answered);
-        self.watches[index].wrote(&row, version, now);
+        self.watches[index].record_write(&row, version, now);
     }
 
     fn play(&mut self, happening: Happening) {
@@ -154,7 +154,7 @@
                 self.lives[index] += 1;
                 self.watches[index] = self.start(index);
             }
-            Happening::Renumber(index) => self.watches[index].renumber(),
+            Happening::Renumber(index) => self.watches[index].advance_fence(),
             Happening::Release(index) => self.watches[index].release(),
             Happening::Copy => self.copy.clone_from(&self.row),
             Happening::Restore => {
@@ -178,7 +178,7 @@
         if fence < self.highest {
             // The platform refuses it; only a store that came back from a copy brings that about.
             assert!(self.era > 0, "number {fence} after {}", self.highest);
-            self.watches[index].lose();
+            self.watches[index].record_lost();
             return;
         }
         self.highest = fence;
@@ -315,7 +315,7 @@
     }
     world.play(Happening::Release(0));
     world.turn(0, true, true);
-    assert!(world.watches[0].is_retired(world.now));
+    assert!(world.watches[0].is_released(world.now));
     world.now += STEP;
     world.turn(1, true, true);
     assert_eq!(world.watches[1].fence(world.now, true), Some(2));
--- a/crates/flaxtide/src/orders.rs
+++ b/crates/flaxtide/src/orders.rs
@@ -67,10 +67,10 @@
 
 /// Looks at the lease, and takes or renews it if that is due.
 fn keep_lease(shared: &SharedState, key: &str, watch: &mut LeaseWatch) {
-    if watch.step(shared.now()) == LeaseStep::Look {
+    if watch.step(shared.now()) == LeaseStep::Read {
         let now = shared.now();
         match shared.leases.read(key) {
-            Ok(row) => watch.saw(row, now),
+            Ok(row) => watch.record_read(row, now),
             Err(cause) => {
                 log::warn!("the lease for orders can't be read: {cause}");
                 return;
@@ -96,7 +96,7 @@
 ) {
     let LeaseStep::Write { expected, row } = step else { return };
     let written = shared.leases.write(key, expected, &row);
-    watch.wrote(&row, written.unwrap_or_default(), asked);
+    watch.record_write(&row, written.unwrap_or_default(), asked);
 }
 
 /// Asks an engine what it has loaded, and orders what the settings name if it is other.
