--- a/crates/flaxtide-policy/src/claim.rs
+++ b/crates/flaxtide-policy/src/claim.rs
@@ -58,7 +58,7 @@
     /// Refuse the request as not run; there is nothing to release.
     Refuse,
     /// Another attempt holds the row: the request may have run.
-    Defer,
+    HeldByOther,
     /// Give the recorded answer.
     Replay {
         /// The recorded answer.
@@ -177,7 +177,7 @@
             AttemptState::Over(reason) => match reason {
                 OverReason::Abandoned => ClaimStep::Abandon,
                 OverReason::Refused => ClaimStep::Refuse,
-                OverReason::Deferred => ClaimStep::Defer,
+                OverReason::Deferred => ClaimStep::HeldByOther,
                 OverReason::Replayed(outcome) => {
                     ClaimStep::Replay { outcome: outcome.clone() }
                 }
--- a/crates/flaxtide-policy/tests/claim_protocol.rs
+++ b/crates/flaxtide-policy/tests/claim_protocol.rs
@@ -154,7 +154,7 @@
                 state.instances[index].over = true;
                 vec![state]
             }
-            ClaimStep::Defer | ClaimStep::Mismatch => {
+            ClaimStep::HeldByOther | ClaimStep::Mismatch => {
                 let mut state = self.clone();
                 state.instances[index].over = true;
                 vec![state]
--- a/crates/flaxtide/src/call/keyed.rs
+++ b/crates/flaxtide/src/call/keyed.rs
@@ -95,7 +95,7 @@
     fn end_unclaimed(&mut self, call: Call<Queued>, step: ClaimStep) {
         match step {
             ClaimStep::Replay { outcome } => self.replay(call, &outcome),
-            ClaimStep::Defer => self.defer(call),
+            ClaimStep::HeldByOther => self.defer(call),
             ClaimStep::Mismatch => {
                 let message = "the Idempotency-Key came with another body before";
                 let reason = FailureReason::KeyReused;
