--- a/crates/flaxtide-policy/benches/lab/baseline.rs
+++ b/crates/flaxtide-policy/benches/lab/baseline.rs
@@ -80,7 +80,7 @@
                 self.open.entry(request).and_modify(|entry| entry.2 = Duration::MAX);
                 vec![]
             }
-            PolicyEvent::Finish { request, .. } | PolicyEvent::Leave { request } => {
+            PolicyEvent::Finish { request, .. } | PolicyEvent::CallerGone { request } => {
                 self.open.remove(&request);
                 vec![]
             }
@@ -149,7 +149,7 @@
                 self.since.remove(&report.server);
                 vec![]
             }
-            PolicyEvent::Finish { request, .. } | PolicyEvent::Leave { request } => {
+            PolicyEvent::Finish { request, .. } | PolicyEvent::CallerGone { request } => {
                 self.open.remove(&request);
                 vec![]
             }
@@ -233,7 +233,7 @@
                 queue.insert(place, (late, arrival));
             }
             PolicyEvent::Finish { request, .. }
-            | PolicyEvent::Leave { request }
+            | PolicyEvent::CallerGone { request }
             | PolicyEvent::Fail { request, .. } => self.free(request),
             _ => {}
         }
--- a/crates/flaxtide-policy/benches/lab/world/trouble.rs
+++ b/crates/flaxtide-policy/benches/lab/world/trouble.rs
@@ -58,7 +58,7 @@
             if self.kind != PolicyKind::Plain {
                 self.cancel(request);
             }
-            self.tell(call.instance, PolicyEvent::Leave { request });
+            self.tell(call.instance, PolicyEvent::CallerGone { request });
         }
         let silent = |call: &LabCall| {
             call.engine.is_some()
--- a/crates/flaxtide-policy/src/core/mod.rs
+++ b/crates/flaxtide-policy/src/core/mod.rs
@@ -115,7 +115,7 @@
             PolicyEvent::Fail { request, fault, passed_on } => {
                 self.fail(request, fault, passed_on, now);
             }
-            PolicyEvent::Abandon { request } | PolicyEvent::Leave { request } => {
+            PolicyEvent::Abandon { request } | PolicyEvent::CallerGone { request } => {
                 self.drop_call(request, now);
             }
             PolicyEvent::Report(report) => {
@@ -123,7 +123,7 @@
                     server.report(report);
                 }
             }
-            PolicyEvent::Leaving { server, leaving } => {
+            PolicyEvent::ServerLeaving { server, leaving } => {
                 self.set_leaving(server, leaving, now);
             }
             PolicyEvent::Share { server, slots, until } => {
--- a/crates/flaxtide-policy/src/event.rs
+++ b/crates/flaxtide-policy/src/event.rs
@@ -49,14 +49,14 @@
         request: RequestId,
     },
     /// The caller has gone.
-    Leave {
+    CallerGone {
         /// The request.
         request: RequestId,
     },
     /// A server's load report came in.
     Report(LoadReport),
     /// A server is leaving, or isn't any more.
-    Leaving {
+    ServerLeaving {
         /// The server.
         server: ServerId,
         /// Whether it is leaving.
--- a/crates/flaxtide-policy/tests/invariants.rs
+++ b/crates/flaxtide-policy/tests/invariants.rs
@@ -231,7 +231,7 @@
                 let known = self.known.get_mut(&request).unwrap();
                 known.ended = true;
                 known.at = None;
-                self.tell(PolicyEvent::Leave { request });
+                self.tell(PolicyEvent::CallerGone { request });
             }
             Step::Report(server, load) => {
                 let report = LoadReport {
@@ -250,7 +250,7 @@
                 } else {
                     self.leaving.remove(&server);
                 }
-                self.tell(PolicyEvent::Leaving { server, leaving });
+                self.tell(PolicyEvent::ServerLeaving { server, leaving });
             }
             Step::Share(server, slots) => {
                 let until = self.now + Duration::from_millis(500);
--- a/crates/flaxtide/src/call/outcome.rs
+++ b/crates/flaxtide/src/call/outcome.rs
@@ -76,7 +76,7 @@
     pub(super) fn caller_gone(&mut self, call: Call<Dispatched>) {
         let reason = FailureReason::CallerGone;
         let _ = call.fail(reason, "the caller has gone", None);
-        self.shared.tell(PolicyEvent::Leave { request: self.id });
+        self.shared.tell(PolicyEvent::CallerGone { request: self.id });
         let tokens = u64::from(self.progress.tokens);
         self.shared.metrics.wasted_tokens.inc_by(tokens);
         self.end(CallEnd::Failed, StepKind::CallerGone);
--- a/crates/flaxtide/src/decide.rs
+++ b/crates/flaxtide/src/decide.rs
@@ -185,7 +185,7 @@
     match event {
         PolicyEvent::Finish { request, .. }
         | PolicyEvent::Abandon { request }
-        | PolicyEvent::Leave { request } => Some(*request),
+        | PolicyEvent::CallerGone { request } => Some(*request),
         _ => None,
     }
 }
--- a/crates/flaxtide/src/watch.rs
+++ b/crates/flaxtide/src/watch.rs
@@ -110,7 +110,7 @@
 fn tell_leaving(shared: &SharedState, server: ServerId) -> bool {
     let news = shared.watched.leaving_news(server, shared.now());
     if news.tell {
-        shared.tell(PolicyEvent::Leaving { server, leaving: news.leaving });
+        shared.tell(PolicyEvent::ServerLeaving { server, leaving: news.leaving });
     }
     news.changed
 }
