--- a/crates/flaxtide-entry/src/pushback.rs
+++ b/crates/flaxtide-entry/src/pushback.rs
@@ -75,11 +75,11 @@
             log_leaving(state, server.unwrap_or_default(), "peer");
         }
         let effect = server.and_then(|server| {
-            let heard = report.heard(came);
+            let heard = report.heard_at(came);
             state.ask(|core, now| core.hear_peer_rate(server, report.rate, heard, now))
         });
         match (server, effect) {
-            (Some(server), Some(ReportEffect::News)) => {
+            (Some(server), Some(ReportEffect::Changed)) => {
                 log_rate(state, server, report.rate, None, "peer");
             }
             // The server has told this instance something else since.
@@ -123,7 +123,7 @@
             return;
         };
         let stated = rate.map_or(StatedRate::Unlimited, StatedRate::Limited);
-        self.schedule.borrow_mut().record_told(server, stated, state.now());
+        self.schedule.borrow_mut().record_sent(server, stated, state.now());
         let leaving = state.is_leaving(server);
         let report = PushbackReport { server: key, rate, age_ms: 0, leaving };
         self.send(state, heard, report);
--- a/crates/flaxtide-entry/src/quarantine.rs
+++ b/crates/flaxtide-entry/src/quarantine.rs
@@ -140,7 +140,7 @@
     /// Shows how many requests are known.
     fn show(&self, state: &TrafficState) {
         let log = self.log.borrow();
-        state.metrics.suspected.set(log.suspects() as i64);
+        state.metrics.suspected.set(log.suspect_count() as i64);
         state.metrics.quarantined.set(log.quarantined().len() as i64);
     }
 }
--- a/crates/flaxtide-fleet/src/node/pushback.rs
+++ b/crates/flaxtide-fleet/src/node/pushback.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use flaxtide_core::InstanceName;
-use flaxtide_policy::{PushbackLog, PushbackReport, ReportEffect, ServerStart};
+use flaxtide_policy::{IncarnationKey, PushbackLog, PushbackReport, ReportEffect};
 
 use super::{FleetNode, FleetNotice};
 use crate::contact::PendingNotice;
@@ -30,7 +30,7 @@
     /// All of it.
     log: PushbackLog,
     /// The servers of which this instance has news for its peers.
-    news: NewsQueue<ServerStart>,
+    news: NewsQueue<IncarnationKey>,
 }
 
 impl FleetNode {
@@ -98,7 +98,7 @@
                 ReportEffect::Known => {}
                 // The peer lacks what the server has said since, and is told.
                 ReportEffect::Outdated => self.pushback.news.push(report.server),
-                ReportEffect::News => {
+                ReportEffect::Changed => {
                     news.push(*report);
                     if passes_on {
                         self.pushback.news.push(report.server);
--- a/crates/flaxtide-fleet/src/node/roster.rs
+++ b/crates/flaxtide-fleet/src/node/roster.rs
@@ -42,7 +42,7 @@
         let own = member(&self.own);
         let live = self.live.iter().filter_map(|name| self.peers.get(name));
         let members = live.map(|peer| member(&peer.info)).chain([own]).collect();
-        let group = InstanceGroup { own, members, others: others.clone() };
+        let group = InstanceGroup { own, members, other_data_centres: others.clone() };
         let group = Arc::new(group);
         let generation = self.generation;
         self.roster = Some(RosterCopy { generation, others, group: group.clone() });
--- a/crates/flaxtide-fleet/tests/pushback.rs
+++ b/crates/flaxtide-fleet/tests/pushback.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use common::Fleet;
-use flaxtide_policy::{RequestRate, ServerStart};
+use flaxtide_policy::{IncarnationKey, RequestRate};
 
 /// A server.
-const SERVER: ServerStart = 7;
+const SERVER: IncarnationKey = 7;
 
 /// Within this time what a server says must be known to all.
 const STABLE: Duration = Duration::from_secs(3);
@@ -109,7 +109,7 @@
                 let place = flaxtide_fleet::fleet_key(&place);
                 let parts = fleet.nodes.values_mut().filter_map(|node| {
                     let group = node.instance_group(now)?;
-                    Some(group.rate_part(server, place, rate))
+                    Some(group.rate_share(server, place, rate))
                 });
                 let sum: f64 = parts.sum();
                 assert!(
--- a/crates/flaxtide-lab/tests/rate.rs
+++ b/crates/flaxtide-lab/tests/rate.rs
@@ -156,7 +156,11 @@
                 || now >= until + delay
         };
         let members = (0..self.cores.len()).filter(seen).map(member).collect();
-        InstanceGroup { own: member(observer), members, others: vec![] }
+        InstanceGroup {
+            own: member(observer),
+            members,
+            other_data_centres: vec![],
+        }
     }
 
     /// Has the answers come that are due.
--- a/crates/flaxtide-lab/tests/shed.rs
+++ b/crates/flaxtide-lab/tests/shed.rs
@@ -151,7 +151,8 @@
             *self.running.entry(server).or_default() -= 1;
             let core = &mut self.cores[number];
             let rest = refused.then_some(REST);
-            let statement = ServerStatement { rest, ..ServerStatement::default() };
+            let statement =
+                ServerStatement { backoff: rest, ..ServerStatement::default() };
             core.hear_statement(server, statement, sent, now);
             let actions = if refused {
                 let (verdict, actions) = core.fail(request, RouteFault::Full, false, now);
--- a/crates/flaxtide-policy/benches/gate.rs
+++ b/crates/flaxtide-policy/benches/gate.rs
@@ -19,7 +19,11 @@
 fn core(engines: u32) -> RouteCore {
     let mut core = RouteCore::new(RouteOptions::default());
     let own = GroupMember { instance: 1, data_centre: 0 };
-    let group = InstanceGroup { own, members: vec![own], others: vec![] };
+    let group = InstanceGroup {
+        own,
+        members: vec![own],
+        other_data_centres: vec![],
+    };
     core.set_group(Arc::new(group), Duration::ZERO);
     let engine = |server: u32| RoutedServer {
         server,
--- a/crates/flaxtide-policy/src/lib.rs
+++ b/crates/flaxtide-policy/src/lib.rs
@@ -42,7 +42,7 @@
     ReportEffect, ReportSchedule, RequestRate, ServerStatement, StatedRate,
 };
 pub use self::quarantine::{
-    CrashLog, CrashReport, Fingerprint, ServerStart, request_fingerprint,
+    CrashLog, CrashReport, Fingerprint, IncarnationKey, request_fingerprint,
 };
 pub use self::rendezvous::{bounded_owners, rendezvous_order, rendezvous_owner};
 pub use self::router::{
--- a/crates/flaxtide-policy/src/pushback/group.rs
+++ b/crates/flaxtide-policy/src/pushback/group.rs
@@ -40,10 +40,10 @@
 /// let group = |own| InstanceGroup {
 ///     own: member(own),
 ///     members: (0..9).map(member).collect(),
-///     others: vec![],
+///     other_data_centres: vec![],
 /// };
 /// let rate = RequestRate::from_per_second(2.2).unwrap();
-/// let parts = (0..9).map(|own| group(own).rate_part(7, 1, rate));
+/// let parts = (0..9).map(|own| group(own).rate_share(7, 1, rate));
 /// assert!((parts.sum::<f64>() - 2.2).abs() < 1e-6);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -53,14 +53,14 @@
     /// All that are known by their names, this one included.
     pub members: Vec<GroupMember>,
     /// The other data centres with live instances that aren't all known by their names.
-    pub others: Vec<DataCentreKey>,
+    pub other_data_centres: Vec<DataCentreKey>,
 }
 
 impl InstanceGroup {
     /// Returns this instance's part of the rate of a server, in requests a second. `rank` is the
     /// server's number that is the same on every instance.
     #[must_use]
-    pub fn rate_part(
+    pub fn rate_share(
         &self,
         rank: u64,
         data_centre: DataCentreKey,
@@ -88,14 +88,14 @@
     fn shares_servers_of(&self, rank: u64, data_centre: DataCentreKey) -> bool {
         let has_members =
             self.members.iter().any(|member| member.data_centre == data_centre);
-        if has_members || self.others.is_empty() {
+        if has_members || self.other_data_centres.is_empty() {
             return true;
         }
-        if self.others.contains(&data_centre) {
+        if self.other_data_centres.contains(&data_centre) {
             return false;
         }
         let weight = |place: DataCentreKey| (numbered_weight(rank, place.into()), place);
         let own = weight(self.own.data_centre);
-        self.others.iter().all(|other| weight(*other) < own)
+        self.other_data_centres.iter().all(|other| weight(*other) < own)
     }
 }
--- a/crates/flaxtide-policy/src/pushback/report.rs
+++ b/crates/flaxtide-policy/src/pushback/report.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::statement::RequestRate;
-use crate::quarantine::ServerStart;
+use crate::quarantine::IncarnationKey;
 
 /// How long it is remembered what a server said: longer than the time after which instances
 /// that still hear it say so again.
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PushbackReport {
     /// The server.
-    pub server: ServerStart,
+    pub server: IncarnationKey,
     /// The rate that it takes from all instances; nothing if it takes what it can.
     pub rate: Option<RequestRate>,
     /// How long ago it said so, in milliseconds.
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportEffect {
     /// It is news.
-    News,
+    Changed,
     /// It says what is known.
     Known,
     /// The server has said something else since, which the reporter is to be told.
@@ -49,13 +49,13 @@
 /// let rate = RequestRate::from_per_second(2.0);
 /// let limited = PushbackReport { server: 1, rate, age_ms: 10, leaving: false };
 /// let older = PushbackReport { rate: None, age_ms: 500, ..limited };
-/// assert_eq!(log.apply(&limited, now), ReportEffect::News);
+/// assert_eq!(log.apply(&limited, now), ReportEffect::Changed);
 /// assert_eq!(log.apply(&older, now), ReportEffect::Outdated);
 /// ```
 #[derive(Debug, Default)]
 pub struct PushbackLog {
     /// What each server said last.
-    words: HashMap<ServerStart, ServerWord>,
+    words: HashMap<IncarnationKey, ServerWord>,
 }
 
 /// What a server said last.
@@ -81,12 +81,12 @@
     /// Adds a report. Returns what it does to what is known.
     pub fn apply(&mut self, report: &PushbackReport, now: Duration) -> ReportEffect {
         let PushbackReport { rate, leaving, .. } = *report;
-        let heard = report.heard(now);
+        let heard = report.heard_at(now);
         let Some(word) = self.words.get_mut(&report.server) else {
             self.make_place(now);
             self.words
                 .insert(report.server, ServerWord { rate, heard, leaving, learnt: now });
-            return ReportEffect::News;
+            return ReportEffect::Changed;
         };
         // Leaving is for good, so it needs no time.
         let leaves = leaving && !word.leaving;
@@ -101,7 +101,7 @@
             word.heard = heard.max(word.heard);
         }
         match (leaves || changes, outdated) {
-            (true, _) => ReportEffect::News,
+            (true, _) => ReportEffect::Changed,
             (false, true) => ReportEffect::Outdated,
             (false, false) => ReportEffect::Known,
         }
@@ -111,7 +111,7 @@
     #[must_use]
     pub fn report_of(
         &self,
-        server: ServerStart,
+        server: IncarnationKey,
         now: Duration,
     ) -> Option<PushbackReport> {
         let word = self.words.get(&server)?;
@@ -150,7 +150,7 @@
 impl PushbackReport {
     /// Returns when the server said so.
     #[must_use]
-    pub fn heard(&self, now: Duration) -> Duration {
+    pub fn heard_at(&self, now: Duration) -> Duration {
         now.saturating_sub(Duration::from_millis(u64::from(self.age_ms)))
     }
 }
--- a/crates/flaxtide-policy/src/pushback/schedule.rs
+++ b/crates/flaxtide-policy/src/pushback/schedule.rs
@@ -21,7 +21,7 @@
 /// use std::time::Duration;
 /// use flaxtide_policy::{ReportSchedule, StatedRate};
 /// let mut schedule = ReportSchedule::default();
-/// schedule.record_told(1, StatedRate::Unlimited, Duration::ZERO);
+/// schedule.record_sent(1, StatedRate::Unlimited, Duration::ZERO);
 /// let due = |second| schedule.is_due(1, StatedRate::Unlimited, Duration::from_secs(second));
 /// assert!(!due(2));
 /// assert!(due(3));
@@ -56,7 +56,7 @@
     }
 
     /// Records that peers are told what a server states, as news or as it was due.
-    pub fn record_told(&mut self, server: ServerId, stated: StatedRate, now: Duration) {
+    pub fn record_sent(&mut self, server: ServerId, stated: StatedRate, now: Duration) {
         let again = self.next.get(&server).is_some_and(|next| next.told == stated);
         let due = match stated {
             StatedRate::Limited(_) => Some(now + RENEWAL),
--- a/crates/flaxtide-policy/src/pushback/server.rs
+++ b/crates/flaxtide-policy/src/pushback/server.rs
@@ -13,9 +13,9 @@
     /// The rate that it takes from all instances, if it says so.
     limit: Option<RateLimit>,
     /// When that, or that there is none, was last heard from the server by any instance.
-    rate_heard: Duration,
+    rate_heard_at: Duration,
     /// Until when it wants nothing from this instance.
-    rests_until: Duration,
+    backoff_until: Duration,
 }
 
 impl ServerPushback {
@@ -25,14 +25,14 @@
     }
 
     /// Returns this instance's part of it, in requests a second.
-    pub(crate) fn part(&self) -> Option<f64> {
+    pub(crate) fn share(&self) -> Option<f64> {
         self.limit.as_ref().map(RateLimit::part)
     }
 
     /// Records what an answer to a request says that was sent at `sent`. An answer that the
     /// server may have made before another one that came first doesn't raise the rate. Returns
     /// whether the rate is another one.
-    pub(crate) fn hear_rate(
+    pub(crate) fn apply_statement(
         &mut self,
         stated: StatedRate,
         part: impl FnOnce(RequestRate) -> f64,
@@ -44,36 +44,36 @@
             StatedRate::Unlimited => None,
             StatedRate::Limited(rate) => Some(rate),
         };
-        if sent <= self.rate_heard && raises(self.rate(), rate) {
+        if sent <= self.rate_heard_at && raises(self.rate(), rate) {
             return false;
         }
-        self.rate_heard = now;
+        self.rate_heard_at = now;
         self.set_rate(rate, part, now)
     }
 
     /// Records that a peer heard the server state a rate, or none, at `heard`. Returns what that
     /// does to what is known.
-    pub(crate) fn hear_peer(
+    pub(crate) fn apply_report(
         &mut self,
         rate: Option<RequestRate>,
         part: impl FnOnce(RequestRate) -> f64,
         heard: Duration,
         now: Duration,
     ) -> ReportEffect {
-        if heard <= self.rate_heard && rate != self.rate() {
+        if heard <= self.rate_heard_at && rate != self.rate() {
             return ReportEffect::Outdated;
         }
-        self.rate_heard = self.rate_heard.max(heard);
+        self.rate_heard_at = self.rate_heard_at.max(heard);
         if self.set_rate(rate, part, now) {
-            ReportEffect::News
+            ReportEffect::Changed
         } else {
             ReportEffect::Known
         }
     }
 
     /// Returns when the rate, or that there is none, was last heard.
-    pub(crate) fn rate_heard(&self) -> Duration {
-        self.rate_heard
+    pub(crate) fn rate_heard_at(&self) -> Duration {
+        self.rate_heard_at
     }
 
     /// Sets the rate. Returns whether it is another one.
@@ -96,15 +96,15 @@
 
     /// Records that the server wants nothing from this instance for a while. Nothing that it
     /// answers meanwhile shortens that. Returns whether that is news.
-    pub(crate) fn rest(&mut self, span: Duration, now: Duration) -> bool {
+    pub(crate) fn back_off(&mut self, span: Duration, now: Duration) -> bool {
         let until = now + span;
-        let news = until > self.rests_until;
-        self.rests_until = self.rests_until.max(until);
+        let news = until > self.backoff_until;
+        self.backoff_until = self.backoff_until.max(until);
         news
     }
 
     /// Works out anew what this instance's part of the rate is.
-    pub(crate) fn set_part(
+    pub(crate) fn update_share(
         &mut self,
         part: impl FnOnce(RequestRate) -> f64,
         now: Duration,
@@ -122,19 +122,20 @@
     }
 
     /// Returns whether the server wants nothing from this instance now.
-    pub(crate) fn rests(&self, now: Duration) -> bool {
-        now < self.rests_until
+    pub(crate) fn is_backing_off(&self, now: Duration) -> bool {
+        now < self.backoff_until
     }
 
     /// Returns whether a request may be sent now.
-    pub(crate) fn is_open(&self, now: Duration) -> bool {
-        !self.rests(now) && self.limit.as_ref().is_none_or(|limit| limit.is_ready(now))
+    pub(crate) fn is_ready(&self, now: Duration) -> bool {
+        !self.is_backing_off(now)
+            && self.limit.as_ref().is_none_or(|limit| limit.is_ready(now))
     }
 
     /// Returns when a request may be sent; nothing if that can't be told.
-    pub(crate) fn opens_at(&self, now: Duration) -> Option<Duration> {
+    pub(crate) fn ready_at(&self, now: Duration) -> Option<Duration> {
         let ready = self.limit.as_ref().map_or(Some(now), |limit| limit.ready_at(now))?;
-        Some(ready.max(self.rests_until))
+        Some(ready.max(self.backoff_until))
     }
 
     /// Counts a request against what may be sent. Returns whether it may be.
--- a/crates/flaxtide-policy/src/pushback/statement.rs
+++ b/crates/flaxtide-policy/src/pushback/statement.rs
@@ -69,5 +69,5 @@
     /// Whether it is leaving.
     pub leaving: bool,
     /// For how long it wants nothing from this instance.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
 }
--- a/crates/flaxtide-policy/src/quarantine/log.rs
+++ b/crates/flaxtide-policy/src/quarantine/log.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::fingerprint::Fingerprint;
-use super::report::{CrashReport, ServerStart};
+use super::report::{CrashReport, IncarnationKey};
 use super::suspect::{Suspect, Weight};
 use crate::router::CallProgress;
 
@@ -47,7 +47,7 @@
     /// The requests that ran on servers that ended.
     suspects: HashMap<Fingerprint, Suspect>,
     /// Which of them ran on each server.
-    company: HashMap<ServerStart, Vec<Fingerprint>>,
+    company: HashMap<IncarnationKey, Vec<Fingerprint>>,
 }
 
 impl CrashLog {
@@ -56,7 +56,7 @@
     pub fn record(
         &mut self,
         fingerprint: Fingerprint,
-        server: ServerStart,
+        server: IncarnationKey,
         progress: CallProgress,
         now: Duration,
     ) -> Option<CrashReport> {
@@ -118,7 +118,7 @@
             return false;
         }
         let moments =
-            |explained: &dyn Fn(ServerStart) -> bool| suspect.moments(explained);
+            |explained: &dyn Fn(IncarnationKey) -> bool| suspect.moments(explained);
         moments(&|_| false) >= CRASH_LIMIT_IN_COMPANY
             || moments(&|server| self.explains(server, weight)) >= CRASH_LIMIT
     }
@@ -126,7 +126,7 @@
     /// Returns whether more speaks against another request that ran on a server: that one
     /// accounts for the server's end then. Without this, each request that ran beside three
     /// that crash servers would be taken for one of them.
-    fn explains(&self, server: ServerStart, weight: Weight) -> bool {
+    fn explains(&self, server: IncarnationKey, weight: Weight) -> bool {
         let company = self.company.get(&server).into_iter().flatten();
         let mut suspects = company.filter_map(|other| self.suspects.get(other));
         suspects.any(|other| other.weight() > weight)
@@ -140,7 +140,7 @@
 
     /// Returns how many requests ran on servers that ended.
     #[must_use]
-    pub fn suspects(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
--- a/crates/flaxtide-policy/src/quarantine/mod.rs
+++ b/crates/flaxtide-policy/src/quarantine/mod.rs
@@ -12,4 +12,4 @@
 
 pub use self::fingerprint::{Fingerprint, request_fingerprint};
 pub use self::log::CrashLog;
-pub use self::report::{CrashReport, ServerStart};
+pub use self::report::{CrashReport, IncarnationKey};
--- a/crates/flaxtide-policy/src/quarantine/report.rs
+++ b/crates/flaxtide-policy/src/quarantine/report.rs
@@ -5,7 +5,7 @@
 use super::fingerprint::Fingerprint;
 
 /// Stands for one start of a backend server: its name and when it started.
-pub type ServerStart = u32;
+pub type IncarnationKey = u32;
 
 /// A backend server ended while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -13,7 +13,7 @@
     /// The request.
     pub fingerprint: Fingerprint,
     /// The server.
-    pub server: ServerStart,
+    pub server: IncarnationKey,
     /// How long ago the server ended, in milliseconds.
     pub age_ms: u32,
     /// For how long the request had been at the server then, in milliseconds.
--- a/crates/flaxtide-policy/src/quarantine/suspect.rs
+++ b/crates/flaxtide-policy/src/quarantine/suspect.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::report::{CrashReport, ServerStart};
+use super::report::{CrashReport, IncarnationKey};
 
 /// Servers that end within this time of each other, each with a copy of the request, may end for
 /// a common cause, such as the power of their rack.
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Suspect {
     /// The servers.
-    crashes: BTreeMap<ServerStart, SeenCrash>,
+    crashes: BTreeMap<IncarnationKey, SeenCrash>,
     /// When the request was last seen.
     seen: Duration,
 }
@@ -88,12 +88,12 @@
     }
 
     /// Returns the servers that ended under it.
-    pub(super) fn servers(&self) -> impl Iterator<Item = ServerStart> + '_ {
+    pub(super) fn servers(&self) -> impl Iterator<Item = IncarnationKey> + '_ {
         self.crashes.keys().copied()
     }
 
     /// Returns the servers, and whether each end is cleared.
-    pub(super) fn marks(&self) -> impl Iterator<Item = (ServerStart, bool)> + '_ {
+    pub(super) fn marks(&self) -> impl Iterator<Item = (IncarnationKey, bool)> + '_ {
         self.crashes.iter().map(|(server, crash)| (*server, crash.cleared))
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// Returns at how many moments servers ended that nothing else explains.
-    pub(super) fn moments(&self, explained: impl Fn(ServerStart) -> bool) -> usize {
+    pub(super) fn moments(&self, explained: impl Fn(IncarnationKey) -> bool) -> usize {
         let open = self.crashes.iter().filter(|(_, crash)| !crash.cleared);
         let open = open.filter(|(server, _)| !explained(**server));
         let mut crashes: Vec<&SeenCrash> = open.map(|(_, crash)| crash).collect();
--- a/crates/flaxtide-policy/src/router/choose.rs
+++ b/crates/flaxtide-policy/src/router/choose.rs
@@ -104,7 +104,7 @@
             .iter()
             .copied()
             .filter(|server| !call.excluded.contains(&server.facts.server))
-            .filter(|server| server.pushback.is_open(now))
+            .filter(|server| server.pushback.is_ready(now))
             .collect();
         let lane = state.split.lane(call.call.prompt.tokens, &self.options, now);
         let well = self.well(&usable, now);
--- a/crates/flaxtide-policy/src/router/mod.rs
+++ b/crates/flaxtide-policy/src/router/mod.rs
@@ -190,7 +190,7 @@
                     let mut fresh = ServerState::new(server.clone(), guess, now);
                     fresh.pushback = self.unlisted.take(server.server);
                     let part = |rate| own_part(self.group.as_deref(), server, rate);
-                    fresh.pushback.set_part(part, now);
+                    fresh.pushback.update_share(part, now);
                     state.servers.insert(server.server, fresh);
                 }
             }
--- a/crates/flaxtide-policy/src/router/pushback.rs
+++ b/crates/flaxtide-policy/src/router/pushback.rs
@@ -49,8 +49,8 @@
                 continue;
             }
             let facts = &server.facts;
-            let part = |rate| group.rate_part(facts.rank, facts.data_centre, rate);
-            server.pushback.set_part(part, now);
+            let part = |rate| group.rate_share(facts.rank, facts.data_centre, rate);
+            server.pushback.update_share(part, now);
         }
         self.group = Some(group);
     }
@@ -68,10 +68,10 @@
         let server = find_server(&mut self.pools, server)?;
         let part = |rate| own_part(group, &server.facts, rate);
         let pushback = &mut server.pushback;
-        let rest = statement.rest.map(|rest| rest.min(self.options.longest_rest));
-        let rests = rest.filter(|rest| pushback.rest(*rest, now));
-        let restated = pushback.hear_rate(statement.rate, part, sent, now);
-        let (rate, part) = (pushback.rate(), pushback.part());
+        let rest = statement.backoff.map(|rest| rest.min(self.options.longest_rest));
+        let rests = rest.filter(|rest| pushback.back_off(*rest, now));
+        let restated = pushback.apply_statement(statement.rate, part, sent, now);
+        let (rate, part) = (pushback.rate(), pushback.share());
         (restated || rests.is_some()).then_some(StatementNote {
             rate,
             part,
@@ -92,7 +92,7 @@
         let group = self.group.as_deref();
         let server = find_server(&mut self.pools, server)?;
         let part = |rate| own_part(group, &server.facts, rate);
-        Some(server.pushback.hear_peer(rate, part, heard, now))
+        Some(server.pushback.apply_report(rate, part, heard, now))
     }
 
     /// Returns the rate that a server states, or none, and when that was last heard; nothing if
@@ -104,7 +104,7 @@
     ) -> Option<(Option<RequestRate>, Duration)> {
         let mut pools = self.pools.values();
         let server = pools.find_map(|pool| pool.servers.get(&server))?;
-        Some((server.pushback.rate(), server.pushback.rate_heard()))
+        Some((server.pushback.rate(), server.pushback.rate_heard_at()))
     }
 
     /// Returns how many servers state a rate, and how many want nothing from this instance now.
@@ -113,7 +113,7 @@
         let mut count = PushbackCount::default();
         for server in self.pools.values().flat_map(|pool| pool.servers.values()) {
             count.limited += usize::from(server.pushback.rate().is_some());
-            count.resting += usize::from(server.pushback.rests(now));
+            count.resting += usize::from(server.pushback.is_backing_off(now));
         }
         count
     }
@@ -127,7 +127,7 @@
         let Some(server) = pool.and_then(|pool| pool.servers.get_mut(&server)) else {
             return false;
         };
-        if !server.facts.in_service() || server.pushback.rests(now) {
+        if !server.facts.in_service() || server.pushback.is_backing_off(now) {
             return false;
         }
         let counted = call.counted || server.pushback.rate().is_none();
@@ -146,7 +146,7 @@
         });
         let mut first = None;
         for server in usable {
-            let Some(at) = server.pushback.opens_at(now) else { continue };
+            let Some(at) = server.pushback.ready_at(now) else { continue };
             if at <= now {
                 return ServerOpening::Now;
             }
@@ -216,5 +216,5 @@
     facts: &RoutedServer,
     rate: RequestRate,
 ) -> f64 {
-    group.map_or(0.0, |group| group.rate_part(facts.rank, facts.data_centre, rate))
+    group.map_or(0.0, |group| group.rate_share(facts.rank, facts.data_centre, rate))
 }
--- a/crates/flaxtide-policy/tests/pushback.rs
+++ b/crates/flaxtide-policy/tests/pushback.rs
@@ -25,7 +25,7 @@
 /// Says that a server wants nothing for a while.
 fn rest(millis: u64) -> ServerStatement {
     ServerStatement {
-        rest: Some(ms(millis)),
+        backoff: Some(ms(millis)),
         ..ServerStatement::default()
     }
 }
@@ -38,7 +38,11 @@
 /// The only instance.
 fn alone() -> Arc<InstanceGroup> {
     let own = GroupMember { instance: 1, data_centre: 0 };
-    Arc::new(InstanceGroup { own, members: vec![own], others: vec![] })
+    Arc::new(InstanceGroup {
+        own,
+        members: vec![own],
+        other_data_centres: vec![],
+    })
 }
 
 /// Starts a core of the only instance.
@@ -212,7 +216,11 @@
     let member = |instance| GroupMember { instance, data_centre: 0 };
     let group = |members: u32| {
         let members = (1..=members).map(member).collect();
-        Arc::new(InstanceGroup { own: member(1), members, others: vec![] })
+        Arc::new(InstanceGroup {
+            own: member(1),
+            members,
+            other_data_centres: vec![],
+        })
     };
     let mut core = core_with(1);
     core.set_group(group(2), ms(0));
--- a/crates/flaxtide-policy/tests/pushback_merge.rs
+++ b/crates/flaxtide-policy/tests/pushback_merge.rs
@@ -83,11 +83,11 @@
     let limited = StatedRate::Limited(RequestRate::from_per_second(2.0).unwrap());
     let tell = |stated, until: u64| {
         let mut schedule = ReportSchedule::default();
-        schedule.record_told(1, stated, seconds(0));
+        schedule.record_sent(1, stated, seconds(0));
         let told = (1..until).filter(|second| {
             let due = schedule.is_due(1, stated, seconds(*second));
             if due {
-                schedule.record_told(1, stated, seconds(*second));
+                schedule.record_sent(1, stated, seconds(*second));
             }
             schedule.expire(seconds(*second));
             due
--- a/crates/flaxtide-policy/tests/quarantine.rs
+++ b/crates/flaxtide-policy/tests/quarantine.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-use flaxtide_policy::{CallProgress, CrashLog, CrashReport, Fingerprint, ServerStart};
+use flaxtide_policy::{CallProgress, CrashLog, CrashReport, Fingerprint, IncarnationKey};
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -21,7 +21,7 @@
 }
 
 /// What happens to a request: (request, server, sent, ended, begun), times in milliseconds.
-type Crash = (Fingerprint, ServerStart, u64, u64, bool);
+type Crash = (Fingerprint, IncarnationKey, u64, u64, bool);
 
 /// A log that has seen crashes, in their order.
 fn log_of(crashes: &[Crash]) -> CrashLog {
@@ -186,7 +186,7 @@
         log.record(100 + u128::from(request), 50 + request, progress, now);
     }
     assert!(log.is_quarantined(CULPRIT));
-    assert!(log.suspects() <= 1024);
+    assert!(log.suspect_count() <= 1024);
 }
 
 /// Two hundred seconds of eighteen engines with twenty requests each, and culprits that come at
@@ -306,6 +306,6 @@
             right.apply(report, now);
         }
         prop_assert_eq!(left.digest(), right.digest());
-        prop_assert_eq!(left.suspects(), right.suspects());
+        prop_assert_eq!(left.suspect_count(), right.suspect_count());
     }
 }
