--- a/crates/flaxtide-entry/src/feed.rs
+++ b/crates/flaxtide-entry/src/feed.rs
@@ -92,10 +92,10 @@
             }
             FeedEvent::PeerReads(reads) => take_peer_reads(&state, &reads),
             FeedEvent::Crashes(reports) => {
-                state.quarantine.apply_reports(&state, &reports)
+                state.quarantine.apply_reports(&state, &reports);
             }
             FeedEvent::Pushback(reports) => {
-                state.pushback.apply_reports(&state, &reports)
+                state.pushback.apply_reports(&state, &reports);
             }
             FeedEvent::Fleet { live, newest_rules, knows_crashes, group } => {
                 state.quarantine.set_synced(knows_crashes);
