--- a/crates/flaxtide-policy/src/router/mod.rs
+++ b/crates/flaxtide-policy/src/router/mod.rs
@@ -10,13 +10,13 @@
 mod lane;
 mod load;
 mod options;
-mod pace;
+mod prefill_log;
+mod prefill_rate;
 mod pushback;
-mod read;
 mod retry;
 mod server;
 mod shed;
-mod standstill;
+mod stall;
 mod wait;
 
 use std::collections::{BTreeMap, HashMap};
@@ -31,16 +31,16 @@
 pub use self::choose::{PartFetch, RouteChoice, RouteReason};
 pub use self::load::{LevelTokens, PeerKey, PeerLoad, ServerLoad, URGENCY_LEVELS};
 pub use self::options::RouteOptions;
+pub use self::prefill_log::PrefillRecord;
 pub use self::pushback::{PushbackCount, StatementChange};
-pub use self::read::PrefillRecord;
 pub use self::retry::RetryDecision;
 pub use self::server::{EngineShape, RoutedServer};
 
 use self::budget::RetryWindow;
 use self::call::{CallPlace, RoutedCall};
 use self::lane::LaneSplit;
+use self::prefill_log::ReadLog;
 use self::pushback::own_part;
-use self::read::ReadLog;
 use self::server::ServerState;
 use self::shed::ShedOdds;
 use crate::pushback::{InstanceGroup, UnlistedPushback};
--- a/crates/flaxtide-policy/src/router/server.rs
+++ b/crates/flaxtide-policy/src/router/server.rs
@@ -8,7 +8,7 @@
 use super::call::{PartKey, PromptShape};
 use super::health::ServerHealth;
 use super::load::LoadCount;
-use super::pace::ReadPace;
+use super::prefill_rate::ReadPace;
 use crate::pushback::{DataCentreKey, ServerPushback};
 
 /// How many prompt parts are remembered of one server.
