--- a/crates/flaxtide-policy/src/router/budget.rs
+++ b/crates/flaxtide-policy/src/router/budget.rs
@@ -26,24 +26,24 @@
     /// Requests that came.
     arrived: u32,
     /// Repeats.
-    repeats: u32,
+    retries: u32,
 }
 
 impl RetryWindow {
     /// Counts a request that came.
-    pub(crate) fn arrive(&mut self, now: Duration) {
+    pub(crate) fn record_arrival(&mut self, now: Duration) {
         self.current(now).arrived += 1;
     }
 
     /// Pays for a repeat, if the budget allows it.
-    pub(crate) fn spend(&mut self, ratio: f64, slack: f64, now: Duration) -> bool {
+    pub(crate) fn try_spend(&mut self, ratio: f64, slack: f64, now: Duration) -> bool {
         self.current(now);
         let arrived: u32 = self.steps.iter().map(|step| step.arrived).sum();
-        let repeats: u32 = self.steps.iter().map(|step| step.repeats).sum();
-        if f64::from(repeats + 1) > ratio * f64::from(arrived) + slack {
+        let retries: u32 = self.steps.iter().map(|step| step.retries).sum();
+        if f64::from(retries + 1) > ratio * f64::from(arrived) + slack {
             return false;
         }
-        self.current(now).repeats += 1;
+        self.current(now).retries += 1;
         true
     }
 
--- a/crates/flaxtide-policy/src/router/call.rs
+++ b/crates/flaxtide-policy/src/router/call.rs
@@ -132,30 +132,30 @@
 #[derive(Debug, Clone)]
 pub(crate) struct RoutedCall {
     /// What came.
-    pub(crate) call: RouteCall,
+    pub(crate) details: RouteCall,
     /// Where it is.
-    pub(crate) place: CallPlace,
+    pub(crate) phase: CallPhase,
     /// The servers that have failed it.
     pub(crate) excluded: Vec<ServerId>,
     /// How often it was sent.
     pub(crate) sends: u32,
     /// For how long this instance has stood still since it was sent.
-    pub(crate) stood_still: Duration,
+    pub(crate) stalled_for: Duration,
     /// Whether its next try is paid for.
-    pub(crate) granted: bool,
+    pub(crate) retry_granted: bool,
     /// Whether its present server's rate, if it states one, has room for it.
-    pub(crate) counted: bool,
+    pub(crate) rate_counted: bool,
     /// On how many servers it may have run, the present one not counted.
     pub(crate) runs: u32,
     /// How many prompt tokens the present server must read, about.
     pub(crate) uncached: u32,
     /// How many prompt tokens are read there before its first token, its own included.
-    pub(crate) ahead: f64,
+    pub(crate) tokens_ahead: f64,
 }
 
 /// Where a request is.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum CallPlace {
+pub(crate) enum CallPhase {
     /// It waits for a server.
     Waiting,
     /// It was sent to a server.
@@ -165,7 +165,7 @@
         /// When it was sent.
         since: Duration,
         /// When the first of the answer came.
-        heard: Option<Duration>,
+        answered_at: Option<Duration>,
     },
 }
 
@@ -180,26 +180,26 @@
 
 impl RoutedCall {
     /// Starts with a request that waits.
-    pub(crate) fn new(call: RouteCall) -> Self {
+    pub(crate) fn new(details: RouteCall) -> Self {
         Self {
-            call,
-            place: CallPlace::Waiting,
+            details,
+            phase: CallPhase::Waiting,
             excluded: vec![],
             sends: 0,
-            stood_still: Duration::ZERO,
-            granted: false,
-            counted: false,
+            stalled_for: Duration::ZERO,
+            retry_granted: false,
+            rate_counted: false,
             runs: 0,
             uncached: 0,
-            ahead: 0.0,
+            tokens_ahead: 0.0,
         }
     }
 
     /// Takes in that something came. Returns whether it was the first.
-    pub(crate) fn hear(&mut self, now: Duration) -> bool {
-        match &mut self.place {
-            CallPlace::Running { heard: heard @ None, .. } => {
-                *heard = Some(now);
+    pub(crate) fn record_data(&mut self, now: Duration) -> bool {
+        match &mut self.phase {
+            CallPhase::Running { answered_at: answered_at @ None, .. } => {
+                *answered_at = Some(now);
                 true
             }
             _ => false,
@@ -208,16 +208,16 @@
 
     /// Returns how far it has come at its server; nothing while it waits.
     pub(crate) fn progress(&self) -> Option<CallProgress> {
-        match self.place {
-            CallPlace::Running { since, heard, .. } => {
-                Some(CallProgress { sent: since, begun: heard.is_some() })
+        match self.phase {
+            CallPhase::Running { since, answered_at, .. } => {
+                Some(CallProgress { sent: since, begun: answered_at.is_some() })
             }
-            CallPlace::Waiting => None,
+            CallPhase::Waiting => None,
         }
     }
 
     /// Tells whether anything of the answer has come.
     pub(crate) fn begun(&self) -> bool {
-        matches!(self.place, CallPlace::Running { heard: Some(_), .. })
+        matches!(self.phase, CallPhase::Running { answered_at: Some(_), .. })
     }
 }
--- a/crates/flaxtide-policy/src/router/choose.rs
+++ b/crates/flaxtide-policy/src/router/choose.rs
@@ -6,7 +6,7 @@
 
 use super::RouteCore;
 use super::call::PromptShape;
-use super::health::FAILING_PART;
+use super::health::OUTLIER_MARGIN;
 use super::lane::{LaneSplit, PromptLane, in_lane};
 use super::server::ServerState;
 use crate::rendezvous::rendezvous_weight;
@@ -15,13 +15,13 @@
 const LAPSED_COST_MS: f64 = 500.0;
 
 /// The time of a plain call before any is known, in milliseconds.
-const PLAIN_CALL_MS: f64 = 60.0;
+const PLAIN_CALL_GUESS_MS: f64 = 60.0;
 
 /// Over how many milliseconds of cost calls of plain services are spread. More than a server of
 /// another data centre costs, so that a data centre with few servers isn't crowded: 295
 /// instances before nine servers at 85 % of what these can do answer .98 of the calls in
 /// time, and .80 if each takes the first of those that seem alike (`flaxtide-lab`).
-const PLAIN_SPREAD_MS: f64 = 4.0;
+const PLAIN_JITTER_MS: f64 = 4.0;
 
 /// The seed of the order in which engines are given to long prompts.
 const LANE_SEED: u64 = 0x6c61_6e65;
@@ -46,7 +46,7 @@
     /// How many servers could have been chosen.
     pub eligible: usize,
     /// How many prompt tokens it reads before the first token, about.
-    pub ahead: f64,
+    pub tokens_ahead: f64,
 }
 
 /// A part of a prompt that an engine takes over from another's memory.
@@ -86,7 +86,7 @@
     /// The requests known to be at it.
     running: u32,
     /// How many prompt tokens it reads before the first token.
-    ahead: f64,
+    tokens_ahead: f64,
 }
 
 impl RouteCore {
@@ -99,44 +99,43 @@
     ) -> Option<RouteChoice> {
         let call = self.calls.get(&request)?;
         let state = self.pools.get(&pool)?;
-        let staying: Vec<&ServerState> = self.staying(pool);
-        let usable: Vec<&ServerState> = staying
+        let active: Vec<&ServerState> = self.active_servers(pool);
+        let usable: Vec<&ServerState> = active
             .iter()
             .copied()
             .filter(|server| !call.excluded.contains(&server.facts.server))
             .filter(|server| server.pushback.is_open(now))
             .collect();
-        let lane = state.split.lane(call.call.prompt.tokens, &self.options, now);
-        let well = self.well(&usable, now);
-        let laned = self.laned(&staying, &well, &state.split, lane, now);
-        for group in [&laned, &well] {
-            let best = self.cheapest(group, &well, request, now);
+        let lane = state.split.lane(call.details.prompt.tokens, &self.options, now);
+        let healthy = self.healthy_servers(&usable, now);
+        let preferred = self.lane_servers(&active, &healthy, &state.split, lane, now);
+        for group in [&preferred, &healthy] {
+            let best = self.cheapest(group, &healthy, request, now);
             if let Some((best, reason)) = best {
-                return Some(answer(&best, reason, group.len()));
+                return Some(build_choice(&best, reason, group.len()));
             }
         }
-        if !well.is_empty() {
+        if !healthy.is_empty() {
             return None;
         }
         let (best, _) = self.cheapest(&usable, &[], request, now)?;
-        Some(answer(&best, RouteReason::LastResort, usable.len()))
+        Some(build_choice(&best, RouteReason::LastResort, usable.len()))
     }
 
     /// Returns the servers of a pool that may get work, in the order that all instances
     /// agree on.
-    pub(super) fn staying(&self, pool: PoolId) -> Vec<&ServerState> {
+    pub(super) fn active_servers(&self, pool: PoolId) -> Vec<&ServerState> {
         let Some(state) = self.pools.get(&pool) else { return vec![] };
         let servers = state.servers.values();
-        let mut staying: Vec<&ServerState> =
+        let mut active: Vec<&ServerState> =
             servers.filter(|server| server.facts.in_service()).collect();
-        staying
-            .sort_by_key(|server| rendezvous_weight(LANE_SEED, server.facts.name_hash));
-        staying
+        active.sort_by_key(|server| rendezvous_weight(LANE_SEED, server.facts.name_hash));
+        active
     }
 
     /// Returns the servers that answer as their pool does. Servers that fail more than
     /// others are used all the same where too many do.
-    pub(super) fn well<'a>(
+    pub(super) fn healthy_servers<'a>(
         &self,
         usable: &[&'a ServerState],
         now: Duration,
@@ -144,7 +143,7 @@
         let answering: Vec<&ServerState> = usable
             .iter()
             .copied()
-            .filter(|server| self.answers(server, now))
+            .filter(|server| self.is_answering(server, now))
             .collect();
         let mut failures: Vec<f64> =
             answering.iter().map(|server| server.health.failures()).collect();
@@ -153,43 +152,45 @@
         let right: Vec<&ServerState> = answering
             .iter()
             .copied()
-            .filter(|server| server.health.failures() <= typical + FAILING_PART)
+            .filter(|server| server.health.failures() <= typical + OUTLIER_MARGIN)
             .collect();
         let least = usable.len() as f64 * (1.0 - self.options.ejected_part);
         if (right.len() as f64) < least { answering } else { right }
     }
 
     /// Tells whether a server answers at all.
-    fn answers(&self, server: &ServerState, now: Duration) -> bool {
+    fn is_answering(&self, server: &ServerState, now: Duration) -> bool {
         let expected =
             Duration::from_secs_f64(self.backlog_ms(server, u8::MAX, now) / 1000.0);
-        let streams = server.load.streams(&self.calls);
+        let streams = server.load.has_streams(&self.calls);
         let waiting = server.load.waiting_since(&self.calls);
-        server.health.is_well(streams, waiting, expected, now, &self.options)
+        server
+            .health
+            .is_healthy(streams, waiting, expected, now, &self.options)
     }
 
     /// Returns those servers that belong to a lane.
-    fn laned<'a>(
+    fn lane_servers<'a>(
         &self,
-        staying: &[&'a ServerState],
-        well: &[&'a ServerState],
+        active: &[&'a ServerState],
+        healthy: &[&'a ServerState],
         split: &LaneSplit,
         lane: PromptLane,
         now: Duration,
     ) -> Vec<&'a ServerState> {
         if lane == PromptLane::Any {
-            return well.to_vec();
+            return healthy.to_vec();
         }
-        let count = staying.len();
-        let part = self.long_part(split, staying, now);
-        let places = staying.iter().enumerate();
+        let count = active.len();
+        let part = self.long_part(split, active, now);
+        let places = active.iter().enumerate();
         let members = places.filter(|(place, _)| in_lane(lane, *place, count, part));
-        let wells = |server: &ServerState| {
-            well.iter().any(|other| other.facts.server == server.facts.server)
+        let is_member_healthy = |server: &ServerState| {
+            healthy.iter().any(|other| other.facts.server == server.facts.server)
         };
         members
             .map(|(_, server)| *server)
-            .filter(|server| wells(server))
+            .filter(|server| is_member_healthy(server))
             .collect()
     }
 
@@ -198,27 +199,27 @@
     fn long_part(
         &self,
         split: &LaneSplit,
-        staying: &[&ServerState],
+        active: &[&ServerState],
         now: Duration,
     ) -> f64 {
         let short = |server: &&ServerState| server.load.short_running(&self.options, now);
-        let short: u32 = staying.iter().map(short).sum();
-        let slots: u32 = staying.iter().map(|server| server.facts.slots).sum();
+        let short: u32 = active.iter().map(short).sum();
+        let slots: u32 = active.iter().map(|server| server.facts.slots).sum();
         let meant = f64::from(slots.max(1)) * self.options.short_fill;
         let left = 1.0 - f64::from(short) / meant;
         // The fastest is the one that reads least beside others.
-        let paces = staying.iter().map(|server| server.pace.get(now));
-        let pace = paces.fold(0.0, f64::max);
-        let most = split.most_long(pace, &self.options);
+        let rates = active.iter().map(|server| server.prefill_rate.tokens_per_ms(now));
+        let fastest = rates.fold(0.0, f64::max);
+        let most = split.max_long_part(fastest, &self.options);
         let usual = left.clamp(self.options.least_long_part.min(most), most);
-        usual.max(self.burst_part(staying, short, slots, now))
+        usual.max(self.burst_part(active, short, slots, now))
     }
 
     /// Returns the part of the engines that long prompts need for those that are at engines now,
     /// as far as the short ones can do with the rest.
     fn burst_part(
         &self,
-        staying: &[&ServerState],
+        active: &[&ServerState],
         short: u32,
         slots: u32,
         now: Duration,
@@ -227,7 +228,7 @@
             return 0.0;
         }
         let running = |server: &&ServerState| server.load.running(&self.options, now);
-        let running: u32 = staying.iter().map(running).sum();
+        let running: u32 = active.iter().map(running).sum();
         let slots = f64::from(slots.max(1));
         let needed = f64::from(running - short) / (slots * self.options.long_fill);
         let left = 1.0 - f64::from(short) / (slots * self.options.short_most_fill);
@@ -243,26 +244,32 @@
         request: RequestId,
         now: Duration,
     ) -> Option<(Candidate<'a>, RouteReason)> {
-        let call = &self.calls.get(&request)?.call;
-        let homes = homes(&call.prompt, servers);
-        let holder = self.holder(&call.prompt, sources, now);
-        let span_ms = self.span_ms(call.pool);
-        let refusal_ms = self.refusal_ms(call.pool, now);
-        let shared = call.prompt.shared_tokens();
-        let own = call.prompt.tokens.saturating_sub(shared);
+        let details = &self.calls.get(&request)?.details;
+        let home_servers = home_servers(&details.prompt, servers);
+        let fetch_source = self.fetch_source(&details.prompt, sources, now);
+        let service_ms = self.service_ms(details.pool);
+        let refusal_cost_ms = self.refusal_cost_ms(details.pool, now);
+        let shared = details.prompt.shared_tokens();
+        let own = details.prompt.tokens.saturating_sub(shared);
         let candidates =
             servers
                 .iter()
                 .filter(|server| self.has_room(server, now))
                 .map(|server| {
-                    let kept = self.kept(&call.prompt, server, now);
-                    let fetch = self.fetch(server, kept, holder);
-                    let taken = fetch.map_or(0, |fetch| fetch.tokens);
-                    let uncached = call.prompt.tokens.saturating_sub(kept + taken);
-                    let mut candidate =
-                        self.candidate(server, uncached, fetch, call.level, span_ms, now);
+                    let cached = self.cached_tokens(&details.prompt, server, now);
+                    let fetch = self.fetch(server, cached, fetch_source);
+                    let fetched = fetch.map_or(0, |fetch| fetch.tokens);
+                    let uncached = details.prompt.tokens.saturating_sub(cached + fetched);
+                    let mut candidate = self.candidate(
+                        server,
+                        uncached,
+                        fetch,
+                        details.level,
+                        service_ms,
+                        now,
+                    );
                     // What shares a prompt's parts goes to the same homes, from all instances.
-                    let again = match homes
+                    let reread = match home_servers
                         .iter()
                         .position(|home| *home == server.facts.server)
                     {
@@ -270,20 +277,21 @@
                         Some(_) => uncached.saturating_sub(own).min(shared / 2),
                         None => uncached.saturating_sub(own),
                     };
-                    candidate.cost_ms += self.spread_ms(server, request);
-                    if refusal_ms > 0.0 {
-                        let strangeness = server.health.strangeness(now, &self.options);
-                        candidate.cost_ms += refusal_ms * strangeness;
+                    candidate.cost_ms += self.jitter_ms(server, request);
+                    if refusal_cost_ms > 0.0 {
+                        let uncertainty = server.health.uncertainty(now, &self.options);
+                        candidate.cost_ms += refusal_cost_ms * uncertainty;
                     }
-                    let again_ms = f64::from(again) / server.pace.get(now);
-                    candidate.cost_ms += self.options.reread_weight * again_ms;
+                    let reread_ms =
+                        f64::from(reread) / server.prefill_rate.tokens_per_ms(now);
+                    candidate.cost_ms += self.options.reread_weight * reread_ms;
                     candidate
                 });
         let best =
             candidates.min_by(|one, other| one.cost_ms.total_cmp(&other.cost_ms))?;
-        let reason = if homes.first() == Some(&best.server.facts.server) {
+        let reason = if home_servers.first() == Some(&best.server.facts.server) {
             RouteReason::Home
-        } else if best.uncached < call.prompt.tokens {
+        } else if best.uncached < details.prompt.tokens {
             RouteReason::Cached
         } else {
             RouteReason::Cheapest
@@ -292,23 +300,28 @@
     }
 
     /// Returns how many tokens of a prompt a server is known to keep.
-    fn kept(&self, prompt: &PromptShape, server: &ServerState, now: Duration) -> u32 {
-        server.kept_tokens(prompt, self.options.cache_life, now)
+    fn cached_tokens(
+        &self,
+        prompt: &PromptShape,
+        server: &ServerState,
+        now: Duration,
+    ) -> u32 {
+        server.cached_tokens(prompt, self.options.cache_life, now)
     }
 
     /// Returns which server keeps most of a prompt's shared parts, and how many tokens.
-    fn holder(
+    fn fetch_source(
         &self,
         prompt: &PromptShape,
         servers: &[&ServerState],
         now: Duration,
     ) -> Option<PartFetch> {
         let shared = prompt.shared_tokens();
-        let kept = servers.iter().map(|server| PartFetch {
+        let cached = servers.iter().map(|server| PartFetch {
             from: server.facts.server,
-            tokens: self.kept(prompt, server, now).min(shared),
+            tokens: self.cached_tokens(prompt, server, now).min(shared),
         });
-        let most = kept.max_by_key(|fetch| fetch.tokens)?;
+        let most = cached.max_by_key(|fetch| fetch.tokens)?;
         (most.tokens >= self.options.least_fetch).then_some(most)
     }
 
@@ -317,14 +330,14 @@
     fn fetch(
         &self,
         server: &ServerState,
-        kept: u32,
-        holder: Option<PartFetch>,
+        cached: u32,
+        fetch_source: Option<PartFetch>,
     ) -> Option<PartFetch> {
         server.facts.engine?.fetch_tokens_per_ms?;
-        let holder = holder?;
-        let tokens = holder.tokens.saturating_sub(kept);
+        let fetch_source = fetch_source?;
+        let tokens = fetch_source.tokens.saturating_sub(cached);
         (tokens >= self.options.least_fetch)
-            .then_some(PartFetch { from: holder.from, tokens })
+            .then_some(PartFetch { from: fetch_source.from, tokens })
     }
 
     /// Works out what a server costs that must read so many tokens.
@@ -334,13 +347,13 @@
         uncached: u32,
         fetch: Option<PartFetch>,
         level: u8,
-        span_ms: f64,
+        service_ms: f64,
         now: Duration,
     ) -> Candidate<'a> {
         let count = self.running(server, now);
         let running = f64::from(count);
         let mut cost_ms = 0.0;
-        let mut ahead = 0.0;
+        let mut tokens_ahead = 0.0;
         if !server.facts.local {
             cost_ms += self.options.far_cost_ms;
         }
@@ -349,18 +362,19 @@
         }
         let expected_ms = match server.facts.engine {
             Some(_) => {
-                ahead = self.backlog(server, level, now) + f64::from(uncached);
+                tokens_ahead = self.backlog(server, level, now) + f64::from(uncached);
                 cost_ms += running * self.options.running_cost_ms;
                 let fetch_ms = fetch_ms(server, fetch);
                 cost_ms += fetch_ms * (self.options.fetch_weight - 1.0);
                 let slots = f64::from(server.facts.slots.max(1));
                 let waiting = (running + 1.0 - slots).max(0.0);
-                let slot_ms = waiting * span_ms / slots * self.options.slot_wait_weight;
-                ahead / server.pace.get(now) + fetch_ms + slot_ms
+                let slot_ms =
+                    waiting * service_ms / slots * self.options.slot_wait_weight;
+                tokens_ahead / server.prefill_rate.tokens_per_ms(now) + fetch_ms + slot_ms
             }
             None => {
                 let slots = f64::from(server.facts.slots.max(1));
-                PLAIN_CALL_MS * (running + 1.0) / slots
+                PLAIN_CALL_GUESS_MS * (running + 1.0) / slots
             }
         };
         cost_ms += expected_ms;
@@ -371,33 +385,35 @@
             fetch,
             expected_ms,
             running: count,
-            ahead,
+            tokens_ahead,
         }
     }
 
     /// Returns how long a request is at a server of a pool on average, in milliseconds.
-    fn span_ms(&self, pool: PoolId) -> f64 {
-        let span = self.pools.get(&pool).and_then(|state| state.span.get());
+    fn service_ms(&self, pool: PoolId) -> f64 {
+        let span = self.pools.get(&pool).and_then(|state| state.service_time.get());
         span.unwrap_or_default() * 1000.0
     }
 
     /// Returns what it costs on average to send a request to a server of a pool of which nothing
     /// is known, as it may turn the request away, in milliseconds.
-    fn refusal_ms(&self, pool: PoolId, now: Duration) -> f64 {
-        let odds = self.pools.get(&pool).map_or(0.0, |state| state.shed.get(now));
-        odds * self.options.refused_cost_ms
+    fn refusal_cost_ms(&self, pool: PoolId, now: Duration) -> f64 {
+        let probability = self.pools.get(&pool).map_or(0.0, |state| state.shed.get(now));
+        probability * self.options.refused_cost_ms
     }
 
     /// Returns how long a server reads what it was sent before a new request of a level,
     /// in milliseconds.
     fn backlog_ms(&self, server: &ServerState, level: u8, now: Duration) -> f64 {
-        self.backlog(server, level, now) / server.pace.get(now)
+        self.backlog(server, level, now) / server.prefill_rate.tokens_per_ms(now)
     }
 
     /// Returns the prompt tokens that a server reads before a new request of a level.
     fn backlog(&self, server: &ServerState, level: u8, now: Duration) -> f64 {
-        let rate = server.pace.get(now);
-        server.load.unread(level, &self.calls, rate, &self.options, now)
+        let rate = server.prefill_rate.tokens_per_ms(now);
+        server
+            .load
+            .pending_prefill(level, &self.calls, rate, &self.options, now)
     }
 
     /// Tells whether a server has room for one more request.
@@ -408,12 +424,12 @@
 
     /// Returns what a plain server costs more or less for one request than for another, drawn
     /// by each instance for itself.
-    fn spread_ms(&self, server: &ServerState, request: RequestId) -> f64 {
+    fn jitter_ms(&self, server: &ServerState, request: RequestId) -> f64 {
         if server.facts.engine.is_some() {
             return 0.0;
         }
         let draw = rendezvous_weight(request ^ self.seed, server.facts.name_hash);
-        PLAIN_SPREAD_MS * draw as f64 / u64::MAX as f64
+        PLAIN_JITTER_MS * draw as f64 / u64::MAX as f64
     }
 
     /// Returns how many requests are taken to be at a server. A plain call is over before a
@@ -435,10 +451,10 @@
 
 /// How many servers are taken to keep the shared parts of a prompt: where it belongs, and
 /// where it goes while that one is busy.
-const HOMES: usize = 2;
+const HOME_SERVERS: usize = 2;
 
 /// Returns the servers to which prompts with the same shared parts go first.
-fn homes(prompt: &PromptShape, servers: &[&ServerState]) -> Vec<ServerId> {
+fn home_servers(prompt: &PromptShape, servers: &[&ServerState]) -> Vec<ServerId> {
     let Some(part) = prompt.shared_part() else { return vec![] };
     let mut ranked: Vec<(u64, ServerId)> = servers
         .iter()
@@ -447,12 +463,12 @@
         })
         .collect();
     ranked.sort_unstable_by(|one, other| other.cmp(one));
-    ranked.truncate(HOMES);
+    ranked.truncate(HOME_SERVERS);
     ranked.into_iter().map(|(_, server)| server).collect()
 }
 
 /// Makes the choice of a candidate.
-fn answer(
+fn build_choice(
     candidate: &Candidate<'_>,
     reason: RouteReason,
     eligible: usize,
@@ -466,6 +482,6 @@
         fetch: candidate.fetch,
         running: candidate.running,
         eligible,
-        ahead: candidate.ahead,
+        tokens_ahead: candidate.tokens_ahead,
     }
 }
--- a/crates/flaxtide-policy/src/router/lane.rs
+++ b/crates/flaxtide-policy/src/router/lane.rs
@@ -36,7 +36,7 @@
 
 impl LaneSplit {
     /// Takes in a request that came.
-    pub(crate) fn arrive(
+    pub(crate) fn record_arrival(
         &mut self,
         call: &RouteCall,
         options: &RouteOptions,
@@ -56,15 +56,19 @@
 
     /// Returns the largest part of the engines for long prompts, which are read at this
     /// pace: the less time they have to wait for each other, the more engines.
-    pub(crate) fn most_long(&self, tokens_per_ms: f64, options: &RouteOptions) -> f64 {
+    pub(crate) fn max_long_part(
+        &self,
+        tokens_per_ms: f64,
+        options: &RouteOptions,
+    ) -> f64 {
         let (Some(target), Some(tokens)) =
             (self.long_target.get(), self.long_tokens.get())
         else {
             return options.long_part;
         };
         let times = target * tokens_per_ms / tokens.max(1.0);
-        let room = (options.ample_target - options.tight_target).max(f64::MIN_POSITIVE);
-        let tight = ((options.ample_target - times) / room).clamp(0.0, 1.0);
+        let range = (options.ample_target - options.tight_target).max(f64::MIN_POSITIVE);
+        let tight = ((options.ample_target - times) / range).clamp(0.0, 1.0);
         options.long_part + (options.tight_long_part - options.long_part) * tight
     }
 
@@ -85,11 +89,11 @@
 
 /// Tells whether a server at `place` of `count`, in the order that all instances agree on,
 /// belongs to a lane.
-pub(crate) fn in_lane(lane: PromptLane, place: usize, count: usize, part: f64) -> bool {
+pub(crate) fn in_lane(lane: PromptLane, index: usize, count: usize, part: f64) -> bool {
     let long = ((count as f64 * part).round() as usize).clamp(1, count.max(2) - 1);
     match lane {
         PromptLane::Any => true,
-        PromptLane::Long => place < long || count < 2,
-        PromptLane::Short => place >= long || count < 2,
+        PromptLane::Long => index < long || count < 2,
+        PromptLane::Short => index >= long || count < 2,
     }
 }
--- a/crates/flaxtide-policy/src/router/load.rs
+++ b/crates/flaxtide-policy/src/router/load.rs
@@ -5,7 +5,7 @@
 
 use flaxtide_core::{RequestId, ServerId};
 
-use super::call::{CallPlace, RoutedCall};
+use super::call::{CallPhase, RoutedCall};
 use super::options::RouteOptions;
 
 /// What this instance has at a server, as peers are told.
@@ -36,7 +36,7 @@
 pub type LevelTokens = [u32; URGENCY_LEVELS];
 
 /// Returns the place of a level.
-fn level_place(level: u8) -> usize {
+fn level_index(level: u8) -> usize {
     usize::from(level).min(URGENCY_LEVELS - 1)
 }
 
@@ -48,18 +48,18 @@
 
 /// The requests at one server.
 #[derive(Debug, Default)]
-pub(crate) struct LoadCount {
+pub(crate) struct LoadTracker {
     /// This instance's requests.
     own: BTreeSet<RequestId>,
     /// How many of them have long prompts.
     own_long: usize,
     /// Since when the server has read the prompt that it was sent first of those that wait.
-    reading_since: Duration,
+    prefill_since: Duration,
     /// What each peer has, and when it said so.
     peers: BTreeMap<PeerKey, (PeerLoad, Duration)>,
 }
 
-impl LoadCount {
+impl LoadTracker {
     /// Records a request that is sent.
     pub(crate) fn start(
         &mut self,
@@ -69,7 +69,7 @@
         now: Duration,
     ) {
         if self.unanswered(calls).next().is_none() {
-            self.reading_since = now;
+            self.prefill_since = now;
         }
         if self.own.insert(request) && long {
             self.own_long += 1;
@@ -77,8 +77,8 @@
     }
 
     /// Records that a prompt has been read: the server goes on with the next.
-    pub(crate) fn read(&mut self, now: Duration) {
-        self.reading_since = now;
+    pub(crate) fn record_prefill(&mut self, now: Duration) {
+        self.prefill_since = now;
     }
 
     /// Records a request that has ended.
@@ -93,9 +93,9 @@
         &self,
         calls: &HashMap<RequestId, RoutedCall>,
     ) -> Option<Duration> {
-        let since = self.unanswered(calls).filter_map(|call| match call.place {
-            CallPlace::Running { since, .. } => Some(since),
-            CallPlace::Waiting => None,
+        let since = self.unanswered(calls).filter_map(|call| match call.phase {
+            CallPhase::Running { since, .. } => Some(since),
+            CallPhase::Waiting => None,
         });
         since.min()
     }
@@ -110,7 +110,7 @@
     }
 
     /// Takes in what a peer has; nothing if it has nothing here.
-    pub(crate) fn hear_peer(
+    pub(crate) fn set_peer(
         &mut self,
         peer: PeerKey,
         load: Option<PeerLoad>,
@@ -127,14 +127,14 @@
     }
 
     /// Tells whether any of this instance's requests there has begun to be answered.
-    pub(crate) fn streams(&self, calls: &HashMap<RequestId, RoutedCall>) -> bool {
+    pub(crate) fn has_streams(&self, calls: &HashMap<RequestId, RoutedCall>) -> bool {
         let mut own = self.own.iter().filter_map(|request| calls.get(request));
         own.any(RoutedCall::begun)
     }
 
     /// Returns how many requests are at the server.
     pub(crate) fn running(&self, options: &RouteOptions, now: Duration) -> u32 {
-        let peers = self.heard(options, now).map(|(load, _)| load.running());
+        let peers = self.fresh_peers(options, now).map(|(load, _)| load.running());
         self.own.len() as u32 + peers.sum::<u32>()
     }
 
@@ -145,13 +145,13 @@
 
     /// Returns how many requests at the server have prompts that aren't long.
     pub(crate) fn short_running(&self, options: &RouteOptions, now: Duration) -> u32 {
-        let peers = self.heard(options, now).map(|(load, _)| load.short);
+        let peers = self.fresh_peers(options, now).map(|(load, _)| load.short);
         (self.own.len() - self.own_long) as u32 + peers.sum::<u32>()
     }
 
     /// Returns the prompt tokens that are still to be read there before those of a new
     /// request of a level.
-    pub(crate) fn unread(
+    pub(crate) fn pending_prefill(
         &self,
         level: u8,
         calls: &HashMap<RequestId, RoutedCall>,
@@ -159,19 +159,19 @@
         options: &RouteOptions,
         now: Duration,
     ) -> f64 {
-        let mut told = 0.0;
+        let mut reported = 0.0;
         let mut ages = 0.0;
         let mut count = 0.0f64;
-        for (load, age) in self.heard(options, now) {
-            let urgent = &load.pending_prefill[..=level_place(level)];
-            told += urgent.iter().copied().map(f64::from).sum::<f64>();
+        for (load, age) in self.fresh_peers(options, now) {
+            let urgent = &load.pending_prefill[..=level_index(level)];
+            reported += urgent.iter().copied().map(f64::from).sum::<f64>();
             ages += age.as_secs_f64() * 1000.0;
             count += 1.0;
         }
         // The server has gone on reading since, for all of them together.
         let read = ages / count.max(1.0) * rate;
-        let own = self.own_unread(calls, rate, now);
-        own[..=level_place(level)].iter().sum::<f64>() + (told - read).max(0.0)
+        let own = self.own_pending_prefill(calls, rate, now);
+        own[..=level_index(level)].iter().sum::<f64>() + (reported - read).max(0.0)
     }
 
     /// Returns what this instance has there.
@@ -182,17 +182,17 @@
         rate: f64,
         now: Duration,
     ) -> ServerLoad {
-        let unread = self.own_unread(calls, rate, now);
+        let pending = self.own_pending_prefill(calls, rate, now);
         ServerLoad {
             server,
             short: (self.own.len() - self.own_long) as u32,
             long: self.own_long as u32,
-            pending_prefill: unread.map(|tokens| tokens as u32),
+            pending_prefill: pending.map(|tokens| tokens as u32),
         }
     }
 
     /// Returns what peers have said lately, and how long ago.
-    fn heard(
+    fn fresh_peers(
         &self,
         options: &RouteOptions,
         now: Duration,
@@ -205,25 +205,25 @@
     }
 
     /// Returns this instance's prompt tokens that are still to be read there.
-    fn own_unread(
+    fn own_pending_prefill(
         &self,
         calls: &HashMap<RequestId, RoutedCall>,
         tokens_per_ms: f64,
         now: Duration,
     ) -> [f64; URGENCY_LEVELS] {
         // An engine reads one prompt after the other, about, in the order of requests.
-        let mut unread = [0.0; URGENCY_LEVELS];
+        let mut pending = [0.0; URGENCY_LEVELS];
         let mut waiting: Vec<&RoutedCall> = self.unanswered(calls).collect();
         // The most urgent class first, and in it the request that came first.
-        waiting.sort_by_key(|call| call.call.level);
-        let elapsed = now.saturating_sub(self.reading_since).as_secs_f64() * 1000.0;
+        waiting.sort_by_key(|call| call.details.level);
+        let elapsed = now.saturating_sub(self.prefill_since).as_secs_f64() * 1000.0;
         let mut read = elapsed * tokens_per_ms;
         for call in waiting {
             let tokens = f64::from(call.uncached);
-            unread[level_place(call.call.level)] += (tokens - read).max(0.0);
+            pending[level_index(call.details.level)] += (tokens - read).max(0.0);
             // The end of the first prompt would have been heard.
             read = 0.0;
         }
-        unread
+        pending
     }
 }
--- a/crates/flaxtide-policy/src/router/mod.rs
+++ b/crates/flaxtide-policy/src/router/mod.rs
@@ -37,12 +37,12 @@
 pub use self::server::{EngineShape, RoutedServer};
 
 use self::budget::RetryWindow;
-use self::call::{CallPlace, RoutedCall};
+use self::call::{CallPhase, RoutedCall};
 use self::lane::LaneSplit;
-use self::prefill_log::ReadLog;
-use self::pushback::own_part;
+use self::prefill_log::PrefillLog;
+use self::pushback::own_rate_share;
 use self::server::ServerState;
-use self::shed::ShedOdds;
+use self::shed::ShedProbability;
 use crate::pushback::{InstanceGroup, UnlistedPushback};
 use crate::queue::{PoolQueue, QueueEntry};
 
@@ -110,11 +110,11 @@
     /// What may be spent on further tries.
     budget: RetryWindow,
     /// How likely servers that haven't answered lately turn requests away.
-    shed: ShedOdds,
+    shed: ShedProbability,
     /// How the servers are shared between long and short prompts.
     split: LaneSplit,
     /// The mean time from dispatch to the end of an answer, in seconds.
-    span: crate::estimate::DecayedMean,
+    service_time: crate::estimate::DecayedMean,
 }
 
 /// Decides about the requests of one entry instance.
@@ -142,7 +142,7 @@
     /// What servers have said that aren't listed now.
     unlisted: UnlistedPushback,
     /// The shared parts that servers have read lately for this instance.
-    reads: ReadLog,
+    prefills: PrefillLog,
     /// What has been decided in the current event.
     actions: Vec<RouteAction>,
 }
@@ -160,7 +160,7 @@
             instances,
             group: None,
             unlisted: UnlistedPushback::default(),
-            reads: ReadLog::default(),
+            prefills: PrefillLog::default(),
             actions: vec![],
         }
     }
@@ -189,13 +189,13 @@
                 None => {
                     let mut fresh = ServerState::new(server.clone(), guess, now);
                     fresh.pushback = self.unlisted.take(server.server);
-                    let part = |rate| own_part(self.group.as_deref(), server, rate);
+                    let part = |rate| own_rate_share(self.group.as_deref(), server, rate);
                     fresh.pushback.set_part(part, now);
                     state.servers.insert(server.server, fresh);
                 }
             }
         }
-        self.pump(pool, now);
+        self.dispatch_queued(pool, now);
         self.take_actions()
     }
 
@@ -210,7 +210,7 @@
         for pool in self.pools.values_mut() {
             for (id, server) in &mut pool.servers {
                 let load = loads.iter().find(|load| load.server == *id);
-                server.load.hear_peer(peer, load.copied(), now);
+                server.load.set_peer(peer, load.copied(), now);
             }
         }
     }
@@ -219,14 +219,14 @@
     pub fn record_peer_prefills(&mut self, reads: &[(ServerId, PartKey)], now: Duration) {
         for (server, part) in reads {
             if let Some(server) = find_server(&mut self.pools, *server) {
-                server.hear_read(*part, now);
+                server.record_peer_prefill(*part, now);
             }
         }
     }
 
     /// Returns the shared parts that servers have read lately for this instance.
     pub fn recent_prefills(&mut self, now: Duration) -> Vec<PrefillRecord> {
-        self.reads.recent(&self.options, now)
+        self.prefills.recent(&self.options, now)
     }
 
     /// Takes in that a peer has found servers silent.
@@ -234,7 +234,7 @@
         for pool in self.pools.values_mut() {
             for server in servers {
                 if let Some(server) = pool.servers.get_mut(server) {
-                    server.health.hear_rumour(now, &self.options);
+                    server.health.record_silence_report(now, &self.options);
                 }
             }
         }
@@ -245,8 +245,8 @@
     pub fn silent_servers(&self, now: Duration) -> Vec<ServerId> {
         let servers = self.pools.values().flat_map(|pool| &pool.servers);
         let silent = servers.filter(|(_, server)| {
-            let streams = server.load.streams(&self.calls);
-            server.health.is_doubted(streams, now, &self.options)
+            let streams = server.load.has_streams(&self.calls);
+            server.health.was_silent(streams, now, &self.options)
         });
         silent.map(|(id, _)| *id).collect()
     }
@@ -256,7 +256,12 @@
     pub fn own_loads(&self, now: Duration) -> Vec<ServerLoad> {
         let servers = self.pools.values().flat_map(|pool| &pool.servers);
         let loads = servers.map(|(id, server)| {
-            server.load.own_summary(*id, &self.calls, server.pace.get(now), now)
+            server.load.own_summary(
+                *id,
+                &self.calls,
+                server.prefill_rate.tokens_per_ms(now),
+                now,
+            )
         });
         loads.filter(|load| load.running() > 0).collect()
     }
@@ -266,8 +271,8 @@
         let pool = call.pool;
         let request = call.request;
         let state = self.pools.entry(pool).or_default();
-        state.budget.arrive(now);
-        state.split.arrive(&call, &self.options, now);
+        state.budget.record_arrival(now);
+        state.split.record_arrival(&call, &self.options, now);
         if !state.servers.values().any(|server| server.facts.in_service()) {
             let retry_after = self.options.no_server_retry;
             let reason = RefusalCause::NoServer;
@@ -286,28 +291,28 @@
         };
         state.queue.push(call.tier, call.class, call.organisation, entry, now);
         self.calls.insert(request, RoutedCall::new(call));
-        self.pump(pool, now);
+        self.dispatch_queued(pool, now);
         self.take_actions()
     }
 
     /// Takes in that anything came from the server of a request.
     pub fn record_response_data(&mut self, request: RequestId, now: Duration) {
         let Some(call) = self.calls.get_mut(&request) else { return };
-        let CallPlace::Running { server, since, .. } = call.place else { return };
-        let first = call.hear(now);
-        let Some(state) = self.pools.get_mut(&call.call.pool) else { return };
+        let CallPhase::Running { server, since, .. } = call.phase else { return };
+        let first = call.record_data(now);
+        let Some(state) = self.pools.get_mut(&call.details.pool) else { return };
         let id = server;
         let Some(server) = state.servers.get_mut(&id) else { return };
-        server.health.hear(now);
+        server.health.record_activity(now);
         if first {
             state.shed.record_answer(&server.health, &self.options, now);
-            server.health.admit(since, now);
-            server.load.read(now);
-            let seen = now.saturating_sub(since + call.stood_still);
+            server.health.record_admission(since, now);
+            server.load.record_prefill(now);
+            let seen = now.saturating_sub(since + call.stalled_for);
             let seen = seen.as_secs_f64() * 1000.0;
-            server.pace.learn(call.ahead, seen, now);
-            server.remember(&call.call.prompt, now);
-            self.reads.add(&call.call, id, &self.options, now);
+            server.prefill_rate.record_first_token(call.tokens_ahead, seen, now);
+            server.record_prefill(&call.details.prompt, now);
+            self.prefills.add(&call.details, id, &self.options, now);
         }
     }
 
@@ -320,22 +325,22 @@
     /// Takes in the end of a whole answer.
     pub fn finish(&mut self, request: RequestId, now: Duration) -> Vec<RouteAction> {
         let Some(call) = self.calls.remove(&request) else { return vec![] };
-        let pool = call.call.pool;
-        if let CallPlace::Running { server, since, .. } = call.place
+        let pool = call.details.pool;
+        if let CallPhase::Running { server, since, .. } = call.phase
             && let Some(state) = self.pools.get_mut(&pool)
         {
-            let span = now.saturating_sub(since + call.stood_still);
-            state.span.add(span.as_secs_f64());
+            let span = now.saturating_sub(since + call.stalled_for);
+            state.service_time.add(span.as_secs_f64());
             if let Some(server) = state.servers.get_mut(&server) {
-                server.load.end(request, call.call.prompt.is_long(&self.options));
+                server.load.end(request, call.details.prompt.is_long(&self.options));
                 if !call.begun() {
                     state.shed.record_answer(&server.health, &self.options, now);
-                    server.health.admit(since, now);
+                    server.health.record_admission(since, now);
                 }
-                server.health.succeed(now);
+                server.health.record_success(now);
             }
         }
-        self.pump(pool, now);
+        self.dispatch_queued(pool, now);
         self.take_actions()
     }
 
@@ -351,8 +356,8 @@
     pub fn tick(&mut self, now: Duration) -> Vec<RouteAction> {
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
         for pool in pools {
-            self.expire(pool, now);
-            self.pump(pool, now);
+            self.refuse_expired(pool, now);
+            self.dispatch_queued(pool, now);
         }
         self.take_actions()
     }
@@ -361,22 +366,22 @@
     pub fn health_changes(&mut self, now: Duration) -> Vec<HealthChange> {
         let mut notes = vec![];
         for pool in self.pools.keys().copied().collect::<Vec<PoolId>>() {
-            let staying = self.staying(pool);
-            let well = self.well(&staying, now);
-            let well: Vec<ServerId> =
-                well.iter().map(|server| server.facts.server).collect();
+            let active = self.active_servers(pool);
+            let healthy = self.healthy_servers(&active, now);
+            let healthy: Vec<ServerId> =
+                healthy.iter().map(|server| server.facts.server).collect();
             let Some(state) = self.pools.get_mut(&pool) else { continue };
             for (id, server) in &mut state.servers {
-                let is_well = well.contains(id);
-                if !server.facts.in_service() || server.believed_well == is_well {
+                let is_healthy = healthy.contains(id);
+                if !server.facts.in_service() || server.reported_healthy == is_healthy {
                     continue;
                 }
-                server.believed_well = is_well;
+                server.reported_healthy = is_healthy;
                 notes.push(HealthChange {
                     server: *id,
-                    healthy: is_well,
+                    healthy: is_healthy,
                     failure_rate: server.health.failures(),
-                    heard_ago: now.saturating_sub(server.health.heard()),
+                    heard_ago: now.saturating_sub(server.health.last_heard()),
                 });
             }
         }
@@ -399,49 +404,51 @@
 
     /// Frees what a request has taken.
     fn free(&mut self, call: &RoutedCall, now: Duration) {
-        let order = &call.call;
-        let Some(state) = self.pools.get_mut(&order.pool) else { return };
-        match call.place {
-            CallPlace::Running { server, .. } => {
+        let details = &call.details;
+        let Some(state) = self.pools.get_mut(&details.pool) else { return };
+        match call.phase {
+            CallPhase::Running { server, .. } => {
                 if let Some(server) = state.servers.get_mut(&server) {
-                    server.load.end(order.request, order.prompt.is_long(&self.options));
+                    server
+                        .load
+                        .end(details.request, details.prompt.is_long(&self.options));
                 }
             }
-            CallPlace::Waiting => {
+            CallPhase::Waiting => {
                 state.queue.remove(
-                    order.tier,
-                    order.class,
-                    order.organisation,
-                    order.request,
+                    details.tier,
+                    details.class,
+                    details.organisation,
+                    details.request,
                 );
-                state.retries.retain(|request| *request != order.request);
+                state.retries.retain(|request| *request != details.request);
             }
         }
-        self.pump(order.pool, now);
+        self.dispatch_queued(details.pool, now);
     }
 
     /// Sends a request to a server.
     fn dispatch(&mut self, request: RequestId, choice: RouteChoice, now: Duration) {
         let Some(call) = self.calls.get_mut(&request) else { return };
         let server = choice.server;
-        call.place = CallPlace::Running { server, since: now, heard: None };
+        call.phase = CallPhase::Running { server, since: now, answered_at: None };
         call.sends += 1;
-        call.stood_still = Duration::ZERO;
-        call.counted = false;
+        call.stalled_for = Duration::ZERO;
+        call.rate_counted = false;
         call.uncached = choice.uncached;
-        call.ahead = choice.ahead;
-        let movable = call.call.repeatable && call.runs + 1 < call.call.run_limit;
+        call.tokens_ahead = choice.tokens_ahead;
+        let movable = call.details.repeatable && call.runs + 1 < call.details.run_limit;
         let expected = choice.expected;
         let silence_timeout = movable.then(|| {
             let usual = expected.mul_f64(self.options.patience_factor);
             usual.max(self.options.shortest_patience)
         });
-        if let Some(state) = self.pools.get_mut(&call.call.pool)
+        if let Some(state) = self.pools.get_mut(&call.details.pool)
             && let Some(server) = state.servers.get_mut(&server)
         {
             let limited = server.pushback.rate().is_some();
-            call.counted = limited && server.pushback.take(now);
-            let long = call.call.prompt.is_long(&self.options);
+            call.rate_counted = limited && server.pushback.take(now);
+            let long = call.details.prompt.is_long(&self.options);
             server.load.start(request, long, &self.calls, now);
         }
         self.actions
--- a/crates/flaxtide-policy/src/router/prefill_log.rs
+++ b/crates/flaxtide-policy/src/router/prefill_log.rs
@@ -9,7 +9,7 @@
 use super::options::RouteOptions;
 
 /// The most notes that are kept: more than one instance sends long prompts in a period.
-const MOST_NOTES: usize = 128;
+const MAX_RECORDS: usize = 128;
 
 /// A server has read a shared part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,12 +24,12 @@
 
 /// What servers have read for this instance, the newest last.
 #[derive(Debug, Default)]
-pub(crate) struct ReadLog {
+pub(crate) struct PrefillLog {
     /// The server, the part, and when.
-    notes: VecDeque<(ServerId, PartKey, Duration)>,
+    records: VecDeque<(ServerId, PartKey, Duration)>,
 }
 
-impl ReadLog {
+impl PrefillLog {
     /// Records that a server has read a prompt, if it is worth telling.
     pub(crate) fn add(
         &mut self,
@@ -42,10 +42,10 @@
         if call.prompt.shared_tokens() < options.least_fetch {
             return;
         }
-        if self.notes.len() >= MOST_NOTES {
-            self.notes.pop_front();
+        if self.records.len() >= MAX_RECORDS {
+            self.records.pop_front();
         }
-        self.notes.push_back((server, part.short_key(), now));
+        self.records.push_back((server, part.short_key(), now));
     }
 
     /// Returns what is recent, and forgets the rest.
@@ -54,12 +54,12 @@
         options: &RouteOptions,
         now: Duration,
     ) -> Vec<PrefillRecord> {
-        self.notes.retain(|(_, _, at)| now < *at + options.read_life);
-        let notes = self.notes.iter().map(|(server, part, at)| PrefillRecord {
+        self.records.retain(|(_, _, at)| now < *at + options.read_life);
+        let records = self.records.iter().map(|(server, part, at)| PrefillRecord {
             server: *server,
             part: *part,
             age: now.saturating_sub(*at),
         });
-        notes.collect()
+        records.collect()
     }
 }
--- a/crates/flaxtide-policy/src/router/pushback.rs
+++ b/crates/flaxtide-policy/src/router/pushback.rs
@@ -6,7 +6,7 @@
 
 use flaxtide_core::{RequestId, ServerId};
 
-use super::call::{CallPlace, RoutedCall};
+use super::call::{CallPhase, RoutedCall};
 use super::server::RoutedServer;
 use super::{RefusalCause, RouteAction, RouteCore, find_server};
 use crate::pushback::{InstanceGroup, ReportEffect, RequestRate, ServerStatement};
@@ -14,7 +14,7 @@
 
 /// The part of the time until a server may be sent a request by which callers are spread that
 /// are asked to come back then.
-const RETURN_SPREAD: f64 = 0.25;
+const RETRY_AFTER_JITTER: f64 = 0.25;
 
 /// What was learnt from what a server states.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -66,7 +66,7 @@
     ) -> Option<StatementChange> {
         let group = self.group.as_deref();
         let server = find_server(&mut self.pools, server)?;
-        let part = |rate| own_part(group, &server.facts, rate);
+        let part = |rate| own_rate_share(group, &server.facts, rate);
         let pushback = &mut server.pushback;
         let rest = statement.rest.map(|rest| rest.min(self.options.longest_rest));
         let new_backoff = rest.filter(|rest| pushback.rest(*rest, now));
@@ -91,7 +91,7 @@
     ) -> Option<ReportEffect> {
         let group = self.group.as_deref();
         let server = find_server(&mut self.pools, server)?;
-        let part = |rate| own_part(group, &server.facts, rate);
+        let part = |rate| own_rate_share(group, &server.facts, rate);
         Some(server.pushback.hear_peer(rate, part, heard, now))
     }
 
@@ -122,22 +122,22 @@
     /// choice of the server and this moment the server may have asked for less.
     pub fn permit_send(&mut self, request: RequestId, now: Duration) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
-        let CallPlace::Running { server, .. } = call.place else { return false };
-        let pool = self.pools.get_mut(&call.call.pool);
+        let CallPhase::Running { server, .. } = call.phase else { return false };
+        let pool = self.pools.get_mut(&call.details.pool);
         let Some(server) = pool.and_then(|pool| pool.servers.get_mut(&server)) else {
             return false;
         };
         if !server.facts.in_service() || server.pushback.rests(now) {
             return false;
         }
-        let counted = call.counted || server.pushback.rate().is_none();
+        let counted = call.rate_counted || server.pushback.rate().is_none();
         counted || server.pushback.take(now)
     }
 
     /// Returns when the first server takes a request.
-    fn opens_at(&self, call: &RoutedCall, now: Duration) -> ServerOpening {
-        let Some(state) = self.pools.get(&call.call.pool) else {
-            return ServerOpening::Now;
+    fn next_ready(&self, call: &RoutedCall, now: Duration) -> NextReady {
+        let Some(state) = self.pools.get(&call.details.pool) else {
+            return NextReady::Now;
         };
         let servers = state.servers.values();
         let usable = servers.filter(|server| {
@@ -148,39 +148,39 @@
         for server in usable {
             let Some(at) = server.pushback.opens_at(now) else { continue };
             if at <= now {
-                return ServerOpening::Now;
+                return NextReady::Now;
             }
             first = Some(first.map_or(at, |first: Duration| first.min(at)));
         }
-        first.map_or(ServerOpening::Unknown, ServerOpening::At)
+        first.map_or(NextReady::Unknown, NextReady::At)
     }
 
     /// Returns whether no server takes a request before a time.
-    pub(super) fn opens_after(
+    pub(super) fn no_server_before(
         &self,
         call: &RoutedCall,
         time: Duration,
         now: Duration,
     ) -> bool {
-        match self.opens_at(call, now) {
-            ServerOpening::Now => false,
-            ServerOpening::At(at) => at >= time,
-            ServerOpening::Unknown => true,
+        match self.next_ready(call, now) {
+            NextReady::Now => false,
+            NextReady::At(at) => at >= time,
+            NextReady::Unknown => true,
         }
     }
 
     /// Returns whether no server takes a request that waits before it would be given up.
-    pub(super) fn opens_too_late(&self, request: RequestId, now: Duration) -> bool {
+    pub(super) fn no_server_in_time(&self, request: RequestId, now: Duration) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
-        self.opens_after(call, call.call.give_up, now)
+        self.no_server_before(call, call.details.give_up, now)
     }
 
     /// Refuses a request that no server takes in time. Its caller is told when one does.
-    pub(super) fn refuse_closed(&mut self, request: RequestId, now: Duration) {
+    pub(super) fn refuse_unavailable(&mut self, request: RequestId, now: Duration) {
         let Some(call) = self.calls.remove(&request) else { return };
-        let retry_after = match self.opens_at(&call, now) {
-            ServerOpening::At(at) => self.spread(request, at.saturating_sub(now)),
-            ServerOpening::Now | ServerOpening::Unknown => self.options.no_server_retry,
+        let retry_after = match self.next_ready(&call, now) {
+            NextReady::At(at) => self.add_jitter(request, at.saturating_sub(now)),
+            NextReady::Now | NextReady::Unknown => self.options.no_server_retry,
         };
         let longest = self.options.longest_retry;
         self.actions.push(RouteAction::Refuse {
@@ -192,15 +192,15 @@
     }
 
     /// Lengthens a time for some requests, so that their callers don't come back together.
-    fn spread(&self, request: RequestId, wait: Duration) -> Duration {
+    fn add_jitter(&self, request: RequestId, wait: Duration) -> Duration {
         let draw = rendezvous_weight(request, self.seed) as f64;
-        wait.mul_f64(1.0 + RETURN_SPREAD * draw / u64::MAX as f64)
+        wait.mul_f64(1.0 + RETRY_AFTER_JITTER * draw / u64::MAX as f64)
     }
 }
 
 /// When the first server of a pool takes a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ServerOpening {
+enum NextReady {
     /// One does already, though it may have no room.
     Now,
     /// At this time.
@@ -211,7 +211,7 @@
 
 /// Returns this instance's part of a server's rate. One that doesn't know yet who else is there
 /// has none.
-pub(super) fn own_part(
+pub(super) fn own_rate_share(
     group: Option<&InstanceGroup>,
     facts: &RoutedServer,
     rate: RequestRate,
--- a/crates/flaxtide-policy/src/router/retry.rs
+++ b/crates/flaxtide-policy/src/router/retry.rs
@@ -5,7 +5,7 @@
 
 use flaxtide_core::{PoolId, RequestId};
 
-use super::call::{CallPlace, RouteFault, RoutedCall};
+use super::call::{CallPhase, RouteFault, RoutedCall};
 use super::{QUEUE_WAIT_DIVISOR, RouteAction, RouteCore};
 
 /// What is decided after a request failed at a server.
@@ -27,21 +27,21 @@
         resumable: bool,
         now: Duration,
     ) -> bool {
-        if self.answers_others(request, now) {
+        if self.answered_others(request, now) {
             return false;
         }
         let Some(mut call) = self.calls.remove(&request) else { return false };
-        if let CallPlace::Running { server, .. } = call.place {
+        if let CallPhase::Running { server, .. } = call.phase {
             call.excluded.push(server);
         }
         call.runs += 1;
-        let granted = self.may_repeat(&call, RouteFault::Silent, resumable, now);
+        let granted = self.grant_retry(&call, RouteFault::Silent, resumable, now);
         call.runs -= 1;
         call.excluded.pop();
-        call.granted = granted;
+        call.retry_granted = granted;
         if !granted {
             // The request stays, but others go elsewhere.
-            self.blame(&call, RouteFault::Silent, now);
+            self.record_fault(&call, RouteFault::Silent, now);
         }
         self.calls.insert(request, call);
         granted
@@ -49,12 +49,12 @@
 
     /// Tells whether the server of a request has said anything to others lately, after it
     /// was sent there: it is busy then, not gone.
-    fn answers_others(&self, request: RequestId, now: Duration) -> bool {
+    fn answered_others(&self, request: RequestId, now: Duration) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
-        let CallPlace::Running { server, since, .. } = call.place else { return false };
-        let pool = self.pools.get(&call.call.pool);
+        let CallPhase::Running { server, since, .. } = call.phase else { return false };
+        let pool = self.pools.get(&call.details.pool);
         let server = pool.and_then(|pool| pool.servers.get(&server));
-        let Some(heard) = server.map(|server| server.health.heard()) else {
+        let Some(heard) = server.map(|server| server.health.last_heard()) else {
             return false;
         };
         heard > since && now < heard + self.options.shortest_patience
@@ -72,28 +72,29 @@
         let Some(mut call) = self.calls.remove(&request) else {
             return (RetryDecision::Stop, vec![]);
         };
-        let pool = call.call.pool;
-        self.blame(&call, fault, now);
-        if let CallPlace::Running { server, .. } = call.place {
+        let pool = call.details.pool;
+        self.record_fault(&call, fault, now);
+        if let CallPhase::Running { server, .. } = call.phase {
             call.excluded.push(server);
         }
         if !fault.not_run() {
             call.runs += 1;
         }
-        let granted = std::mem::take(&mut call.granted);
-        let again = granted || self.may_repeat(&call, fault, resumable, now);
+        let granted = std::mem::take(&mut call.retry_granted);
+        let retry = granted || self.grant_retry(&call, fault, resumable, now);
         self.free(&call, now);
-        if !again {
+        if !retry {
             return (RetryDecision::Stop, self.take_actions());
         }
-        call.place = CallPlace::Waiting;
-        let patience = now + call.call.target / QUEUE_WAIT_DIVISOR;
-        call.call.give_up = call.call.give_up.max(patience).min(call.call.deadline);
+        call.phase = CallPhase::Waiting;
+        let patience = now + call.details.target / QUEUE_WAIT_DIVISOR;
+        call.details.give_up =
+            call.details.give_up.max(patience).min(call.details.deadline);
         self.calls.insert(request, call);
         if let Some(state) = self.pools.get_mut(&pool) {
             state.retries.push(request);
         }
-        self.pump(pool, now);
+        self.dispatch_queued(pool, now);
         (RetryDecision::Retry, self.take_actions())
     }
 
@@ -106,30 +107,33 @@
         now: Duration,
     ) -> Vec<RouteAction> {
         let Some(call) = self.calls.remove(&request) else { return vec![] };
-        self.blame(&call, fault, now);
+        self.record_fault(&call, fault, now);
         self.free(&call, now);
         self.take_actions()
     }
 
     /// Tells whether a further try is within the budget and of use, and pays for it.
-    fn may_repeat(
+    fn grant_retry(
         &mut self,
         call: &RoutedCall,
         fault: RouteFault,
         resumable: bool,
         now: Duration,
     ) -> bool {
-        let order = &call.call;
-        if !(fault.not_run() || order.repeatable || resumable) {
+        let details = &call.details;
+        if !(fault.not_run() || details.repeatable || resumable) {
             return false;
         }
-        if call.runs >= order.run_limit.max(1) || call.sends >= self.options.send_limit {
+        if call.runs >= details.run_limit.max(1) || call.sends >= self.options.send_limit
+        {
             return false;
         }
-        if now + self.options.least_time >= order.deadline {
+        if now + self.options.least_time >= details.deadline {
             return false;
         }
-        if !self.has_other(call) || self.opens_after(call, order.deadline, now) {
+        if !self.has_alternative(call)
+            || self.no_server_before(call, details.deadline, now)
+        {
             return false;
         }
         if !fault.arrived() {
@@ -142,13 +146,13 @@
         if now < self.options.settling {
             part = part.min(self.options.settling_slack);
         }
-        let Some(state) = self.pools.get_mut(&order.pool) else { return false };
-        state.budget.spend(ratio * self.options.budget_part, part, now)
+        let Some(state) = self.pools.get_mut(&details.pool) else { return false };
+        state.budget.try_spend(ratio * self.options.budget_part, part, now)
     }
 
     /// Tells whether there is a server that hasn't failed the request.
-    fn has_other(&self, call: &RoutedCall) -> bool {
-        let Some(state) = self.pools.get(&call.call.pool) else { return false };
+    fn has_alternative(&self, call: &RoutedCall) -> bool {
+        let Some(state) = self.pools.get(&call.details.pool) else { return false };
         state
             .servers
             .iter()
@@ -156,24 +160,24 @@
     }
 
     /// Holds a fault against the server.
-    fn blame(&mut self, call: &RoutedCall, fault: RouteFault, now: Duration) {
-        let CallPlace::Running { server, .. } = call.place else { return };
-        let Some(state) = self.pools.get_mut(&call.call.pool) else { return };
+    fn record_fault(&mut self, call: &RoutedCall, fault: RouteFault, now: Duration) {
+        let CallPhase::Running { server, .. } = call.phase else { return };
+        let Some(state) = self.pools.get_mut(&call.details.pool) else { return };
         let Some(server) = state.servers.get_mut(&server) else { return };
-        server.health.fail(fault, now, &self.options);
+        server.health.record_fault(fault, now, &self.options);
         if fault == RouteFault::Full {
             state.shed.record_refusal(now);
         }
     }
 
     /// Gives servers to the requests that are tried again.
-    pub(super) fn pump_retries(&mut self, pool: PoolId, now: Duration) {
+    pub(super) fn dispatch_retries(&mut self, pool: PoolId, now: Duration) {
         let Some(state) = self.pools.get_mut(&pool) else { return };
         for request in std::mem::take(&mut state.retries) {
             if let Some(choice) = self.choose(pool, request, now) {
                 self.dispatch(request, choice, now);
-            } else if self.opens_too_late(request, now) {
-                self.refuse_closed(request, now);
+            } else if self.no_server_in_time(request, now) {
+                self.refuse_unavailable(request, now);
             } else if let Some(state) = self.pools.get_mut(&pool) {
                 state.retries.push(request);
             }
--- a/crates/flaxtide-policy/src/router/server.rs
+++ b/crates/flaxtide-policy/src/router/server.rs
@@ -7,12 +7,12 @@
 
 use super::call::{PartKey, PromptShape};
 use super::health::ServerHealth;
-use super::load::LoadCount;
-use super::prefill_rate::ReadPace;
+use super::load::LoadTracker;
+use super::prefill_rate::PrefillRate;
 use crate::pushback::{DataCentreKey, ServerPushback};
 
 /// How many prompt parts are remembered of one server.
-const REMEMBERED_PARTS: usize = 512;
+const MAX_KNOWN_PARTS: usize = 512;
 
 /// A backend server, as the platform tells of it.
 #[derive(Debug, Clone, PartialEq)]
@@ -59,15 +59,15 @@
     /// What the platform tells.
     pub(crate) facts: RoutedServer,
     /// The requests at it.
-    pub(crate) load: LoadCount,
+    pub(crate) load: LoadTracker,
     /// How it has answered.
     pub(crate) health: ServerHealth,
     /// What it has said of itself.
     pub(crate) pushback: ServerPushback,
     /// How fast it reads prompts.
-    pub(crate) pace: ReadPace,
+    pub(crate) prefill_rate: PrefillRate,
     /// Whether it was found to answer at the last review.
-    pub(crate) believed_well: bool,
+    pub(crate) reported_healthy: bool,
     /// The prompt parts that it has read, and when last.
     parts: HashMap<PartKey, Duration>,
 }
@@ -77,18 +77,18 @@
     pub(crate) fn new(facts: RoutedServer, guess: f64, now: Duration) -> Self {
         Self {
             facts,
-            load: LoadCount::default(),
+            load: LoadTracker::default(),
             health: ServerHealth::new(now),
             pushback: ServerPushback::default(),
-            pace: ReadPace::new(guess, now),
-            believed_well: true,
+            prefill_rate: PrefillRate::new(guess, now),
+            reported_healthy: true,
             parts: HashMap::new(),
         }
     }
 
     /// Records that the server has read a prompt.
-    pub(crate) fn remember(&mut self, prompt: &PromptShape, now: Duration) {
-        if self.parts.len() > REMEMBERED_PARTS {
+    pub(crate) fn record_prefill(&mut self, prompt: &PromptShape, now: Duration) {
+        if self.parts.len() > MAX_KNOWN_PARTS {
             let mut times: Vec<Duration> = self.parts.values().copied().collect();
             times.sort_unstable();
             let middle = times[times.len() / 2];
@@ -100,15 +100,15 @@
     }
 
     /// Records that a peer saw the server read a prompt with this shared part.
-    pub(crate) fn hear_read(&mut self, part: PartKey, now: Duration) {
-        if self.parts.len() <= REMEMBERED_PARTS {
+    pub(crate) fn record_peer_prefill(&mut self, part: PartKey, now: Duration) {
+        if self.parts.len() <= MAX_KNOWN_PARTS {
             self.parts.insert(part, now);
         }
     }
 
     /// Returns how many tokens of a prompt the server keeps, if `life` is how long it keeps
     /// what it has read. Whoever read a part has read all before it.
-    pub(crate) fn kept_tokens(
+    pub(crate) fn cached_tokens(
         &self,
         prompt: &PromptShape,
         life: Duration,
@@ -120,7 +120,7 @@
                 .is_some_and(|read| now < *read + life)
         });
         let Some(last) = known else { return 0 };
-        let kept: u32 = prompt.parts[..=last].iter().map(|part| part.tokens).sum();
-        kept.min(prompt.tokens)
+        let cached: u32 = prompt.parts[..=last].iter().map(|part| part.tokens).sum();
+        cached.min(prompt.tokens)
     }
 }
--- a/crates/flaxtide-policy/src/router/stall.rs
+++ b/crates/flaxtide-policy/src/router/stall.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::RouteCore;
-use super::call::CallPlace;
+use super::call::CallPhase;
 
 impl RouteCore {
     /// Goes on after this instance has stood still for a while. Servers weren't silent for that
@@ -11,12 +11,12 @@
     pub fn discount_stall(&mut self, span: Duration, now: Duration) {
         for pool in self.pools.values_mut() {
             for server in pool.servers.values_mut() {
-                server.health.resume(span, now);
+                server.health.discount_stall(span, now);
             }
         }
         for call in self.calls.values_mut() {
-            if let CallPlace::Running { since, .. } = call.place {
-                call.stood_still += span.min(now.saturating_sub(since));
+            if let CallPhase::Running { since, .. } = call.phase {
+                call.stalled_for += span.min(now.saturating_sub(since));
             }
         }
     }
--- a/crates/flaxtide-policy/src/router/wait.rs
+++ b/crates/flaxtide-policy/src/router/wait.rs
@@ -5,17 +5,17 @@
 
 use flaxtide_core::{PoolId, RequestId};
 
-use super::call::{CallPlace, RoutedCall};
+use super::call::{CallPhase, RoutedCall};
 use super::choose::RouteChoice;
 use super::{RefusalCause, RouteAction, RouteCore};
 
 impl RouteCore {
     /// Refuses what has waited too long to be served in time.
-    pub(super) fn expire(&mut self, pool: PoolId, now: Duration) {
+    pub(super) fn refuse_expired(&mut self, pool: PoolId, now: Duration) {
         let late = |call: &RoutedCall| {
-            call.call.pool == pool
-                && matches!(call.place, CallPlace::Waiting)
-                && now >= call.call.give_up
+            call.details.pool == pool
+                && matches!(call.phase, CallPhase::Waiting)
+                && now >= call.details.give_up
         };
         let mut requests: Vec<RequestId> = self
             .calls
@@ -51,25 +51,25 @@
             .filter(|server| server.facts.in_service())
             .map(|server| server.facts.slots)
             .sum();
-        let span = state.span.get().unwrap_or(1.0);
+        let span = state.service_time.get().unwrap_or(1.0);
         let seconds = span * state.queue.len() as f64 / f64::from(slots.max(1));
         Duration::from_secs_f64(seconds)
             .clamp(self.options.shortest_retry, self.options.longest_retry)
     }
 
     /// Gives servers to the requests that wait, in order, while there is room.
-    pub(super) fn pump(&mut self, pool: PoolId, now: Duration) {
-        self.pump_retries(pool, now);
+    pub(super) fn dispatch_queued(&mut self, pool: PoolId, now: Duration) {
+        self.dispatch_retries(pool, now);
         loop {
             let Some(state) = self.pools.get(&pool) else { return };
             let Some(head) = state.queue.next() else { return };
             let request = head.entry.request;
             let Some(choice) = self.choose(pool, request, now) else {
-                if self.opens_too_late(request, now) {
+                if self.no_server_in_time(request, now) {
                     if let Some(state) = self.pools.get_mut(&pool) {
                         state.queue.pop(&head, 1, now);
                     }
-                    self.refuse_closed(request, now);
+                    self.refuse_unavailable(request, now);
                     continue;
                 }
                 return;
@@ -77,7 +77,7 @@
             if let Some(state) = self.pools.get_mut(&pool) {
                 state.queue.pop(&head, 1, now);
             }
-            if self.comes_too_late(request, &choice) {
+            if self.would_answer_late(request, &choice) {
                 self.refuse_early(request, choice.expected);
                 continue;
             }
@@ -86,9 +86,9 @@
     }
 
     /// Tells whether even the best server would answer a request late.
-    fn comes_too_late(&self, request: RequestId, choice: &RouteChoice) -> bool {
+    fn would_answer_late(&self, request: RequestId, choice: &RouteChoice) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
-        choice.expected > call.call.target.mul_f64(self.options.admit_factor)
+        choice.expected > call.details.target.mul_f64(self.options.admit_factor)
     }
 
     /// Refuses a request that hasn't been sent, and asks its caller to come back once what
