--- a/crates/flaxtide-policy/src/router/budget.rs
+++ b/crates/flaxtide-policy/src/router/budget.rs
@@ -1,41 +1,42 @@
-//! The retry budget: in any window, repeats stay under a part of the requests that came
-//! and a fixed allowance, so that they can't multiply the load of a failing pool.
+//! The retry budget: in any window, retries are limited to a fraction of the requests
+//! that arrived plus a fixed allowance, so that they can't multiply the load on a failing
+//! pool.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long a window is. The allowance is for this span, so a platform with another window
-/// scales its allowance to it.
+/// The length of a window. The allowance is for this span, so a platform that uses
+/// another window must scale its allowance.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Into how many steps a window is counted.
+/// The number of steps that a window is divided into for counting.
 const STEPS: u64 = 20;
 
-/// Requests and repeats of one instance for one pool.
+/// Counts the requests and retries of one instance for one pool in a sliding window.
 #[derive(Debug, Default)]
 pub(crate) struct RetryWindow {
-    /// Counts by step, oldest first.
+    /// The counts by step, oldest first.
     steps: VecDeque<StepCount>,
 }
 
-/// What was counted in one step.
+/// The counts of one step.
 #[derive(Debug, Default, Clone, Copy)]
 struct StepCount {
-    /// Which step.
+    /// The number of the step since time zero.
     step: u64,
-    /// Requests that came.
+    /// Requests that arrived.
     arrived: u32,
-    /// Repeats.
+    /// Retries that were granted.
     retries: u32,
 }
 
 impl RetryWindow {
-    /// Counts a request that came.
+    /// Counts a request that arrived.
     pub(crate) fn record_arrival(&mut self, now: Duration) {
         self.current(now).arrived += 1;
     }
 
-    /// Pays for a repeat, if the budget allows it.
+    /// Charges the budget for a retry. Returns `false` if the budget is exhausted.
     pub(crate) fn try_spend(&mut self, ratio: f64, slack: f64, now: Duration) -> bool {
         self.current(now);
         let arrived: u32 = self.steps.iter().map(|step| step.arrived).sum();
@@ -47,7 +48,7 @@
         true
     }
 
-    /// Returns the present step, and forgets those that are out of the window.
+    /// Returns the current step and drops the steps that have left the window.
     fn current(&mut self, now: Duration) -> &mut StepCount {
         let step = (now.as_millis() / (WINDOW.as_millis() / u128::from(STEPS))) as u64;
         while self.steps.front().is_some_and(|first| first.step + STEPS < step) {
--- a/crates/flaxtide-policy/src/router/call.rs
+++ b/crates/flaxtide-policy/src/router/call.rs
@@ -1,4 +1,4 @@
-//! What the router knows of a request.
+//! Requests as the router sees them.
 
 use std::time::Duration;
 
@@ -6,60 +6,66 @@
 
 use super::options::RouteOptions;
 
-/// How many prompt tokens cost an engine as much time as one token of the answer.
+/// How many prompt tokens take an engine as long to prefill as one output token takes to
+/// generate.
 const PROMPT_TOKENS_PER_TOKEN: f64 = 10.0;
 
-/// A part of a prompt that other requests may share.
+/// A part of a prompt that other requests may have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// What identifies its content.
+    /// A hash that identifies the content.
     pub key: u64,
-    /// How many tokens it has.
+    /// The length of the part in tokens.
     pub tokens: u32,
 }
 
-/// Stands for the content of a prompt part between instances and in the router's memory.
+/// The 32-bit form of [`PromptPart::key`] that is kept in memory and sent to other
+/// instances.
 pub type PartKey = u32;
 
 impl PromptPart {
-    /// Returns what stands for its content.
+    /// Returns the 32-bit form of the key.
     #[must_use]
     pub fn short_key(&self) -> PartKey {
         (self.key ^ (self.key >> 32)) as PartKey
     }
 }
 
-/// The prompt of a request, and how long its answer may be.
+/// The size of a prompt, its parts, and the maximum length of the response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PromptShape {
-    /// Tokens of the whole prompt; 0 for a call that isn't for a model.
+    /// The length of the whole prompt in tokens; 0 for a call that isn't for a model.
     pub tokens: u32,
-    /// Tokens of the answer, at most.
+    /// The maximum number of output tokens.
     pub answer: u32,
-    /// The parts in order. The last belongs to the request or its session.
+    /// The parts in order. The last one is specific to the request or its session, the
+    /// others may be shared with other requests.
     pub parts: Vec<PromptPart>,
 }
 
 impl PromptShape {
-    /// Returns the work in tokens of an answer, for the order of organisations.
+    /// Returns the work of the request in units of one output token. Fair queueing
+    /// between organisations uses it.
     #[must_use]
     pub fn work(&self) -> f64 {
         f64::from(self.tokens) / PROMPT_TOKENS_PER_TOKEN + f64::from(self.answer) + 1.0
     }
 
-    /// Tells whether it is long enough to delay what the same engine makes beside it.
+    /// Returns whether prefilling the prompt noticeably delays other requests on the same
+    /// engine.
     pub(crate) fn is_long(&self, options: &RouteOptions) -> bool {
         self.tokens > options.long_prompt
     }
 
-    /// Returns the tokens of the parts that other requests may share.
+    /// Returns the total length of the shared parts in tokens.
     #[must_use]
     pub fn shared_tokens(&self) -> u32 {
         let Some((_, shared)) = self.parts.split_last() else { return 0 };
         shared.iter().map(|part| part.tokens).sum()
     }
 
-    /// Returns the last part that other requests may share; it stands for all before it.
+    /// Returns the last shared part. An engine that has cached it has also cached all
+    /// parts before it.
     #[must_use]
     pub fn shared_part(&self) -> Option<&PromptPart> {
         let shared = self.parts.len().checked_sub(2)?;
@@ -67,119 +73,123 @@
     }
 }
 
-/// A request, as the router needs it. Times are on the router's clock.
+/// A request as it is handed to the router. Times are on the router's clock.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteCall {
-    /// The request.
+    /// The identifier of the request.
     pub request: RequestId,
-    /// The pool that serves it.
+    /// The pool that serves the request.
     pub pool: PoolId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its organisation.
+    /// The organisation that the request belongs to.
     pub organisation: OrganisationId,
-    /// Its tier; 0 is the highest.
+    /// The tier of the request; 0 is the highest and is served first.
     pub tier: TierRank,
-    /// How urgent its class is, from 0: engines read more urgent prompts first.
+    /// The urgency level of the class; 0 is the most urgent. Engines prefill more urgent
+    /// prompts first.
     pub level: u8,
-    /// Its prompt.
+    /// The size and the parts of the prompt.
     pub prompt: PromptShape,
-    /// Within what time its answer, or the answer's first token, is on time.
+    /// The time within which the response, or its first token if it is streamed, counts
+    /// as on time.
     pub target: Duration,
-    /// When it is refused if it still waits.
+    /// When the request is refused if it is still waiting.
     pub give_up: Duration,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub deadline: Duration,
-    /// Whether it may run more than once.
+    /// Whether the request is idempotent, so that it may run more than once.
     pub repeatable: bool,
-    /// On how many servers it may run.
+    /// The maximum number of servers that the request may run on.
     pub run_limit: u32,
 }
 
-/// What went wrong at a server.
+/// A fault of a server, as seen by one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RouteFault {
-    /// No connection could be opened: it hasn't run.
+    /// No connection could be opened, so the request hasn't run.
     Unreachable,
-    /// The server asked for less before the request was written: it hasn't run.
+    /// The server asked for fewer requests before this one was written, so it hasn't run.
     Withheld,
-    /// The server had no room and said that it hasn't run.
+    /// The server refused the request for lack of capacity and stated that it hasn't run.
     Full,
-    /// Another server has the address now: it hasn't run.
+    /// A different server now has the address, so the request hasn't run.
     Replaced,
-    /// The connection broke, or the answer wasn't a whole and right one.
+    /// The connection broke, or the response was incomplete or malformed.
     Broken,
-    /// The server answered with an error of its own.
+    /// The server responded with an error of its own.
     Failed,
-    /// Nothing came for too long.
+    /// The server sent nothing for too long.
     Silent,
 }
 
 impl RouteFault {
-    /// Tells whether the request has reached the server, as the retry budget counts it.
-    pub(crate) fn arrived(self) -> bool {
+    /// Returns whether the request reached the server, in which case a retry counts
+    /// against the retry budget.
+    pub(crate) fn reached_server(self) -> bool {
         !matches!(self, Self::Unreachable | Self::Withheld)
     }
 
-    /// Tells whether the fault promises that the request hasn't run.
+    /// Returns whether the fault guarantees that the request hasn't run.
     #[must_use]
     pub fn not_run(self) -> bool {
         matches!(self, Self::Unreachable | Self::Withheld | Self::Full | Self::Replaced)
     }
 }
 
-/// A request that waits or runs.
+/// The state of a request that is waiting or running.
 #[derive(Debug, Clone)]
 pub(crate) struct RoutedCall {
-    /// What came.
+    /// The request as it arrived.
     pub(crate) details: RouteCall,
-    /// Where it is.
+    /// Whether the request is waiting or running.
     pub(crate) phase: CallPhase,
-    /// The servers that have failed it.
+    /// The servers that already failed this request.
     pub(crate) excluded: Vec<ServerId>,
-    /// How often it was sent.
+    /// How many times the request has been sent.
     pub(crate) sends: u32,
-    /// For how long this instance has stood still since it was sent.
+    /// The time since the last dispatch during which this instance was stalled.
     pub(crate) stalled_for: Duration,
-    /// Whether its next try is paid for.
+    /// Whether the retry budget has already been charged for the next retry.
     pub(crate) retry_granted: bool,
-    /// Whether its present server's rate, if it states one, has room for it.
+    /// Whether the request has been counted against the rate limit of its server.
     pub(crate) rate_counted: bool,
-    /// On how many servers it may have run, the present one not counted.
+    /// The number of servers that may have run the request, without the current one.
     pub(crate) runs: u32,
-    /// How many prompt tokens the present server must read, about.
+    /// An estimate of the prompt tokens that the current server has to prefill.
     pub(crate) uncached: u32,
-    /// How many prompt tokens are read there before its first token, its own included.
+    /// The prompt tokens that the server prefills before the first output token,
+    /// including the request's own.
     pub(crate) tokens_ahead: f64,
 }
 
-/// Where a request is.
+/// Whether a request is waiting or running.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum CallPhase {
-    /// It waits for a server.
+    /// The request is waiting for a server.
     Waiting,
-    /// It was sent to a server.
+    /// The request was sent to a server.
     Running {
-        /// The server.
+        /// The server that has the request.
         server: ServerId,
-        /// When it was sent.
+        /// When the request was sent.
         since: Duration,
-        /// When the first of the answer came.
+        /// When the first response data arrived, or `None` if none has.
         answered_at: Option<Duration>,
     },
 }
 
-/// How far a request has come at the server where it is.
+/// The progress of a request at its current server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallProgress {
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Duration,
-    /// Whether anything of the answer has come.
+    /// Whether any response data has arrived.
     pub begun: bool,
 }
 
 impl RoutedCall {
-    /// Starts with a request that waits.
+    /// Creates the state of a request that is waiting.
     pub(crate) fn new(details: RouteCall) -> Self {
         Self {
             details,
@@ -195,7 +205,7 @@
         }
     }
 
-    /// Takes in that something came. Returns whether it was the first.
+    /// Records that response data arrived. Returns whether it was the first.
     pub(crate) fn record_data(&mut self, now: Duration) -> bool {
         match &mut self.phase {
             CallPhase::Running { answered_at: answered_at @ None, .. } => {
@@ -206,7 +216,8 @@
         }
     }
 
-    /// Returns how far it has come at its server; nothing while it waits.
+    /// Returns the progress at the current server, or `None` while the request is
+    /// waiting.
     pub(crate) fn progress(&self) -> Option<CallProgress> {
         match self.phase {
             CallPhase::Running { since, answered_at, .. } => {
@@ -216,7 +227,7 @@
         }
     }
 
-    /// Tells whether anything of the answer has come.
+    /// Returns whether any response data has arrived.
     pub(crate) fn begun(&self) -> bool {
         matches!(self.phase, CallPhase::Running { answered_at: Some(_), .. })
     }
--- a/crates/flaxtide-policy/src/router/choose.rs
+++ b/crates/flaxtide-policy/src/router/choose.rs
@@ -1,4 +1,5 @@
-//! The choice of a server for one request.
+//! The choice of a server for a request: every usable server gets a cost, and the
+//! cheapest wins.
 
 use std::time::Duration;
 
@@ -11,63 +12,66 @@
 use super::server::ServerState;
 use crate::rendezvous::rendezvous_weight;
 
-/// What a server that isn't listed just now costs more, in milliseconds.
+/// The additional cost of a server that is missing from the current server list, in
+/// milliseconds.
 const LAPSED_COST_MS: f64 = 500.0;
 
-/// The time of a plain call before any is known, in milliseconds.
+/// The assumed time of a call to a plain server, in milliseconds.
 const PLAIN_CALL_GUESS_MS: f64 = 60.0;
 
-/// Over how many milliseconds of cost calls of plain services are spread. More than a server of
-/// another data centre costs, so that a data centre with few servers isn't crowded: 295
-/// instances before nine servers at 85 % of what these can do answer .98 of the calls in
-/// time, and .80 if each takes the first of those that seem alike (`flaxtide-lab`).
+/// The range of the random cost that spreads calls over plain servers, in milliseconds.
+/// It exceeds the default cost of a server in another data centre, so that a data centre
+/// with few servers isn't overloaded. Without the jitter, 295 instances that rank nine
+/// servers alike overload the first few: at 85 % of the servers' capacity, .80 of the
+/// calls met their deadline instead of .98 (`flaxtide-lab`).
 const PLAIN_JITTER_MS: f64 = 4.0;
 
-/// The seed of the order in which engines are given to long prompts.
+/// The hash key of the order in which engines are assigned to long prompts.
 const LANE_SEED: u64 = 0x6c61_6e65;
 
-/// A chosen server.
+/// The server chosen for a request, with the estimates behind the choice.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteChoice {
-    /// The server.
+    /// The chosen server.
     pub server: ServerId,
-    /// Why.
+    /// The reason for the choice.
     pub reason: RouteReason,
-    /// Its predicted cost, in milliseconds.
+    /// The predicted cost in milliseconds.
     pub cost_ms: f64,
-    /// How long until the first token or the answer, about.
+    /// The expected time to the first token, or to the response of a plain server.
     pub expected: Duration,
-    /// How many prompt tokens it must read, about.
+    /// An estimate of the prompt tokens that the server has to prefill.
     pub uncached: u32,
-    /// The engine from which it takes over what it hasn't read, and how many tokens.
+    /// The cached prompt part that the server fetches from another engine, if any.
     pub fetch: Option<PartFetch>,
-    /// The requests known to be at it.
+    /// The number of requests known to be running on the server.
     pub running: u32,
-    /// How many servers could have been chosen.
+    /// The number of servers that the choice was made from.
     pub eligible: usize,
-    /// How many prompt tokens it reads before the first token, about.
+    /// An estimate of the prompt tokens that are prefilled before the first output token.
     pub tokens_ahead: f64,
 }
 
-/// A part of a prompt that an engine takes over from another's memory.
+/// A prompt part that an engine fetches from the cache of another engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PartFetch {
-    /// The engine that keeps it.
+    /// The engine that has the part cached.
     pub from: ServerId,
-    /// How many tokens it keeps beyond what the other does.
+    /// The number of tokens to fetch: those that the fetching engine hasn't cached
+    /// itself.
     pub tokens: u32,
 }
 
-/// Why a server was chosen.
+/// The reason why a server was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteReason {
-    /// It has read a part of the prompt.
+    /// The server has a part of the prompt cached.
     Cached,
-    /// It is where the shared part of the prompt belongs.
+    /// Rendezvous hashing ranks the server first for the shared part of the prompt.
     Home,
-    /// It costs least.
+    /// The server has the lowest cost.
     Cheapest,
-    /// All others are kept from work.
+    /// No healthy server is left.
     LastResort,
 }
 
@@ -75,22 +79,22 @@
 struct Candidate<'a> {
     /// The server.
     server: &'a ServerState,
-    /// Its cost, in milliseconds.
+    /// The predicted cost in milliseconds.
     cost_ms: f64,
-    /// How many prompt tokens it must read.
+    /// The prompt tokens that the server has to prefill.
     uncached: u32,
-    /// What it takes over from another.
+    /// The part that the server fetches from another engine.
     fetch: Option<PartFetch>,
-    /// How long until the first token, in milliseconds.
+    /// The expected time to the first token, in milliseconds.
     expected_ms: f64,
-    /// The requests known to be at it.
+    /// The number of requests known to be running on the server.
     running: u32,
-    /// How many prompt tokens it reads before the first token.
+    /// The prompt tokens that are prefilled before the first output token.
     tokens_ahead: f64,
 }
 
 impl RouteCore {
-    /// Chooses a server for a request, if there is room for it at one.
+    /// Chooses a server for a request, or returns `None` if no server has room.
     pub(super) fn choose(
         &self,
         pool: PoolId,
@@ -122,8 +126,8 @@
         Some(build_choice(&best, RouteReason::LastResort, usable.len()))
     }
 
-    /// Returns the servers of a pool that may get work, in the order that all instances
-    /// agree on.
+    /// Returns the servers of a pool that aren't leaving, in an order that is the same on
+    /// all instances.
     pub(super) fn active_servers(&self, pool: PoolId) -> Vec<&ServerState> {
         let Some(state) = self.pools.get(&pool) else { return vec![] };
         let servers = state.servers.values();
@@ -133,8 +137,8 @@
         active
     }
 
-    /// Returns the servers that answer as their pool does. Servers that fail more than
-    /// others are used all the same where too many do.
+    /// Returns the servers that respond and whose failure rate isn't an outlier in their
+    /// pool. Outliers are kept if too few servers would remain without them.
     pub(super) fn healthy_servers<'a>(
         &self,
         usable: &[&'a ServerState],
@@ -148,17 +152,17 @@
         let mut failures: Vec<f64> =
             answering.iter().map(|server| server.health.failures()).collect();
         failures.sort_by(f64::total_cmp);
-        let typical = failures.get(failures.len() / 2).copied().unwrap_or_default();
-        let right: Vec<&ServerState> = answering
+        let median = failures.get(failures.len() / 2).copied().unwrap_or_default();
+        let inliers: Vec<&ServerState> = answering
             .iter()
             .copied()
-            .filter(|server| server.health.failures() <= typical + OUTLIER_MARGIN)
+            .filter(|server| server.health.failures() <= median + OUTLIER_MARGIN)
             .collect();
         let least = usable.len() as f64 * (1.0 - self.options.ejected_part);
-        if (right.len() as f64) < least { answering } else { right }
+        if (inliers.len() as f64) < least { answering } else { inliers }
     }
 
-    /// Tells whether a server answers at all.
+    /// Returns whether a server responds at all.
     fn is_answering(&self, server: &ServerState, now: Duration) -> bool {
         let expected =
             Duration::from_secs_f64(self.backlog_ms(server, u8::MAX, now) / 1000.0);
@@ -169,7 +173,7 @@
             .is_healthy(streams, waiting, expected, now, &self.options)
     }
 
-    /// Returns those servers that belong to a lane.
+    /// Returns the healthy servers that belong to a lane.
     fn lane_servers<'a>(
         &self,
         active: &[&'a ServerState],
@@ -183,8 +187,8 @@
         }
         let count = active.len();
         let part = self.long_part(split, active, now);
-        let places = active.iter().enumerate();
-        let members = places.filter(|(place, _)| in_lane(lane, *place, count, part));
+        let indexed = active.iter().enumerate();
+        let members = indexed.filter(|(index, _)| in_lane(lane, *index, count, part));
         let is_member_healthy = |server: &ServerState| {
             healthy.iter().any(|other| other.facts.server == server.facts.server)
         };
@@ -194,8 +198,8 @@
             .collect()
     }
 
-    /// Returns the part of the engines that long prompts are kept to: what the short ones
-    /// leave.
+    /// Returns the fraction of the engines that long prompts may use: what the short
+    /// prompts leave.
     fn long_part(
         &self,
         split: &LaneSplit,
@@ -205,9 +209,10 @@
         let short = |server: &&ServerState| server.load.short_running(&self.options, now);
         let short: u32 = active.iter().map(short).sum();
         let slots: u32 = active.iter().map(|server| server.facts.slots).sum();
-        let meant = f64::from(slots.max(1)) * self.options.short_fill;
-        let left = 1.0 - f64::from(short) / meant;
-        // The fastest is the one that reads least beside others.
+        let short_capacity = f64::from(slots.max(1)) * self.options.short_fill;
+        let left = 1.0 - f64::from(short) / short_capacity;
+        // Other requests slow prefilling down, so the highest rate is closest to that of
+        // an idle engine.
         let rates = active.iter().map(|server| server.prefill_rate.tokens_per_ms(now));
         let fastest = rates.fold(0.0, f64::max);
         let most = split.max_long_part(fastest, &self.options);
@@ -215,8 +220,8 @@
         usual.max(self.burst_part(active, short, slots, now))
     }
 
-    /// Returns the part of the engines that long prompts need for those that are at engines now,
-    /// as far as the short ones can do with the rest.
+    /// Returns the fraction of the engines that the long prompts running now need,
+    /// limited by what the short prompts can spare.
     fn burst_part(
         &self,
         active: &[&ServerState],
@@ -235,8 +240,8 @@
         needed.min(left)
     }
 
-    /// Returns the cheapest server with room among some, where it may take shared parts
-    /// over from `sources`.
+    /// Returns the cheapest of `servers` that has room. It may fetch shared prompt parts
+    /// from one of `sources`.
     fn cheapest<'a>(
         &self,
         servers: &[&'a ServerState],
@@ -268,7 +273,9 @@
                         service_ms,
                         now,
                     );
-                    // What shares a prompt's parts goes to the same homes, from all instances.
+                    // Prefilling shared parts again costs extra on any server but the
+                    // first home server, and at most half as much on the second, so that
+                    // all instances send prompts with the same parts there.
                     let reread = match home_servers
                         .iter()
                         .position(|home| *home == server.facts.server)
@@ -299,7 +306,7 @@
         Some((best, reason))
     }
 
-    /// Returns how many tokens of a prompt a server is known to keep.
+    /// Returns how many tokens of a prompt a server has cached.
     fn cached_tokens(
         &self,
         prompt: &PromptShape,
@@ -309,7 +316,8 @@
         server.cached_tokens(prompt, self.options.cache_life, now)
     }
 
-    /// Returns which server keeps most of a prompt's shared parts, and how many tokens.
+    /// Returns the server that has most of a prompt's shared parts cached, with the
+    /// number of tokens. `None` if these are too few to be worth a transfer.
     fn fetch_source(
         &self,
         prompt: &PromptShape,
@@ -325,8 +333,7 @@
         (most.tokens >= self.options.least_fetch).then_some(most)
     }
 
-    /// Returns what a server that keeps so many tokens would take over from the one that
-    /// keeps most.
+    /// Returns what a server that has `cached` tokens would fetch from the fetch source.
     fn fetch(
         &self,
         server: &ServerState,
@@ -340,7 +347,7 @@
             .then_some(PartFetch { from: fetch_source.from, tokens })
     }
 
-    /// Works out what a server costs that must read so many tokens.
+    /// Computes the cost of a server that has to prefill `uncached` tokens.
     fn candidate<'a>(
         &self,
         server: &'a ServerState,
@@ -389,26 +396,27 @@
         }
     }
 
-    /// Returns how long a request is at a server of a pool on average, in milliseconds.
+    /// Returns the mean time that requests spend on a server of a pool, in milliseconds.
     fn service_ms(&self, pool: PoolId) -> f64 {
         let span = self.pools.get(&pool).and_then(|state| state.service_time.get());
         span.unwrap_or_default() * 1000.0
     }
 
-    /// Returns what it costs on average to send a request to a server of a pool of which nothing
-    /// is known, as it may turn the request away, in milliseconds.
+    /// Returns the expected cost of being refused by a server of a pool that hasn't
+    /// responded recently, in milliseconds.
     fn refusal_cost_ms(&self, pool: PoolId, now: Duration) -> f64 {
         let probability = self.pools.get(&pool).map_or(0.0, |state| state.shed.get(now));
         probability * self.options.refused_cost_ms
     }
 
-    /// Returns how long a server reads what it was sent before a new request of a level,
-    /// in milliseconds.
+    /// Returns how long a server is busy prefilling other prompts before a new request of
+    /// an urgency level, in milliseconds.
     fn backlog_ms(&self, server: &ServerState, level: u8, now: Duration) -> f64 {
         self.backlog(server, level, now) / server.prefill_rate.tokens_per_ms(now)
     }
 
-    /// Returns the prompt tokens that a server reads before a new request of a level.
+    /// Returns the prompt tokens that a server prefills before a new request of an
+    /// urgency level.
     fn backlog(&self, server: &ServerState, level: u8, now: Duration) -> f64 {
         let rate = server.prefill_rate.tokens_per_ms(now);
         server
@@ -416,14 +424,14 @@
             .pending_prefill(level, &self.calls, rate, &self.options, now)
     }
 
-    /// Tells whether a server has room for one more request.
+    /// Returns whether a server has room for one more request.
     fn has_room(&self, server: &ServerState, now: Duration) -> bool {
         let most = f64::from(server.facts.slots) * self.options.fill;
         f64::from(self.running(server, now)) < most.max(1.0)
     }
 
-    /// Returns what a plain server costs more or less for one request than for another, drawn
-    /// by each instance for itself.
+    /// Returns the random part of a plain server's cost for a request. Each instance
+    /// draws its own.
     fn jitter_ms(&self, server: &ServerState, request: RequestId) -> f64 {
         if server.facts.engine.is_some() {
             return 0.0;
@@ -432,8 +440,10 @@
         PLAIN_JITTER_MS * draw as f64 / u64::MAX as f64
     }
 
-    /// Returns how many requests are taken to be at a server. A plain call is over before a
-    /// peer's word of it comes: all who heard the same words would go to the same servers.
+    /// Returns how many requests are assumed to be running on a server. For plain servers
+    /// only this instance's own requests count: a plain call ends before a peer's report
+    /// of it arrives, and all instances that get the same reports would choose the same
+    /// servers.
     fn running(&self, server: &ServerState, now: Duration) -> u32 {
         match server.facts.engine {
             Some(_) => server.load.running(&self.options, now),
@@ -442,18 +452,18 @@
     }
 }
 
-/// How long it takes a server to take a part over, in milliseconds.
+/// Returns how long a server takes to fetch a prompt part, in milliseconds.
 fn fetch_ms(server: &ServerState, fetch: Option<PartFetch>) -> f64 {
     let Some(fetch) = fetch else { return 0.0 };
     let rate = server.facts.engine.and_then(|engine| engine.fetch_tokens_per_ms);
     rate.map_or(0.0, |rate| f64::from(fetch.tokens) / rate)
 }
 
-/// How many servers are taken to keep the shared parts of a prompt: where it belongs, and
-/// where it goes while that one is busy.
+/// The number of servers that are expected to have the shared parts of a prompt cached:
+/// the first by rendezvous hashing, and the next one for when the first is busy.
 const HOME_SERVERS: usize = 2;
 
-/// Returns the servers to which prompts with the same shared parts go first.
+/// Returns the servers that prompts with the same shared parts are sent to first.
 fn home_servers(prompt: &PromptShape, servers: &[&ServerState]) -> Vec<ServerId> {
     let Some(part) = prompt.shared_part() else { return vec![] };
     let mut ranked: Vec<(u64, ServerId)> = servers
@@ -467,7 +477,7 @@
     ranked.into_iter().map(|(_, server)| server).collect()
 }
 
-/// Makes the choice of a candidate.
+/// Converts a candidate into a choice.
 fn build_choice(
     candidate: &Candidate<'_>,
     reason: RouteReason,
--- a/crates/flaxtide-policy/src/router/health.rs
+++ b/crates/flaxtide-policy/src/router/health.rs
@@ -1,37 +1,39 @@
-//! Whether a backend server answers, as this instance's own requests show it.
+//! The health of a backend server, judged by this instance's own requests and the silence
+//! reports of peers.
 
 use std::time::Duration;
 
 use super::call::RouteFault;
 use super::options::RouteOptions;
 
-/// How much the newest outcome moves the part of failures.
+/// The weight of the newest outcome in the decayed failure rate.
 const OUTCOME_WEIGHT: f64 = 0.15;
 
-/// A server that fails more than this part of its requests above its pool's median rests.
+/// A server whose failure rate exceeds the median of its pool by more than this is an
+/// outlier.
 pub(crate) const OUTLIER_MARGIN: f64 = 0.3;
 
-/// How a server has answered.
+/// The recent responses and faults of a server.
 #[derive(Debug, Clone)]
 pub(crate) struct ServerHealth {
-    /// Until when it gets no work.
+    /// The server gets no requests until this time.
     paused_until: Duration,
-    /// How long the next pause is.
+    /// The length of the last pause; the next one is twice as long.
     pause: Duration,
-    /// When anything last came from it.
+    /// When anything was last received from the server.
     last_heard: Duration,
-    /// When it last began to answer a request, unless it has turned one away since.
+    /// When it last started to respond to a request; reset when it refuses one.
     admitted_at: Option<Duration>,
-    /// When it last turned a request away.
+    /// When it last refused a request.
     refused_at: Option<Duration>,
-    /// When it was last found silent or out of reach, unless it has answered since.
+    /// When it was last found silent or unreachable; reset when anything is received.
     silent_at: Option<Duration>,
-    /// The decayed part of its requests that failed.
+    /// The decayed fraction of its requests that failed.
     failures: f64,
 }
 
 impl ServerHealth {
-    /// Starts with a server that is taken to be well.
+    /// Creates the state of a server that is assumed to be healthy.
     pub(crate) fn new(now: Duration) -> Self {
         Self {
             paused_until: Duration::ZERO,
@@ -44,26 +46,27 @@
         }
     }
 
-    /// Records that something came.
+    /// Records that something was received.
     pub(crate) fn record_activity(&mut self, now: Duration) {
         self.last_heard = now;
         self.silent_at = None;
     }
 
-    /// Leaves out a time in which nothing could be heard.
+    /// Excludes a stall of this instance from the server's silence.
     pub(crate) fn discount_stall(&mut self, span: Duration, now: Duration) {
         self.last_heard = (self.last_heard + span).min(now);
     }
 
-    /// Records that it has begun to answer a request that was sent at `sent`. What was sent before
-    /// it turned another one away tells nothing of what it takes now.
+    /// Records that the server has started to respond to a request that was sent at
+    /// `sent`. A request that was sent before the last refusal doesn't show what the
+    /// server accepts now.
     pub(crate) fn record_admission(&mut self, sent: Duration, now: Duration) {
         if self.refused_at.is_none_or(|at| sent > at) {
             self.admitted_at = Some(now);
         }
     }
 
-    /// Records a whole answer.
+    /// Records a complete response.
     pub(crate) fn record_success(&mut self, now: Duration) {
         self.record_activity(now);
         self.pause = Duration::ZERO;
@@ -78,7 +81,7 @@
         options: &RouteOptions,
     ) {
         match fault {
-            // The server wasn't asked.
+            // The request was never sent, so this says nothing about the server.
             RouteFault::Withheld => {}
             RouteFault::Full => {
                 self.record_activity(now);
@@ -99,8 +102,8 @@
         }
     }
 
-    /// Tells whether the server was found silent lately, by this instance itself. `streams`
-    /// tells whether it has streams under way.
+    /// Returns whether this instance itself recently found the server silent. `streams`
+    /// tells whether responses are being streamed from the server.
     pub(crate) fn was_silent(
         &self,
         streams: bool,
@@ -111,7 +114,7 @@
         silent || self.silent_at.is_some_and(|at| now < at + options.rumour_life)
     }
 
-    /// Takes in that a peer has found the server silent.
+    /// Records that a peer reported the server as silent.
     pub(crate) fn record_silence_report(
         &mut self,
         now: Duration,
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Gives the server no work for a while, longer each time.
+    /// Stops sending requests for a while; each consecutive pause is longer.
     fn start_pause(
         &mut self,
         now: Duration,
@@ -141,28 +144,30 @@
         self.failures += (1.0 - self.failures) * OUTCOME_WEIGHT;
     }
 
-    /// Returns how little is known of whether it turns requests away: 0 if it has just begun to
-    /// answer one, 1 if it has turned one away since or has answered none lately.
+    /// Returns how uncertain it is that the server accepts requests: 0 if it has just
+    /// started to respond to one, 1 if it has refused one since or hasn't responded to
+    /// any.
     pub(crate) fn uncertainty(&self, now: Duration, options: &RouteOptions) -> f64 {
         let Some(admitted_at) = self.admitted_at else { return 1.0 };
         let age = now.saturating_sub(admitted_at).as_secs_f64();
         1.0 - 0.5f64.powf(age / options.admitted_half_life.as_secs_f64())
     }
 
-    /// Returns when anything last came.
+    /// Returns when anything was last received.
     pub(crate) fn last_heard(&self) -> Duration {
         self.last_heard
     }
 
-    /// Returns the decayed part of failed requests.
+    /// Returns the decayed fraction of failed requests.
     pub(crate) fn failures(&self) -> f64 {
         self.failures
     }
 
-    /// Tells whether the server may get work by what it has answered. `streams` tells whether
-    /// it has streams under way, `waiting` since when the oldest request there waits for its
-    /// first answer, and `expected` how long that may take. A server that has streams under way says
-    /// something all the time; one that only reads prompts may be silent for longer.
+    /// Returns whether the server may get requests, judged by its recent responses.
+    /// `streams` tells whether responses are being streamed from it, `waiting` since when
+    /// its oldest unanswered request has been waiting, and `expected` how long that
+    /// request may take. A server that is streaming sends data continuously; one that
+    /// only prefills prompts may be silent for longer.
     pub(crate) fn is_healthy(
         &self,
         streams: bool,
--- a/crates/flaxtide-policy/src/router/lane.rs
+++ b/crates/flaxtide-policy/src/router/lane.rs
@@ -1,5 +1,6 @@
-//! Long and short prompts apart: each chunk of a long prompt delays every token that the
-//! same engine makes beside it, so long prompts are kept to a part of the engines.
+//! Separate lanes for long and short prompts. Each prefill chunk of a long prompt delays
+//! every output token of the same engine, so long prompts are limited to a fraction of
+//! the engines.
 
 use std::time::Duration;
 
@@ -7,35 +8,35 @@
 use super::options::RouteOptions;
 use crate::estimate::DecayedMean;
 
-/// The demand of the moment, by long and short prompts.
+/// The recent demand for long and short prompts.
 #[derive(Debug, Default)]
 pub(crate) struct LaneSplit {
-    /// Whether long prompts were seen lately.
+    /// When a long prompt last arrived.
     long_seen: Option<Duration>,
-    /// Whether short prompts were seen lately.
+    /// When a short prompt last arrived.
     short_seen: Option<Duration>,
     /// The mean target of long prompts, in milliseconds.
     long_target: DecayedMean,
-    /// Their mean length, in tokens.
+    /// The mean length of long prompts, in tokens.
     long_tokens: DecayedMean,
 }
 
-/// For how long a kind of prompts counts as there after it was last seen.
+/// How long a kind of prompt counts as present after the last arrival.
 const SEEN_LIFE: Duration = Duration::from_secs(3);
 
-/// Which engines a prompt may use first.
+/// The set of engines that a prompt prefers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PromptLane {
     /// The engines for long prompts.
     Long,
-    /// The engines for short ones.
+    /// The engines for short prompts.
     Short,
-    /// Any.
+    /// All engines.
     Any,
 }
 
 impl LaneSplit {
-    /// Takes in a request that came.
+    /// Records a request that arrived.
     pub(crate) fn record_arrival(
         &mut self,
         call: &RouteCall,
@@ -54,8 +55,9 @@
         }
     }
 
-    /// Returns the largest part of the engines for long prompts, which are read at this
-    /// pace: the less time they have to wait for each other, the more engines.
+    /// Returns the maximum fraction of the engines for long prompts, given the rate at
+    /// which these are prefilled. The less time they have to wait for each other, the
+    /// larger it is.
     pub(crate) fn max_long_part(
         &self,
         tokens_per_ms: f64,
@@ -72,7 +74,7 @@
         options.long_part + (options.tight_long_part - options.long_part) * tight
     }
 
-    /// Returns which engines a prompt may use first.
+    /// Returns the lane of a prompt.
     pub(crate) fn lane(
         &self,
         tokens: u32,
@@ -87,8 +89,8 @@
     }
 }
 
-/// Tells whether a server at `place` of `count`, in the order that all instances agree on,
-/// belongs to a lane.
+/// Returns whether the server at `index` of `count` belongs to a lane. The order of the
+/// servers is the same on all instances.
 pub(crate) fn in_lane(lane: PromptLane, index: usize, count: usize, part: f64) -> bool {
     let long = ((count as f64 * part).round() as usize).clamp(1, count.max(2) - 1);
     match lane {
--- a/crates/flaxtide-policy/src/router/load.rs
+++ b/crates/flaxtide-policy/src/router/load.rs
@@ -1,4 +1,5 @@
-//! Requests at a backend server: this instance's own, and what its peers tell.
+//! The requests on a backend server: this instance's own, and those that its peers
+//! report.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -8,59 +9,61 @@
 use super::call::{CallPhase, RoutedCall};
 use super::options::RouteOptions;
 
-/// What this instance has at a server, as peers are told.
+/// The load of one instance on a server, in the form in which peers are told of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerLoad {
     /// The server.
     pub server: ServerId,
-    /// Its requests there whose prompts aren't long.
+    /// The number of requests whose prompts aren't long.
     pub short: u32,
-    /// Its requests there with long prompts.
+    /// The number of requests with long prompts.
     pub long: u32,
-    /// Prompt tokens of them that are still to be read, by the level of their class.
+    /// The prompt tokens that still have to be prefilled, by urgency level.
     pub pending_prefill: LevelTokens,
 }
 
 impl ServerLoad {
-    /// Returns its requests there, whatever their prompts.
+    /// Returns the number of all requests.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.short + self.long
     }
 }
 
-/// How many levels of classes are told apart; less urgent ones count as the last.
+/// The number of urgency levels that are distinguished; less urgent classes share the
+/// last one.
 pub const URGENCY_LEVELS: usize = 3;
 
-/// Prompt tokens by the level of their class.
+/// Numbers of prompt tokens by urgency level, the most urgent first.
 pub type LevelTokens = [u32; URGENCY_LEVELS];
 
-/// Returns the place of a level.
+/// Returns the index of an urgency level in [`LevelTokens`].
 fn level_index(level: u8) -> usize {
     usize::from(level).min(URGENCY_LEVELS - 1)
 }
 
-/// What a peer has at a server.
+/// The load of a peer on a server.
 pub type PeerLoad = ServerLoad;
 
-/// Stands for the name of a peer.
+/// A hash of a peer's name.
 pub type PeerKey = u32;
 
-/// The requests at one server.
+/// Tracks the requests on one server.
 #[derive(Debug, Default)]
 pub(crate) struct LoadTracker {
     /// This instance's requests.
     own: BTreeSet<RequestId>,
-    /// How many of them have long prompts.
+    /// The number of this instance's requests that have long prompts.
     own_long: usize,
-    /// Since when the server has read the prompt that it was sent first of those that wait.
+    /// Since when the server has been prefilling the first of this instance's unanswered
+    /// prompts.
     prefill_since: Duration,
-    /// What each peer has, and when it said so.
+    /// The last reported load of each peer, and when it was reported.
     peers: BTreeMap<PeerKey, (PeerLoad, Duration)>,
 }
 
 impl LoadTracker {
-    /// Records a request that is sent.
+    /// Records that a request was sent to the server.
     pub(crate) fn start(
         &mut self,
         request: RequestId,
@@ -76,19 +79,19 @@
         }
     }
 
-    /// Records that a prompt has been read: the server goes on with the next.
+    /// Records that the server has prefilled a prompt and continues with the next.
     pub(crate) fn record_prefill(&mut self, now: Duration) {
         self.prefill_since = now;
     }
 
-    /// Records a request that has ended.
+    /// Records that a request has ended.
     pub(crate) fn end(&mut self, request: RequestId, long: bool) {
         if self.own.remove(&request) && long {
             self.own_long -= 1;
         }
     }
 
-    /// Returns since when the oldest of them waits.
+    /// Returns when the oldest unanswered request was sent.
     pub(crate) fn waiting_since(
         &self,
         calls: &HashMap<RequestId, RoutedCall>,
@@ -100,7 +103,7 @@
         since.min()
     }
 
-    /// Returns this instance's requests there of which nothing has come.
+    /// Returns this instance's requests for which no response data has arrived.
     fn unanswered<'a>(
         &'a self,
         calls: &'a HashMap<RequestId, RoutedCall>,
@@ -109,7 +112,7 @@
         own.filter(|call| !call.begun())
     }
 
-    /// Takes in what a peer has; nothing if it has nothing here.
+    /// Sets the load of a peer; `None` if the peer has no requests on this server.
     pub(crate) fn set_peer(
         &mut self,
         peer: PeerKey,
@@ -126,31 +129,33 @@
         }
     }
 
-    /// Tells whether any of this instance's requests there has begun to be answered.
+    /// Returns whether response data has arrived for any of this instance's running
+    /// requests.
     pub(crate) fn has_streams(&self, calls: &HashMap<RequestId, RoutedCall>) -> bool {
         let mut own = self.own.iter().filter_map(|request| calls.get(request));
         own.any(RoutedCall::begun)
     }
 
-    /// Returns how many requests are at the server.
+    /// Returns the number of requests on the server, including those of peers.
     pub(crate) fn running(&self, options: &RouteOptions, now: Duration) -> u32 {
         let peers = self.fresh_peers(options, now).map(|(load, _)| load.running());
         self.own.len() as u32 + peers.sum::<u32>()
     }
 
-    /// Returns how many of this instance's requests are at the server.
+    /// Returns the number of this instance's requests on the server.
     pub(crate) fn own_running(&self) -> u32 {
         self.own.len() as u32
     }
 
-    /// Returns how many requests at the server have prompts that aren't long.
+    /// Returns the number of requests on the server whose prompts aren't long, including
+    /// those of peers.
     pub(crate) fn short_running(&self, options: &RouteOptions, now: Duration) -> u32 {
         let peers = self.fresh_peers(options, now).map(|(load, _)| load.short);
         (self.own.len() - self.own_long) as u32 + peers.sum::<u32>()
     }
 
-    /// Returns the prompt tokens that are still to be read there before those of a new
-    /// request of a level.
+    /// Returns the prompt tokens that the server still has to prefill before those of a
+    /// new request of an urgency level.
     pub(crate) fn pending_prefill(
         &self,
         level: u8,
@@ -168,13 +173,14 @@
             ages += age.as_secs_f64() * 1000.0;
             count += 1.0;
         }
-        // The server has gone on reading since, for all of them together.
-        let read = ages / count.max(1.0) * rate;
+        // Since the reports the server has continued to prefill, at one rate for all
+        // peers together.
+        let prefilled = ages / count.max(1.0) * rate;
         let own = self.own_pending_prefill(calls, rate, now);
-        own[..=level_index(level)].iter().sum::<f64>() + (reported - read).max(0.0)
+        own[..=level_index(level)].iter().sum::<f64>() + (reported - prefilled).max(0.0)
     }
 
-    /// Returns what this instance has there.
+    /// Returns the load of this instance in the form in which peers are told of it.
     pub(crate) fn own_summary(
         &self,
         server: ServerId,
@@ -191,7 +197,7 @@
         }
     }
 
-    /// Returns what peers have said lately, and how long ago.
+    /// Returns the loads that peers have recently reported, with their ages.
     fn fresh_peers(
         &self,
         options: &RouteOptions,
@@ -204,25 +210,29 @@
             .filter(move |(_, age)| *age < life)
     }
 
-    /// Returns this instance's prompt tokens that are still to be read there.
+    /// Returns this instance's prompt tokens that still have to be prefilled, by urgency
+    /// level.
     fn own_pending_prefill(
         &self,
         calls: &HashMap<RequestId, RoutedCall>,
         tokens_per_ms: f64,
         now: Duration,
     ) -> [f64; URGENCY_LEVELS] {
-        // An engine reads one prompt after the other, about, in the order of requests.
+        // An engine prefills prompts roughly one after the other, in the order of
+        // requests.
         let mut pending = [0.0; URGENCY_LEVELS];
         let mut waiting: Vec<&RoutedCall> = self.unanswered(calls).collect();
-        // The most urgent class first, and in it the request that came first.
+        // The most urgent class comes first; the stable sort keeps the order of requests
+        // within it.
         waiting.sort_by_key(|call| call.details.level);
         let elapsed = now.saturating_sub(self.prefill_since).as_secs_f64() * 1000.0;
-        let mut read = elapsed * tokens_per_ms;
+        let mut prefilled = elapsed * tokens_per_ms;
         for call in waiting {
             let tokens = f64::from(call.uncached);
-            pending[level_index(call.details.level)] += (tokens - read).max(0.0);
-            // The end of the first prompt would have been heard.
-            read = 0.0;
+            pending[level_index(call.details.level)] += (tokens - prefilled).max(0.0);
+            // Only the first prompt can have been started: its end would have been
+            // recorded.
+            prefilled = 0.0;
         }
         pending
     }
--- a/crates/flaxtide-policy/src/router/mod.rs
+++ b/crates/flaxtide-policy/src/router/mod.rs
@@ -1,7 +1,8 @@
-//! The router: which backend server gets a request, and when one is tried again.
+//! The router: chooses the backend server for each request and decides when a request is
+//! retried.
 //!
-//! A [`RouteCore`] is told what comes in and what becomes of it, each with the time, and
-//! returns [`RouteAction`]s. It does no input or output, so a day can be replayed.
+//! A [`RouteCore`] receives requests and their outcomes, each with a timestamp, and
+//! returns [`RouteAction`]s. It performs no I/O, so recorded traffic can be replayed.
 
 mod budget;
 mod call;
@@ -46,78 +47,79 @@
 use crate::pushback::{InstanceGroup, UnlistedPushback};
 use crate::queue::{PoolQueue, QueueEntry};
 
-/// A request that waits for a server is refused after this part of its target: the rest is
-/// left for its caller's next try.
+/// A request may wait for a server for its target time divided by this number and is then
+/// refused. The rest of the target is left for the caller's next attempt.
 pub const QUEUE_WAIT_DIVISOR: u32 = 2;
 
-/// Something to be done about a request.
+/// An action that the caller of [`RouteCore`] must carry out for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RouteAction {
-    /// Send it to a server.
+    /// Send the request to a server.
     Dispatch {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// Which server, and why.
+        /// The chosen server and the reason for the choice.
         choice: RouteChoice,
-        /// How long the server may be silent before the request goes elsewhere; without
-        /// it, the request stays.
+        /// How long the server may send nothing before the request is retried elsewhere.
+        /// `None` if the request can't be retried.
         silence_timeout: Option<Duration>,
     },
-    /// Refuse it: it hasn't run.
+    /// Refuse the request, which hasn't run anywhere.
     Refuse {
-        /// The request.
+        /// The request to refuse.
         request: RequestId,
-        /// Why.
+        /// The cause that is reported to the caller.
         reason: RefusalCause,
-        /// When to come back.
+        /// The time after which the caller should try again.
         retry_after: Duration,
-        /// When its first token was expected from the best server, if there was one.
+        /// The expected time to the first token at the best server, if there was one.
         expected: Option<Duration>,
     },
 }
 
-/// What the router has come to believe of a server.
+/// A change in whether a server is considered healthy.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HealthChange {
-    /// The server.
+    /// The server whose health changed.
     pub server: ServerId,
-    /// Whether it gets work.
+    /// Whether the server gets requests from now on.
     pub healthy: bool,
-    /// The decayed part of its requests that failed.
+    /// The decayed fraction of its requests that failed, from 0 to 1.
     pub failure_rate: f64,
-    /// How long ago anything came from it.
+    /// The time since anything was last received from the server.
     pub heard_ago: Duration,
 }
 
-/// Why a request is refused.
+/// The cause of a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalCause {
     /// No server of the pool can be used.
     NoServer,
-    /// It would be too late for its caller.
+    /// The response would come too late for the caller.
     TooLate,
 }
 
-/// A pool of servers.
+/// The state of one pool of servers.
 #[derive(Debug, Default)]
 struct RoutePool {
-    /// The servers, by their identifiers.
+    /// The servers by identifier.
     servers: BTreeMap<ServerId, ServerState>,
-    /// The requests that wait for a server.
+    /// New requests that wait for a server.
     queue: PoolQueue,
-    /// The requests that wait for another try.
+    /// Requests that wait to be retried on another server.
     retries: Vec<RequestId>,
-    /// What may be spent on further tries.
+    /// Arrivals and retries of the current window, which the retry budget is computed
+    /// from.
     budget: RetryWindow,
-    /// How likely servers that haven't answered lately turn requests away.
+    /// The probability that a server with unknown admission state refuses a request.
     shed: ShedProbability,
-    /// How the servers are shared between long and short prompts.
+    /// How the servers are divided between long and short prompts.
     split: LaneSplit,
-    /// The mean time from dispatch to the end of an answer, in seconds.
+    /// The mean time from dispatch to the end of the response, in seconds.
     service_time: crate::estimate::DecayedMean,
 }
 
-/// Decides about the requests of one entry instance.
+/// Routes the requests of one entry instance.
 ///
 /// ```
 /// use std::time::Duration;
@@ -127,28 +129,29 @@
 /// ```
 #[derive(Debug)]
 pub struct RouteCore {
-    /// The tunable constants.
+    /// The tunable parameters.
     options: RouteOptions,
-    /// Tells this instance's draws from those of others.
+    /// Seeds the pseudo-random draws of this instance; differs between instances.
     seed: u64,
-    /// The pools.
+    /// The pools by identifier.
     pools: BTreeMap<PoolId, RoutePool>,
-    /// The requests that wait or run.
+    /// All requests that are waiting or running.
     calls: HashMap<RequestId, RoutedCall>,
-    /// How many instances share the retry budget; the most that were seen alive.
+    /// How many instances share the retry budget: the largest number that was seen alive
+    /// at once.
     instances: u32,
-    /// The instances that are seen alive, once that is known.
+    /// The instances that are alive, or `None` until membership is known.
     group: Option<Arc<InstanceGroup>>,
-    /// What servers have said that aren't listed now.
+    /// The pushback state of servers that are not listed at the moment.
     unlisted: UnlistedPushback,
-    /// The shared parts that servers have read lately for this instance.
+    /// The shared prompt parts that servers recently prefilled for this instance.
     prefills: PrefillLog,
-    /// What has been decided in the current event.
+    /// The actions decided while the current event is handled.
     actions: Vec<RouteAction>,
 }
 
 impl RouteCore {
-    /// Starts a core that knows no server.
+    /// Creates a core that knows no servers.
     #[must_use]
     pub fn new(options: RouteOptions) -> Self {
         let instances = options.assumed_instances;
@@ -165,13 +168,13 @@
         }
     }
 
-    /// Sets what tells this instance's draws from those of others. Instances that draw alike
-    /// send their calls to the same servers.
+    /// Sets the seed of this instance's pseudo-random draws. Instances with the same seed
+    /// would prefer the same servers.
     pub fn set_seed(&mut self, seed: u64) {
         self.seed = seed;
     }
 
-    /// Sets the servers of a pool. Servers that stay keep what is known of them.
+    /// Replaces the servers of a pool. Servers that remain keep their recorded state.
     pub fn set_servers(
         &mut self,
         pool: PoolId,
@@ -187,11 +190,12 @@
             match state.servers.get_mut(&server.server) {
                 Some(known) => known.facts = server.clone(),
                 None => {
-                    let mut fresh = ServerState::new(server.clone(), guess, now);
-                    fresh.pushback = self.unlisted.take(server.server);
-                    let part = |rate| own_rate_share(self.group.as_deref(), server, rate);
-                    fresh.pushback.set_part(part, now);
-                    state.servers.insert(server.server, fresh);
+                    let mut new_server = ServerState::new(server.clone(), guess, now);
+                    new_server.pushback = self.unlisted.take(server.server);
+                    let rate_share =
+                        |rate| own_rate_share(self.group.as_deref(), server, rate);
+                    new_server.pushback.set_part(rate_share, now);
+                    state.servers.insert(server.server, new_server);
                 }
             }
         }
@@ -199,13 +203,14 @@
         self.take_actions()
     }
 
-    /// Takes in how many instances are alive. The retry budget is divided by the most
-    /// that were seen, so that a cut never lets both sides spend all of it.
+    /// Records how many instances are alive. The retry budget is divided by the largest
+    /// number seen, so that after a network partition the two sides together can't exceed
+    /// it.
     pub fn set_instances(&mut self, live: u32) {
         self.instances = self.instances.max(live);
     }
 
-    /// Takes in what a peer has at servers: all of it.
+    /// Replaces everything that is known of a peer's load on the servers.
     pub fn set_peer_loads(&mut self, peer: PeerKey, loads: &[PeerLoad], now: Duration) {
         for pool in self.pools.values_mut() {
             for (id, server) in &mut pool.servers {
@@ -215,21 +220,25 @@
         }
     }
 
-    /// Takes in what a peer saw servers read.
-    pub fn record_peer_prefills(&mut self, reads: &[(ServerId, PartKey)], now: Duration) {
-        for (server, part) in reads {
+    /// Records which shared prompt parts servers prefilled for a peer.
+    pub fn record_peer_prefills(
+        &mut self,
+        prefills: &[(ServerId, PartKey)],
+        now: Duration,
+    ) {
+        for (server, part) in prefills {
             if let Some(server) = find_server(&mut self.pools, *server) {
                 server.record_peer_prefill(*part, now);
             }
         }
     }
 
-    /// Returns the shared parts that servers have read lately for this instance.
+    /// Returns the shared prompt parts that servers recently prefilled for this instance.
     pub fn recent_prefills(&mut self, now: Duration) -> Vec<PrefillRecord> {
         self.prefills.recent(&self.options, now)
     }
 
-    /// Takes in that a peer has found servers silent.
+    /// Records that a peer reported servers as silent.
     pub fn record_silence_reports(&mut self, servers: &[ServerId], now: Duration) {
         for pool in self.pools.values_mut() {
             for server in servers {
@@ -240,7 +249,7 @@
         }
     }
 
-    /// Returns which servers this instance has found silent lately.
+    /// Returns the servers that this instance recently found silent.
     #[must_use]
     pub fn silent_servers(&self, now: Duration) -> Vec<ServerId> {
         let servers = self.pools.values().flat_map(|pool| &pool.servers);
@@ -251,7 +260,7 @@
         silent.map(|(id, _)| *id).collect()
     }
 
-    /// Returns what this instance has at servers.
+    /// Returns the load of this instance on each server where it has requests.
     #[must_use]
     pub fn own_loads(&self, now: Duration) -> Vec<ServerLoad> {
         let servers = self.pools.values().flat_map(|pool| &pool.servers);
@@ -266,7 +275,7 @@
         loads.filter(|load| load.running() > 0).collect()
     }
 
-    /// Decides about a request that came.
+    /// Handles a new request: dispatches it, queues it or refuses it.
     pub fn arrive(&mut self, call: RouteCall, now: Duration) -> Vec<RouteAction> {
         let pool = call.pool;
         let request = call.request;
@@ -295,7 +304,7 @@
         self.take_actions()
     }
 
-    /// Takes in that anything came from the server of a request.
+    /// Records that response data for a request arrived from its server.
     pub fn record_response_data(&mut self, request: RequestId, now: Duration) {
         let Some(call) = self.calls.get_mut(&request) else { return };
         let CallPhase::Running { server, since, .. } = call.phase else { return };
@@ -308,21 +317,23 @@
             state.shed.record_answer(&server.health, &self.options, now);
             server.health.record_admission(since, now);
             server.load.record_prefill(now);
-            let seen = now.saturating_sub(since + call.stalled_for);
-            let seen = seen.as_secs_f64() * 1000.0;
-            server.prefill_rate.record_first_token(call.tokens_ahead, seen, now);
+            let elapsed = now.saturating_sub(since + call.stalled_for);
+            let elapsed = elapsed.as_secs_f64() * 1000.0;
+            server
+                .prefill_rate
+                .record_first_token(call.tokens_ahead, elapsed, now);
             server.record_prefill(&call.details.prompt, now);
             self.prefills.add(&call.details, id, &self.options, now);
         }
     }
 
-    /// Returns how far a request has come at the server where it is.
+    /// Returns the progress of a request at its server, or `None` if it isn't running.
     #[must_use]
     pub fn progress(&self, request: RequestId) -> Option<CallProgress> {
         self.calls.get(&request)?.progress()
     }
 
-    /// Takes in the end of a whole answer.
+    /// Records that the complete response to a request was received.
     pub fn finish(&mut self, request: RequestId, now: Duration) -> Vec<RouteAction> {
         let Some(call) = self.calls.remove(&request) else { return vec![] };
         let pool = call.details.pool;
@@ -344,15 +355,16 @@
         self.take_actions()
     }
 
-    /// Takes in that a request ended without an answer of use to the router: its caller
-    /// has gone, or its time is over.
+    /// Removes a request that ended without an outcome to record for its server: the
+    /// caller left or the deadline passed.
     pub fn cancel(&mut self, request: RequestId, now: Duration) -> Vec<RouteAction> {
         let Some(call) = self.calls.remove(&request) else { return vec![] };
         self.free(&call, now);
         self.take_actions()
     }
 
-    /// Lets time pass: requests that wait may have a server by now, or be too late.
+    /// Advances time: waiting requests are dispatched where a server has become
+    /// available, or refused if they have waited too long.
     pub fn tick(&mut self, now: Duration) -> Vec<RouteAction> {
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
         for pool in pools {
@@ -362,9 +374,9 @@
         self.take_actions()
     }
 
-    /// Returns of which servers it believes something else than at the last review.
+    /// Returns the servers whose health changed since the last call.
     pub fn health_changes(&mut self, now: Duration) -> Vec<HealthChange> {
-        let mut notes = vec![];
+        let mut changes = vec![];
         for pool in self.pools.keys().copied().collect::<Vec<PoolId>>() {
             let active = self.active_servers(pool);
             let healthy = self.healthy_servers(&active, now);
@@ -377,7 +389,7 @@
                     continue;
                 }
                 server.reported_healthy = is_healthy;
-                notes.push(HealthChange {
+                changes.push(HealthChange {
                     server: *id,
                     healthy: is_healthy,
                     failure_rate: server.health.failures(),
@@ -385,10 +397,10 @@
                 });
             }
         }
-        notes
+        changes
     }
 
-    /// Tells whether any request waits for a server.
+    /// Returns whether any request is waiting for a server.
     #[must_use]
     pub fn has_waiting_requests(&self) -> bool {
         self.pools
@@ -396,13 +408,13 @@
             .any(|pool| pool.queue.len() > 0 || !pool.retries.is_empty())
     }
 
-    /// Returns how many requests wait or run.
+    /// Returns the number of requests that are waiting or running.
     #[must_use]
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Frees what a request has taken.
+    /// Releases the slot or the queue entry of a request.
     fn free(&mut self, call: &RoutedCall, now: Duration) {
         let details = &call.details;
         let Some(state) = self.pools.get_mut(&details.pool) else { return };
@@ -437,11 +449,11 @@
         call.rate_counted = false;
         call.uncached = choice.uncached;
         call.tokens_ahead = choice.tokens_ahead;
-        let movable = call.details.repeatable && call.runs + 1 < call.details.run_limit;
+        let retryable = call.details.repeatable && call.runs + 1 < call.details.run_limit;
         let expected = choice.expected;
-        let silence_timeout = movable.then(|| {
-            let usual = expected.mul_f64(self.options.patience_factor);
-            usual.max(self.options.shortest_patience)
+        let silence_timeout = retryable.then(|| {
+            let timeout = expected.mul_f64(self.options.patience_factor);
+            timeout.max(self.options.shortest_patience)
         });
         if let Some(state) = self.pools.get_mut(&call.details.pool)
             && let Some(server) = state.servers.get_mut(&server)
@@ -455,13 +467,13 @@
             .push(RouteAction::Dispatch { request, choice, silence_timeout });
     }
 
-    /// Returns what has been decided.
+    /// Returns and clears the decided actions.
     fn take_actions(&mut self) -> Vec<RouteAction> {
         std::mem::take(&mut self.actions)
     }
 }
 
-/// Returns what is known of a server.
+/// Returns the state of a server, whichever pool it is in.
 fn find_server(
     pools: &mut BTreeMap<PoolId, RoutePool>,
     server: ServerId,
--- a/crates/flaxtide-policy/src/router/options.rs
+++ b/crates/flaxtide-policy/src/router/options.rs
@@ -1,131 +1,145 @@
-//! What can be turned on the router.
+//! The options of the router.
 
 use std::time::Duration;
 
 use flaxtide_core::deserialize_span;
 use serde::Deserialize;
 
-/// The tunable constants of the router; `docs/design/router.md` says what chose them.
+/// The tunable parameters of the router. `docs/design/router.md` explains the defaults.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RouteOptions {
-    /// How many prompt tokens an engine reads in a millisecond, until measured.
+    /// The assumed prefill rate of an engine until it has been measured, in tokens per
+    /// millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// How many times the time to read a shared part again counts: it costs the others at
-    /// the server as well, and the memory of what is dropped for it.
+    /// The weight of the time to prefill shared parts again. It exceeds 1 because a
+    /// repeated prefill also delays other requests on the server and evicts cached
+    /// tokens.
     pub reread_weight: f64,
-    /// How many times the time to take a shared part over from another engine counts: its
-    /// transfer has a price, and the link is shared.
+    /// The weight of the time to fetch shared parts from another engine. It exceeds 1
+    /// because transfers cost money and share the link.
     pub fetch_weight: f64,
-    /// Shared parts of fewer tokens are read again rather than taken over.
+    /// Shared parts of fewer tokens than this are prefilled again instead of fetched.
     pub least_fetch: u32,
-    /// For how long peers are told of a shared part that a server has read.
+    /// How long peers are told of a shared part that a server has prefilled.
     #[serde(deserialize_with = "deserialize_span")]
     pub read_life: Duration,
-    /// What one more running request adds to the time of others, in milliseconds.
+    /// The time that one more running request adds to the others on the server, in
+    /// milliseconds.
     pub running_cost_ms: f64,
-    /// A prompt with more unread tokens than this is a long one.
+    /// A prompt with more tokens than this counts as long.
     pub long_prompt: u32,
-    /// The part of the engines that long prompts are kept to, if short ones leave it.
+    /// The maximum fraction of the engines that long prompts use while short prompts are
+    /// running too.
     pub long_part: f64,
-    /// The same where a long prompt has no time to wait for another.
+    /// The same where long prompts can't wait for each other.
     pub tight_long_part: f64,
-    /// Long prompts have no time to wait if their target is within so many times what an
-    /// engine takes to read one: one and three more are too many.
+    /// Long prompts can't wait for each other if their target is at most this many times
+    /// the time to prefill one of them: then a prompt behind three others would be late.
     pub tight_target: f64,
-    /// They have time enough if it is so many times as long.
+    /// Long prompts can wait for each other if their target is at least this many times
+    /// the time to prefill one of them.
     pub ample_target: f64,
-    /// The part of the engines that long prompts get at least.
+    /// The minimum fraction of the engines that long prompts get.
     pub least_long_part: f64,
-    /// How many requests an engine that is kept for short prompts is meant for, as a part
-    /// of its slots.
+    /// The number of requests that an engine for short prompts is meant to run, as a
+    /// fraction of its slots.
     pub short_fill: f64,
-    /// How many times its slots a server may have requests, running and waiting.
+    /// The maximum number of requests on a server, running and queued, as a multiple of
+    /// its slots.
     pub fill: f64,
-    /// How many times the wait for a slot of an engine counts, once all are taken.
+    /// The weight of the time to wait for a slot of an engine when all slots are taken.
     pub slot_wait_weight: f64,
-    /// Long prompts get more engines than usual once so great a part of all slots is taken by
-    /// them that this part of their own engines' would be; 0 for never.
+    /// The fraction of their engines' slots that long prompts may fill before they get
+    /// more engines than usual; 0 disables this.
     pub long_fill: f64,
-    /// How many requests an engine for short prompts has at most while long ones need more
-    /// engines, as a part of its slots.
+    /// The maximum number of requests on an engine for short prompts while long prompts
+    /// need more engines, as a fraction of its slots.
     pub short_most_fill: f64,
-    /// The time that a server of another data centre costs, in milliseconds.
+    /// The additional cost of a server in another data centre, in milliseconds.
     pub far_cost_ms: f64,
-    /// For how long a peer's word of its load counts: longer than the 2.5 s between two
-    /// heartbeats of large groups, as servers would seem idle in between.
+    /// How long the load reported by a peer counts. Large groups send heartbeats every
+    /// 2.5 s; with a shorter time, servers would seem idle between two of them.
     #[serde(deserialize_with = "deserialize_span")]
     pub peer_life: Duration,
-    /// For how long a prompt part is taken to stay in an engine's memory.
+    /// How long a prompt part is assumed to stay in an engine's cache.
     #[serde(deserialize_with = "deserialize_span")]
     pub cache_life: Duration,
-    /// A request whose first token is expected later than so many times its target is
-    /// refused at once, so that its caller can come back when the burst is over.
+    /// A request whose first token is expected later than this many times its target is
+    /// refused at once, so that the caller can try again after the burst.
     pub admit_factor: f64,
-    /// How often a request may be sent in all.
+    /// The maximum number of times that a request is sent.
     pub send_limit: u32,
-    /// A further try needs at least this much time before the deadline.
+    /// The minimum time before the deadline that a retry needs.
     #[serde(deserialize_with = "deserialize_span")]
     pub least_time: Duration,
-    /// How many repeats each request pays for, over all instances.
+    /// The retries that each request adds to the budget, for all instances together.
     pub retry_ratio: f64,
-    /// How many repeats in a window are free, over all instances.
+    /// The retries per window that are allowed in addition, for all instances together.
     pub retry_slack: f64,
-    /// The part of the budget that is used, so that edges of windows stay within it.
+    /// The fraction of the budget that is used, so that it also holds for windows that
+    /// are aligned differently.
     pub budget_part: f64,
-    /// How many instances are taken to share the budget before peers are heard.
+    /// The number of instances that are assumed to share the budget until peers have been
+    /// heard.
     pub assumed_instances: u32,
-    /// For how long after its start an instance may not have heard how many share the
-    /// budget: two of the longest periods between beats.
+    /// How long an instance may not know after its start how many instances share the
+    /// budget: twice the longest heartbeat period.
     #[serde(deserialize_with = "deserialize_span")]
     pub settling: Duration,
-    /// How many repeats in a window are free until then.
+    /// The maximum of the additional retries per window during that time, for this
+    /// instance alone.
     pub settling_slack: f64,
-    /// A server may be silent for so many times the expected time.
+    /// A server may be silent for this many times the expected time to the first token.
     pub patience_factor: f64,
-    /// The shortest silence of a server after which a request goes elsewhere.
+    /// The minimum silence of a server before a request is retried elsewhere.
     #[serde(deserialize_with = "deserialize_span")]
     pub shortest_patience: Duration,
-    /// After so long a silence with streams under way, a server gets no more work.
+    /// A server that is streaming responses gets no more requests after a silence of this
+    /// length.
     #[serde(deserialize_with = "deserialize_span")]
     pub silence: Duration,
-    /// For how long peers are told that a server was found silent.
+    /// How long peers are told that a server was found silent.
     #[serde(deserialize_with = "deserialize_span")]
     pub rumour_life: Duration,
-    /// A peer's word that a server is silent counts if nothing came from it for so long.
+    /// A peer's report that a server is silent counts if this instance has received
+    /// nothing from the server for this long.
     #[serde(deserialize_with = "deserialize_span")]
     pub rumour_silence: Duration,
-    /// After so long a silence with nothing but unanswered work at it, and twice the time
-    /// that its prompts take, a server gets no more work.
+    /// A server that is not streaming gets no more requests after a silence of this
+    /// length plus twice the time that its prompts take to prefill.
     #[serde(deserialize_with = "deserialize_span")]
     pub long_silence: Duration,
-    /// How long an unreachable or failing server gets no work, at first.
+    /// How long a server gets no requests after a first fault by silence or a failed
+    /// connection.
     #[serde(deserialize_with = "deserialize_span")]
     pub pause: Duration,
-    /// The longest such pause.
+    /// The maximum length of such a pause.
     #[serde(deserialize_with = "deserialize_span")]
     pub longest_pause: Duration,
-    /// After so long, an answer of a server tells half as much of whether it turns requests away.
+    /// The time after which a response of a server says half as much about whether it
+    /// accepts requests.
     #[serde(deserialize_with = "deserialize_span")]
     pub admitted_half_life: Duration,
-    /// What it costs, in milliseconds, to be turned away by a server: a repeat that the budget may
-    /// lack later.
+    /// The cost of being refused by a server, in milliseconds. It stands for the retry,
+    /// which the budget may lack later.
     pub refused_cost_ms: f64,
-    /// How long a full server gets no work if it doesn't say for how long.
+    /// How long a full server gets no requests if it doesn't state a time.
     #[serde(deserialize_with = "deserialize_span")]
     pub full_pause: Duration,
-    /// The longest rest that a server may ask for.
+    /// The longest backoff that a server may ask for.
     #[serde(deserialize_with = "deserialize_span")]
     pub longest_rest: Duration,
-    /// At most this part of a pool is kept from work for its faults.
+    /// Servers with an outlying failure rate are excluded only while at most this fraction
+    /// of their pool is excluded.
     pub ejected_part: f64,
-    /// When a caller without any server is asked to come back.
+    /// The retry-after time for callers when no server is available.
     #[serde(deserialize_with = "deserialize_span")]
     pub no_server_retry: Duration,
-    /// The soonest that a refused caller is asked to come back.
+    /// The minimum retry-after time.
     #[serde(deserialize_with = "deserialize_span")]
     pub shortest_retry: Duration,
-    /// The latest.
+    /// The maximum retry-after time.
     #[serde(deserialize_with = "deserialize_span")]
     pub longest_retry: Duration,
 }
--- a/crates/flaxtide-policy/src/router/prefill_log.rs
+++ b/crates/flaxtide-policy/src/router/prefill_log.rs
@@ -1,4 +1,4 @@
-//! Shared parts of prompts that servers have read, as peers are told.
+//! A log of the shared prompt parts that servers prefilled, which is sent to peers.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,29 +8,31 @@
 use super::call::{PartKey, RouteCall};
 use super::options::RouteOptions;
 
-/// The most notes that are kept: more than one instance sends long prompts in a period.
+/// The maximum number of records; one instance sends fewer long prompts than this in the
+/// time for which records are kept.
 const MAX_RECORDS: usize = 128;
 
-/// A server has read a shared part.
+/// Records that a server prefilled a shared prompt part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PrefillRecord {
-    /// The server.
+    /// The server that prefilled the part.
     pub server: ServerId,
-    /// The last part that other requests share; it stands for all before it.
+    /// The last shared part of the prompt. It implies all parts before it.
     pub part: PartKey,
-    /// How long ago.
+    /// The time since the prefill ended.
     pub age: Duration,
 }
 
-/// What servers have read for this instance, the newest last.
+/// The shared parts that servers prefilled for this instance, the newest last.
 #[derive(Debug, Default)]
 pub(crate) struct PrefillLog {
-    /// The server, the part, and when.
+    /// The server, the part, and the time of each prefill.
     records: VecDeque<(ServerId, PartKey, Duration)>,
 }
 
 impl PrefillLog {
-    /// Records that a server has read a prompt, if it is worth telling.
+    /// Records that a server has prefilled a prompt, unless its shared parts are too
+    /// short to be worth fetching.
     pub(crate) fn add(
         &mut self,
         call: &RouteCall,
@@ -48,7 +50,7 @@
         self.records.push_back((server, part.short_key(), now));
     }
 
-    /// Returns what is recent, and forgets the rest.
+    /// Returns the recent records and drops the others.
     pub(crate) fn recent(
         &mut self,
         options: &RouteOptions,
--- a/crates/flaxtide-policy/src/router/prefill_rate.rs
+++ b/crates/flaxtide-policy/src/router/prefill_rate.rs
@@ -1,42 +1,44 @@
-//! How fast an engine reads prompts, learnt from when first tokens came.
+//! How fast an engine prefills prompts, estimated from the times of first tokens.
 
 use std::time::Duration;
 
-/// How much of what was learnt is kept with each first token.
+/// The factor by which the weight of earlier samples decays with each first token.
 const SAMPLE_DECAY: f64 = 0.93;
 
-/// What the first guess counts, in prompt tokens: that of a few long prompts.
+/// The weight of the initial guess, in prompt tokens; equal to a few long prompts.
 const GUESS_WEIGHT_TOKENS: f64 = 20_000.0;
 
-/// The time of a first token that isn't spent on reading: the way there and back, and the
-/// first step, in milliseconds.
+/// The time to the first token that isn't spent on prefilling, in milliseconds: the
+/// network round trip and the first decoding step.
 const FIXED_OVERHEAD_MS: f64 = 25.0;
 
-/// The slowest and the fastest pace that is believed, in tokens a millisecond.
+/// The minimum plausible rate, in tokens per millisecond. Lower estimates are raised to
+/// it.
 const MIN_TOKENS_PER_MS: f64 = 6.0;
-/// The fastest.
+/// The maximum plausible rate, in tokens per millisecond.
 const MAX_TOKENS_PER_MS: f64 = 150.0;
 
-/// After so long without a first token, half of what was learnt is forgotten: an engine that
-/// was slow for a moment, and so gets little work, is tried again.
+/// The time without a first token after which the estimate has moved halfway back to the
+/// guess. Without this, an engine that was slow once would get little work and never be
+/// measured again.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// The pace of one engine, with everything that slows it down: the answers that it makes
-/// beside, and prompts that this instance doesn't know of.
+/// The effective prefill rate of one engine. It includes everything that slows the engine
+/// down, such as the output tokens it generates and the prompts of other instances.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PrefillRate {
-    /// The first guess, in tokens a millisecond.
+    /// The initial guess, in tokens per millisecond.
     guess: f64,
-    /// Prompt tokens that were read, decayed.
+    /// The decayed sum of the prefilled tokens.
     tokens: f64,
-    /// The time that it took, in milliseconds, decayed alike.
+    /// The decayed sum of the time that they took, in milliseconds.
     time_ms: f64,
-    /// When something was last learnt.
+    /// When the last sample was recorded.
     updated_at: Duration,
 }
 
 impl PrefillRate {
-    /// Starts with a guess, in tokens a millisecond.
+    /// Creates an estimate from a guess in tokens per millisecond.
     pub(crate) fn new(guess: f64, now: Duration) -> Self {
         Self {
             guess,
@@ -46,8 +48,8 @@
         }
     }
 
-    /// Takes in that a first token came so long after its request was sent, which had so
-    /// many tokens to be read before it, its own included.
+    /// Records that a first token arrived `seen_ms` after its request was sent. `tokens`
+    /// were prefilled before it, including the request's own.
     pub(crate) fn record_first_token(
         &mut self,
         tokens: f64,
@@ -60,7 +62,7 @@
         self.updated_at = now;
     }
 
-    /// Returns the pace, in tokens a millisecond.
+    /// Returns the rate in tokens per millisecond.
     pub(crate) fn tokens_per_ms(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.updated_at).as_secs_f64();
         let trust = 0.5f64.powf(age / HALF_LIFE.as_secs_f64());
--- a/crates/flaxtide-policy/src/router/pushback.rs
+++ b/crates/flaxtide-policy/src/router/pushback.rs
@@ -1,5 +1,5 @@
-//! What servers say of themselves in their answers: every request passes this gate right before
-//! it is written to a server.
+//! Pushback in the router: applies the rate limits and backoffs that servers state in
+//! their responses, and checks every request against them right before it is sent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,35 +12,37 @@
 use crate::pushback::{InstanceGroup, ReportEffect, RequestRate, ServerStatement};
 use crate::rendezvous::rendezvous_weight;
 
-/// The part of the time until a server may be sent a request by which callers are spread that
-/// are asked to come back then.
+/// The maximum random extension of a retry-after time, as a fraction of it. It keeps the
+/// callers that wait for the same server from returning at once.
 const RETRY_AFTER_JITTER: f64 = 0.25;
 
-/// What was learnt from what a server states.
+/// What changed by a server's statement.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StatementChange {
-    /// The rate that it takes from all instances.
+    /// The rate that the server accepts from all instances together, or `None` if it
+    /// states no limit.
     pub rate: Option<RequestRate>,
-    /// This instance's part of it, in requests a second.
+    /// This instance's share of the rate, in requests per second.
     pub share: Option<f64>,
-    /// Whether the rate is another one than before.
+    /// Whether the rate differs from the one before.
     pub rate_changed: bool,
-    /// For how long it wants nothing from this instance, if that is new.
+    /// How long the server asks this instance to send nothing, if that extends its
+    /// backoff.
     pub new_backoff: Option<Duration>,
 }
 
-/// How many servers ask for less.
+/// The number of servers that limit their requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PushbackCount {
     /// Servers that state a rate.
     pub limited: usize,
-    /// Servers that want nothing from this instance now.
+    /// Servers that currently ask this instance to send nothing.
     pub backing_off: usize,
 }
 
 impl RouteCore {
-    /// Sets which instances are seen alive. To be called often: larger parts of rates are taken
-    /// with a delay.
+    /// Sets the instances that are alive. Must be called periodically: an increased share
+    /// of a rate takes effect only after a delay.
     pub fn set_group(&mut self, group: Arc<InstanceGroup>, now: Duration) {
         let known = self.group.as_ref() == Some(&group);
         for server in self.pools.values_mut().flat_map(|pool| pool.servers.values_mut()) {
@@ -49,14 +51,15 @@
                 continue;
             }
             let facts = &server.facts;
-            let part = |rate| group.rate_part(facts.name_hash, facts.data_centre, rate);
-            server.pushback.set_part(part, now);
+            let rate_share =
+                |rate| group.rate_part(facts.name_hash, facts.data_centre, rate);
+            server.pushback.set_part(rate_share, now);
         }
         self.group = Some(group);
     }
 
-    /// Records what a server states in an answer to a request that was sent at `sent`. Returns
-    /// what is new, if anything is.
+    /// Applies the statement in a server's response to a request that was sent at `sent`.
+    /// Returns what changed, if anything.
     pub fn record_statement(
         &mut self,
         server: ServerId,
@@ -66,11 +69,11 @@
     ) -> Option<StatementChange> {
         let group = self.group.as_deref();
         let server = find_server(&mut self.pools, server)?;
-        let part = |rate| own_rate_share(group, &server.facts, rate);
+        let rate_share = |rate| own_rate_share(group, &server.facts, rate);
         let pushback = &mut server.pushback;
         let rest = statement.rest.map(|rest| rest.min(self.options.longest_rest));
         let new_backoff = rest.filter(|rest| pushback.rest(*rest, now));
-        let rate_changed = pushback.hear_rate(statement.rate, part, sent, now);
+        let rate_changed = pushback.hear_rate(statement.rate, rate_share, sent, now);
         let (rate, share) = (pushback.rate(), pushback.part());
         (rate_changed || new_backoff.is_some()).then_some(StatementChange {
             rate,
@@ -80,8 +83,8 @@
         })
     }
 
-    /// Records that a peer heard a server state a rate, or none, at `heard`. Returns what that
-    /// does to what is known; nothing if the server isn't known.
+    /// Applies the rate, or the absence of one, that a peer received from a server at
+    /// `heard`. Returns `None` if the server isn't known.
     pub fn record_peer_rate(
         &mut self,
         server: ServerId,
@@ -91,12 +94,12 @@
     ) -> Option<ReportEffect> {
         let group = self.group.as_deref();
         let server = find_server(&mut self.pools, server)?;
-        let part = |rate| own_rate_share(group, &server.facts, rate);
-        Some(server.pushback.hear_peer(rate, part, heard, now))
+        let rate_share = |rate| own_rate_share(group, &server.facts, rate);
+        Some(server.pushback.hear_peer(rate, rate_share, heard, now))
     }
 
-    /// Returns the rate that a server states, or none, and when that was last heard; nothing if
-    /// the server isn't known.
+    /// Returns the rate that a server states, if any, and when it was last received.
+    /// `None` if the server isn't known.
     #[must_use]
     pub fn stated_rate(
         &self,
@@ -107,7 +110,8 @@
         Some((server.pushback.rate(), server.pushback.rate_heard()))
     }
 
-    /// Returns how many servers state a rate, and how many want nothing from this instance now.
+    /// Returns how many servers state a rate, and how many currently ask this instance to
+    /// send nothing.
     #[must_use]
     pub fn count_pushback(&self, now: Duration) -> PushbackCount {
         let mut count = PushbackCount::default();
@@ -118,8 +122,9 @@
         count
     }
 
-    /// Returns whether a request may be written now to the server that it was given. Between the
-    /// choice of the server and this moment the server may have asked for less.
+    /// Returns whether a request may now be written to its chosen server, and counts it
+    /// against the server's rate. The server may have lowered its rate or asked for a
+    /// backoff since it was chosen.
     pub fn permit_send(&mut self, request: RequestId, now: Duration) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
         let CallPhase::Running { server, .. } = call.phase else { return false };
@@ -134,7 +139,7 @@
         counted || server.pushback.take(now)
     }
 
-    /// Returns when the first server takes a request.
+    /// Returns when the first server accepts a request.
     fn next_ready(&self, call: &RoutedCall, now: Duration) -> NextReady {
         let Some(state) = self.pools.get(&call.details.pool) else {
             return NextReady::Now;
@@ -155,7 +160,7 @@
         first.map_or(NextReady::Unknown, NextReady::At)
     }
 
-    /// Returns whether no server takes a request before a time.
+    /// Returns whether no server accepts a request before `time`.
     pub(super) fn no_server_before(
         &self,
         call: &RoutedCall,
@@ -169,13 +174,14 @@
         }
     }
 
-    /// Returns whether no server takes a request that waits before it would be given up.
+    /// Returns whether no server accepts a waiting request before its give-up time.
     pub(super) fn no_server_in_time(&self, request: RequestId, now: Duration) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
         self.no_server_before(call, call.details.give_up, now)
     }
 
-    /// Refuses a request that no server takes in time. Its caller is told when one does.
+    /// Refuses a request that no server accepts in time. The retry-after time tells the
+    /// caller when one does.
     pub(super) fn refuse_unavailable(&mut self, request: RequestId, now: Duration) {
         let Some(call) = self.calls.remove(&request) else { return };
         let retry_after = match self.next_ready(&call, now) {
@@ -191,26 +197,25 @@
         });
     }
 
-    /// Lengthens a time for some requests, so that their callers don't come back together.
+    /// Extends a time by a random amount that depends on the request.
     fn add_jitter(&self, request: RequestId, wait: Duration) -> Duration {
         let draw = rendezvous_weight(request, self.seed) as f64;
         wait.mul_f64(1.0 + RETRY_AFTER_JITTER * draw / u64::MAX as f64)
     }
 }
 
-/// When the first server of a pool takes a request.
+/// When the first server of a pool accepts a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NextReady {
-    /// One does already, though it may have no room.
+    /// A server accepts requests now, though it may have no room.
     Now,
-    /// At this time.
+    /// The first server accepts requests at this time.
     At(Duration),
-    /// That can't be told.
+    /// The time isn't known.
     Unknown,
 }
 
-/// Returns this instance's part of a server's rate. One that doesn't know yet who else is there
-/// has none.
+/// Returns this instance's share of a server's rate. It is 0 until membership is known.
 pub(super) fn own_rate_share(
     group: Option<&InstanceGroup>,
     facts: &RoutedServer,
--- a/crates/flaxtide-policy/src/router/retry.rs
+++ b/crates/flaxtide-policy/src/router/retry.rs
@@ -1,5 +1,5 @@
-//! Further tries of a request that a server has failed: whether one is right, within the
-//! budget and of use.
+//! Retries: whether a request that failed on one server may and should be sent to
+//! another.
 
 use std::time::Duration;
 
@@ -8,19 +8,20 @@
 use super::call::{CallPhase, RouteFault, RoutedCall};
 use super::{QUEUE_WAIT_DIVISOR, RouteAction, RouteCore};
 
-/// What is decided after a request failed at a server.
+/// The decision after a request failed on a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// It waits for another server; an action follows.
+    /// The request waits for another server; a [`RouteAction`] follows.
     Retry,
-    /// It ends here.
+    /// The request has failed for good.
     Stop,
 }
 
 impl RouteCore {
-    /// Tells whether a request whose server is silent may be broken off there: only if
-    /// another try is granted, which it pays for. Without one it would be lost, though the
-    /// server may still answer. [`RouteCore::fail`] must follow.
+    /// Returns whether a request on a silent server may be aborted there. This is so only
+    /// if a retry is granted, which is charged to the budget: without one the request
+    /// would be lost, although the server may still respond. If this returns `true`,
+    /// [`RouteCore::fail`] must be called next.
     pub fn may_abort_silent(
         &mut self,
         request: RequestId,
@@ -40,15 +41,15 @@
         call.excluded.pop();
         call.retry_granted = granted;
         if !granted {
-            // The request stays, but others go elsewhere.
+            // The request stays on the server, but new requests avoid it.
             self.record_fault(&call, RouteFault::Silent, now);
         }
         self.calls.insert(request, call);
         granted
     }
 
-    /// Tells whether the server of a request has said anything to others lately, after it
-    /// was sent there: it is busy then, not gone.
+    /// Returns whether the server of a request has recently sent something for other
+    /// requests, and after this one was sent. Then it is busy and not unreachable.
     fn answered_others(&self, request: RequestId, now: Duration) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
         let CallPhase::Running { server, since, .. } = call.phase else { return false };
@@ -60,8 +61,9 @@
         heard > since && now < heard + self.options.shortest_patience
     }
 
-    /// Takes in that a server failed a request, and decides whether it is tried again.
-    /// `resumable` tells whether it may go on although it may have run.
+    /// Records that a server failed a request, and decides whether the request is
+    /// retried. `resumable` tells whether the request may continue on another server
+    /// although it may have run.
     pub fn fail(
         &mut self,
         request: RequestId,
@@ -87,9 +89,9 @@
             return (RetryDecision::Stop, self.take_actions());
         }
         call.phase = CallPhase::Waiting;
-        let patience = now + call.details.target / QUEUE_WAIT_DIVISOR;
+        let wait_until = now + call.details.target / QUEUE_WAIT_DIVISOR;
         call.details.give_up =
-            call.details.give_up.max(patience).min(call.details.deadline);
+            call.details.give_up.max(wait_until).min(call.details.deadline);
         self.calls.insert(request, call);
         if let Some(state) = self.pools.get_mut(&pool) {
             state.retries.push(request);
@@ -98,8 +100,8 @@
         (RetryDecision::Retry, self.take_actions())
     }
 
-    /// Records that a server failed a request which isn't tried again, whatever the budget
-    /// allows.
+    /// Records that a server failed a request, and doesn't retry it even if the budget
+    /// would allow it.
     pub fn fail_without_retry(
         &mut self,
         request: RequestId,
@@ -112,7 +114,8 @@
         self.take_actions()
     }
 
-    /// Tells whether a further try is within the budget and of use, and pays for it.
+    /// Returns whether a retry is allowed and can succeed, and charges it to the budget
+    /// if so.
     fn grant_retry(
         &mut self,
         call: &RoutedCall,
@@ -136,21 +139,23 @@
         {
             return false;
         }
-        if !fault.arrived() {
-            // The budget is for what servers get; this one got nothing.
+        if !fault.reached_server() {
+            // The budget limits the load on servers, and this request reached none.
             return true;
         }
         let (ratio, slack) = (self.options.retry_ratio, self.options.retry_slack);
-        let mut part =
+        let mut slack_share =
             slack * self.options.budget_part / f64::from(self.instances.max(1));
         if now < self.options.settling {
-            part = part.min(self.options.settling_slack);
+            slack_share = slack_share.min(self.options.settling_slack);
         }
         let Some(state) = self.pools.get_mut(&details.pool) else { return false };
-        state.budget.try_spend(ratio * self.options.budget_part, part, now)
+        state
+            .budget
+            .try_spend(ratio * self.options.budget_part, slack_share, now)
     }
 
-    /// Tells whether there is a server that hasn't failed the request.
+    /// Returns whether there is a server that hasn't failed the request.
     fn has_alternative(&self, call: &RoutedCall) -> bool {
         let Some(state) = self.pools.get(&call.details.pool) else { return false };
         state
@@ -159,7 +164,7 @@
             .any(|(id, server)| server.facts.in_service() && !call.excluded.contains(id))
     }
 
-    /// Holds a fault against the server.
+    /// Records a fault in the state of the server and its pool.
     fn record_fault(&mut self, call: &RoutedCall, fault: RouteFault, now: Duration) {
         let CallPhase::Running { server, .. } = call.phase else { return };
         let Some(state) = self.pools.get_mut(&call.details.pool) else { return };
@@ -170,7 +175,7 @@
         }
     }
 
-    /// Gives servers to the requests that are tried again.
+    /// Dispatches the requests that wait to be retried.
     pub(super) fn dispatch_retries(&mut self, pool: PoolId, now: Duration) {
         let Some(state) = self.pools.get_mut(&pool) else { return };
         for request in std::mem::take(&mut state.retries) {
--- a/crates/flaxtide-policy/src/router/server.rs
+++ b/crates/flaxtide-policy/src/router/server.rs
@@ -11,69 +11,72 @@
 use super::prefill_rate::PrefillRate;
 use crate::pushback::{DataCentreKey, ServerPushback};
 
-/// How many prompt parts are remembered of one server.
+/// The maximum number of prompt parts that are remembered for one server.
 const MAX_KNOWN_PARTS: usize = 512;
 
-/// A backend server, as the platform tells of it.
+/// A backend server as listed by the platform.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RoutedServer {
-    /// The server.
+    /// The identifier of the server.
     pub server: ServerId,
-    /// A number that is the same on every instance, from its name.
+    /// A hash of the server's name, which is the same on every instance.
     pub name_hash: u64,
-    /// How many requests it works on at once.
+    /// The number of requests that the server runs at once.
     pub slots: u32,
-    /// What its engine can do; nothing for a plain service.
+    /// The properties of the server's engine, or `None` for a plain service.
     pub engine: Option<EngineShape>,
-    /// The data centre in which it stands.
+    /// The data centre of the server.
     pub data_centre: DataCentreKey,
-    /// Whether it stands in this instance's data centre.
+    /// Whether the server is in the same data centre as this instance.
     pub local: bool,
-    /// Whether it is leaving.
+    /// Whether the server is leaving and gets no new requests.
     pub leaving: bool,
-    /// Whether the platform doesn't list it just now, though nobody said that it left.
+    /// Whether the server is missing from the current list without having been reported
+    /// as leaving.
     pub lapsed: bool,
 }
 
 impl RoutedServer {
-    /// Tells whether it may get work.
+    /// Returns whether the server may get new requests.
     #[must_use]
     pub fn in_service(&self) -> bool {
         !self.leaving
     }
 }
 
-/// What an engine can do.
+/// The properties of an inference engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineShape {
-    /// Tokens of prompts and answers that fit its memory.
+    /// The number of prompt and output tokens that fit in the engine's memory.
     pub memory_tokens: u32,
-    /// How many tokens it takes over from another engine's memory in a millisecond; none
-    /// if it can't.
+    /// How many cached tokens the engine fetches from another engine per millisecond, or
+    /// `None` if it can't fetch any.
     pub fetch_tokens_per_ms: Option<f64>,
 }
 
-/// A backend server with what this instance has seen of it.
+/// A backend server with everything that this instance has recorded of it.
 #[derive(Debug)]
 pub(crate) struct ServerState {
-    /// What the platform tells.
+    /// The server as listed by the platform.
     pub(crate) facts: RoutedServer,
-    /// The requests at it.
+    /// The requests on the server.
     pub(crate) load: LoadTracker,
-    /// How it has answered.
+    /// Its recent responses and faults.
     pub(crate) health: ServerHealth,
-    /// What it has said of itself.
+    /// The rate limit and the backoff that it has stated.
     pub(crate) pushback: ServerPushback,
-    /// How fast it reads prompts.
+    /// How fast it prefills prompts.
     pub(crate) prefill_rate: PrefillRate,
-    /// Whether it was found to answer at the last review.
+    /// Whether [`RouteCore::health_changes`](super::RouteCore::health_changes) last
+    /// reported it as healthy.
     pub(crate) reported_healthy: bool,
-    /// The prompt parts that it has read, and when last.
+    /// The prompt parts that it has prefilled, and when it last did.
     parts: HashMap<PartKey, Duration>,
 }
 
 impl ServerState {
-    /// Starts to know a server.
+    /// Creates the state of a newly listed server. `guess` is its assumed prefill rate in
+    /// tokens per millisecond.
     pub(crate) fn new(facts: RoutedServer, guess: f64, now: Duration) -> Self {
         Self {
             facts,
@@ -86,7 +89,7 @@
         }
     }
 
-    /// Records that the server has read a prompt.
+    /// Records that the server has prefilled a prompt.
     pub(crate) fn record_prefill(&mut self, prompt: &PromptShape, now: Duration) {
         if self.parts.len() > MAX_KNOWN_PARTS {
             let mut times: Vec<Duration> = self.parts.values().copied().collect();
@@ -99,15 +102,16 @@
         }
     }
 
-    /// Records that a peer saw the server read a prompt with this shared part.
+    /// Records that the server has prefilled this shared part for a peer.
     pub(crate) fn record_peer_prefill(&mut self, part: PartKey, now: Duration) {
         if self.parts.len() <= MAX_KNOWN_PARTS {
             self.parts.insert(part, now);
         }
     }
 
-    /// Returns how many tokens of a prompt the server keeps, if `life` is how long it keeps
-    /// what it has read. Whoever read a part has read all before it.
+    /// Returns how many tokens of a prompt the server has cached, if prefilled tokens
+    /// stay cached for `life`. A server that has prefilled a part has also prefilled all
+    /// parts before it.
     pub(crate) fn cached_tokens(
         &self,
         prompt: &PromptShape,
--- a/crates/flaxtide-policy/src/router/shed.rs
+++ b/crates/flaxtide-policy/src/router/shed.rs
@@ -1,34 +1,34 @@
-//! How likely it is that servers of a pool turn requests away.
+//! An estimate of how likely the servers of a pool are to shed load.
 
 use std::time::Duration;
 
 use super::health::ServerHealth;
 use super::options::RouteOptions;
 
-/// How much the newest outcome counts.
+/// The weight of the newest outcome.
 const OUTCOME_WEIGHT: f64 = 0.25;
 
-/// After so long without an outcome, half of what was learnt is forgotten.
+/// The time without an outcome after which the estimate has fallen by half.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// How likely a server of a pool that hasn't answered this instance lately turns a request away.
-/// Each instance is turned away by each such server before it knows, so a large fleet would spend
-/// its budget of repeats on that.
+/// The probability that a server which hasn't responded to this instance recently refuses
+/// a request. Each instance finds out about each refusing server separately, so without
+/// this estimate a large fleet would use up its retry budget on refusals.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct ShedProbability {
-    /// The odds as of the last outcome.
+    /// The probability at the time of the last outcome.
     probability: f64,
-    /// When that was.
+    /// When the last outcome was recorded.
     at: Duration,
 }
 
 impl ShedProbability {
-    /// Records that a server has turned a request away.
+    /// Records that a server refused a request.
     pub(crate) fn record_refusal(&mut self, now: Duration) {
         self.record(1.0, 1.0, now);
     }
 
-    /// Records that a server answers.
+    /// Records that a server started to respond.
     pub(crate) fn record_answer(
         &mut self,
         health: &ServerHealth,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Records an outcome: 1 for a refusal, 0 for an answer. The stranger the server was, the more
-    /// it counts.
+    /// Records an outcome: 1 for a refusal, 0 for a response. Its weight grows with the
+    /// uncertainty about the server.
     fn record(&mut self, outcome: f64, uncertainty: f64, now: Duration) {
         let probability = self.get(now);
         self.probability =
@@ -49,7 +49,7 @@
         self.at = now;
     }
 
-    /// Returns the odds, from 0 to 1.
+    /// Returns the probability, from 0 to 1.
     pub(crate) fn get(&self, now: Duration) -> f64 {
         if self.probability == 0.0 {
             return 0.0;
--- a/crates/flaxtide-policy/src/router/stall.rs
+++ b/crates/flaxtide-policy/src/router/stall.rs
@@ -1,4 +1,4 @@
-//! Time in which this instance stood still: servers went on meanwhile, unheard.
+//! Stalls: times in which this instance didn't run, while the servers continued.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use super::call::CallPhase;
 
 impl RouteCore {
-    /// Goes on after this instance has stood still for a while. Servers weren't silent for that
-    /// long, and didn't take it for what they were sent.
+    /// Excludes a stall of this instance that has just ended from all measured times. The
+    /// servers weren't silent for that long, and their requests didn't take that long.
     pub fn discount_stall(&mut self, span: Duration, now: Duration) {
         for pool in self.pools.values_mut() {
             for server in pool.servers.values_mut() {
--- a/crates/flaxtide-policy/src/router/wait.rs
+++ b/crates/flaxtide-policy/src/router/wait.rs
@@ -1,5 +1,5 @@
-//! Requests that wait for a server: in order while there is room, refused once they would
-//! come too late.
+//! Requests that wait for a server: dispatched in queue order while there is room, and
+//! refused once their response would come too late.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::{RefusalCause, RouteAction, RouteCore};
 
 impl RouteCore {
-    /// Refuses what has waited too long to be served in time.
+    /// Refuses the requests of a pool that are still waiting after their give-up time.
     pub(super) fn refuse_expired(&mut self, pool: PoolId, now: Duration) {
         let late = |call: &RoutedCall| {
             call.details.pool == pool
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Returns how long the queue of a pool takes to drain, as callers are told.
+    /// Returns how long the queue of a pool takes to drain, as a retry-after time for
+    /// callers.
     fn drain_time(&self, pool: PoolId) -> Duration {
         let Some(state) = self.pools.get(&pool) else {
             return self.options.no_server_retry;
@@ -57,7 +58,7 @@
             .clamp(self.options.shortest_retry, self.options.longest_retry)
     }
 
-    /// Gives servers to the requests that wait, in order, while there is room.
+    /// Dispatches the waiting requests of a pool in queue order while servers have room.
     pub(super) fn dispatch_queued(&mut self, pool: PoolId, now: Duration) {
         self.dispatch_retries(pool, now);
         loop {
@@ -85,14 +86,14 @@
         }
     }
 
-    /// Tells whether even the best server would answer a request late.
+    /// Returns whether even the best server would respond too late.
     fn would_answer_late(&self, request: RequestId, choice: &RouteChoice) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
         choice.expected > call.details.target.mul_f64(self.options.admit_factor)
     }
 
-    /// Refuses a request that hasn't been sent, and asks its caller to come back once what
-    /// is at the servers has been read.
+    /// Refuses a request that hasn't been sent, with a retry-after time by which the
+    /// servers should have prefilled their current prompts.
     fn refuse_early(&mut self, request: RequestId, expected: Duration) {
         self.calls.remove(&request);
         let retry_after =
