--- a/crates/flaxtide-policy/src/scaling/mod.rs
+++ b/crates/flaxtide-policy/src/scaling/mod.rs
@@ -5,11 +5,11 @@
 //! they are spread over data centres, and what they can't bear is held at the full price.
 
 mod demand;
+mod order;
 mod scaler;
-mod stock;
 
+pub use self::order::{OrderOutcome, ServerCounts, ServerOrder};
 pub use self::scaler::{ScalerOptions, ServerScaler};
-pub use self::stock::{OrderOutcome, ServerCounts, ServerOrder};
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/flaxtide-policy/src/scaling/scaler.rs
+++ b/crates/flaxtide-policy/src/scaling/scaler.rs
@@ -7,7 +7,7 @@
 
 use super::ScalingRules;
 use super::demand::DemandLog;
-use super::stock::{OrderOutcome, OrderState, ServerCounts, ServerOrder};
+use super::order::{OrderOutcome, OrderState, ServerCounts, ServerOrder};
 
 /// Servers that are missing for so long beyond their boot are ordered again.
 const REPLACE_AFTER: Duration = Duration::from_secs(4);
