--- a/crates/flaxtide-policy/src/rendezvous.rs
+++ b/crates/flaxtide-policy/src/rendezvous.rs
@@ -44,11 +44,11 @@
         return vec![];
     }
     let even = keys.len() as f64 / members.len() as f64;
-    let most = (even * (1.0 + slack)).ceil() as usize;
+    let max_keys = (even * (1.0 + slack)).ceil() as usize;
     let mut counts = vec![0; members.len()];
     let mut owner_of = |key: u64| {
         let order = rendezvous_order(key, members);
-        let owner = order.into_iter().find(|member| counts[*member] < most);
+        let owner = order.into_iter().find(|member| counts[*member] < max_keys);
         let owner = owner.unwrap_or_default();
         counts[owner] += 1;
         owner
--- a/crates/flaxtide-policy/src/scaling/demand.rs
+++ b/crates/flaxtide-policy/src/scaling/demand.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 /// The shortest span over which a mean is taken.
-const SHORTEST_MEAN: Duration = Duration::from_millis(600);
+const MIN_MEAN_SPAN: Duration = Duration::from_millis(600);
 
 /// For how long demand is remembered.
-const REMEMBERED: Duration = Duration::from_secs(60);
+const HISTORY: Duration = Duration::from_secs(60);
 
 /// The demand for the servers of a service.
 #[derive(Debug, Clone, Default)]
@@ -20,7 +20,7 @@
     /// Records how many requests run or wait.
     pub(super) fn record(&mut self, open: u32, now: Duration) {
         self.samples.push_back((now, open));
-        while self.samples.front().is_some_and(|(at, _)| now >= *at + REMEMBERED) {
+        while self.samples.front().is_some_and(|(at, _)| now >= *at + HISTORY) {
             self.samples.pop_front();
         }
     }
@@ -34,7 +34,7 @@
     pub(super) fn mean(&self, span: Duration, now: Duration) -> f64 {
         let busy = self.busy_since().map_or(Duration::ZERO, |since| now - since);
         let (sum, count) = self
-            .within(span.min(busy + SHORTEST_MEAN), now)
+            .within(span.min(busy + MIN_MEAN_SPAN), now)
             .fold((0.0, 0u32), |(sum, count), open| (sum + f64::from(open), count + 1));
         sum / f64::from(count.max(1))
     }
--- a/crates/flaxtide-policy/src/scaling/order.rs
+++ b/crates/flaxtide-policy/src/scaling/order.rs
@@ -19,7 +19,7 @@
 impl ServerCounts {
     /// Returns how many there are at one of the prices.
     #[must_use]
-    pub fn of(self, spot: bool) -> u32 {
+    pub fn by_kind(self, spot: bool) -> u32 {
         if spot { self.spot } else { self.regular }
     }
 
--- a/crates/flaxtide-policy/src/scaling/scaler.rs
+++ b/crates/flaxtide-policy/src/scaling/scaler.rs
@@ -17,7 +17,7 @@
 pub struct ScalerOptions {
     /// How many times the mean demand the servers can bear: a burst comes without notice, and
     /// nobody can wait until a server has booted.
-    pub burst: f64,
+    pub burst_margin: f64,
     /// How many times the highest demand that was seen: half of the servers may be taken away.
     pub peak_margin: f64,
     /// How many times the present demand is to be borne by servers that serve now; below this
@@ -28,34 +28,34 @@
     /// The span of the peak: after a burst its servers are kept for so long.
     pub peak_span: Duration,
     /// For how long after the first request what stood before is kept.
-    pub learning: Duration,
+    pub learning_time: Duration,
     /// For how long no more servers must have been seen when this begins, before any are ordered
     /// at the full price: an order for as many as are seen would give back those that aren't.
-    pub settling: Duration,
+    pub settling_time: Duration,
     /// How many times what stood before is held until then, at the lower price.
-    pub unknown_margin: f64,
+    pub startup_margin: f64,
     /// The least time between two orders of servers at the lower price that lower a count.
-    pub lowering_pause: Duration,
+    pub spot_reduction_interval: Duration,
     /// The same for servers at the full price.
-    pub full_price_pause: Duration,
+    pub regular_reduction_interval: Duration,
     /// A count isn't lowered by less than this part.
-    pub lowering_part: f64,
+    pub min_reduction: f64,
 }
 
 impl Default for ScalerOptions {
     fn default() -> Self {
         Self {
-            burst: 3.0,
+            burst_margin: 3.0,
             peak_margin: 2.0,
             need_margin: 1.25,
             mean_span: Duration::from_secs(20),
             peak_span: Duration::from_secs(30),
-            learning: Duration::from_secs(12),
-            unknown_margin: 2.0,
-            settling: Duration::from_millis(1500),
-            lowering_pause: Duration::from_secs(10),
-            full_price_pause: Duration::from_secs(1),
-            lowering_part: 0.15,
+            learning_time: Duration::from_secs(12),
+            startup_margin: 2.0,
+            settling_time: Duration::from_millis(1500),
+            spot_reduction_interval: Duration::from_secs(10),
+            regular_reduction_interval: Duration::from_secs(1),
+            min_reduction: 0.15,
         }
     }
 }
@@ -68,9 +68,9 @@
     /// The demand.
     demand: DemandLog,
     /// How many servers stood when this began.
-    began: Option<ServerCounts>,
+    initial: Option<ServerCounts>,
     /// Since when that hasn't grown.
-    began_at: Duration,
+    initial_since: Duration,
     /// The orders, by data centre and price.
     orders: BTreeMap<(DataCentreName, bool), OrderState>,
 }
@@ -111,81 +111,82 @@
     pub fn plan(
         &mut self,
         rules: &ScalingRules,
-        stocks: &BTreeMap<DataCentreName, ServerCounts>,
+        server_counts: &BTreeMap<DataCentreName, ServerCounts>,
         slots: u32,
         now: Duration,
     ) -> Vec<ServerOrder> {
         let mut serving = ServerCounts::default();
-        for stock in stocks.values() {
-            serving.regular += stock.regular;
-            serving.spot += stock.spot;
+        for counts in server_counts.values() {
+            serving.regular += counts.regular;
+            serving.spot += counts.spot;
         }
         if serving.total() == 0 {
             // Nothing is known yet, or all is lost: what is in force is left as it is.
             return vec![];
         }
-        let began = self.began(serving, now);
-        let settled = now >= self.began_at + self.options.settling;
-        let target = self.target(began.total(), slots, now);
-        let spot = self.spread_spot(rules, target.wanted, now);
-        let regular = self.spread_regular(rules, stocks, &spot, target, now);
+        let initial = self.initial_counts(serving, now);
+        let settled = now >= self.initial_since + self.options.settling_time;
+        let target = self.target(initial.total(), slots, now);
+        let spot = self.spot_counts(rules, target.wanted, now);
+        let regular = self.regular_counts(rules, server_counts, &spot, target, now);
         let mut due = vec![];
         // Where none are at the lower price yet, an order for some takes nothing away.
-        let may_order = settled || began.spot == 0;
+        let may_order = settled || initial.spot == 0;
         for (data_centre, count) in spot.into_iter().filter(|_| may_order) {
-            let stock = stocks.get(&data_centre).copied().unwrap_or_default();
-            due.extend(self.due_order(data_centre, true, count, stock, rules, now));
+            let counts = server_counts.get(&data_centre).copied().unwrap_or_default();
+            due.extend(self.due_order(data_centre, true, count, counts, rules, now));
         }
         for (data_centre, count) in regular.into_iter().filter(|_| settled) {
-            let stock = stocks.get(&data_centre).copied().unwrap_or_default();
-            due.extend(self.due_order(data_centre, false, count, stock, rules, now));
+            let counts = server_counts.get(&data_centre).copied().unwrap_or_default();
+            due.extend(self.due_order(data_centre, false, count, counts, rules, now));
         }
         due
     }
 
     /// Returns how many servers stood when this began. The list of them may come in pieces, so
     /// more than at first count as long as they stood before any was ordered.
-    fn began(&mut self, serving: ServerCounts, now: Duration) -> ServerCounts {
-        let began = self.began.get_or_insert_with(|| {
-            self.began_at = now;
+    fn initial_counts(&mut self, serving: ServerCounts, now: Duration) -> ServerCounts {
+        let initial = self.initial.get_or_insert_with(|| {
+            self.initial_since = now;
             serving
         });
         let orders = self.orders.keys().any(|(_, spot)| *spot);
         let mut stood = serving;
         if orders {
-            stood.spot = began.spot;
+            stood.spot = initial.spot;
         }
-        let settled = now >= self.began_at + self.options.settling;
-        if !settled && (stood.regular > began.regular || stood.spot > began.spot) {
-            began.regular = began.regular.max(stood.regular);
-            began.spot = began.spot.max(stood.spot);
-            self.began_at = now;
+        let settled = now >= self.initial_since + self.options.settling_time;
+        if !settled && (stood.regular > initial.regular || stood.spot > initial.spot) {
+            initial.regular = initial.regular.max(stood.regular);
+            initial.spot = initial.spot.max(stood.spot);
+            self.initial_since = now;
         }
-        *began
+        *initial
     }
 
     /// Works out how many servers there should be.
-    fn target(&self, began: u32, slots: u32, now: Duration) -> ServerTarget {
+    fn target(&self, initial: u32, slots: u32, now: Duration) -> ServerTarget {
         let options = &self.options;
         let servers = |open: f64| (open / f64::from(slots.max(1))).ceil() as u32;
         let peak = f64::from(self.demand.peak(options.peak_span, now));
         let mean = self.demand.mean(options.mean_span, now);
-        let recent = f64::from(self.demand.peak(options.lowering_pause, now));
-        let mut wanted = servers((mean * options.burst).max(peak * options.peak_margin));
+        let recent = f64::from(self.demand.peak(options.spot_reduction_interval, now));
+        let mut wanted =
+            servers((mean * options.burst_margin).max(peak * options.peak_margin));
         let since = self.demand.busy_since();
-        if since.is_none_or(|since| now < since + options.learning) {
-            let least = f64::from(began) * options.unknown_margin;
+        if since.is_none_or(|since| now < since + options.learning_time) {
+            let least = f64::from(initial) * options.startup_margin;
             wanted = wanted.max(least as u32);
         }
         let mut needed = servers(recent * options.need_margin);
         if since.is_none() {
-            needed = needed.max(began);
+            needed = needed.max(initial);
         }
         ServerTarget { needed, wanted: wanted.max(1) }
     }
 
     /// Spreads the servers at the lower price evenly over the data centres that have some.
-    fn spread_spot(
+    fn spot_counts(
         &self,
         rules: &ScalingRules,
         wanted: u32,
@@ -208,10 +209,10 @@
     /// Returns how many servers at the full price each data centre should have: the fewest that
     /// are allowed, and what is needed now beyond those at the lower price. No more are ordered
     /// while enough at the lower price boot, and none given back before these serve.
-    fn spread_regular(
+    fn regular_counts(
         &self,
         rules: &ScalingRules,
-        stocks: &BTreeMap<DataCentreName, ServerCounts>,
+        server_counts: &BTreeMap<DataCentreName, ServerCounts>,
         spot: &BTreeMap<DataCentreName, u32>,
         target: ServerTarget,
         now: Duration,
@@ -220,24 +221,30 @@
             Some(_) => target.needed,
             None => target.wanted,
         };
-        let stock_of = |name| stocks.get(name).copied().unwrap_or_default();
+        let counts_of = |name| server_counts.get(name).copied().unwrap_or_default();
         let names = || rules.prices.keys();
-        let serving: u32 = names().map(|name| stock_of(name).spot).sum();
+        let serving: u32 = names().map(|name| counts_of(name).spot).sum();
         let coming: u32 = names()
             .map(|name| {
-                self.coming(name, stock_of(name), spot.get(name).copied(), rules, now)
+                self.expected_spot(
+                    name,
+                    counts_of(name),
+                    spot.get(name).copied(),
+                    rules,
+                    now,
+                )
             })
             .sum();
-        let places = rules.prices.len().max(1) as u32;
-        let part = |there: u32| goal.saturating_sub(there).div_ceil(places);
+        let data_centres = rules.prices.len().max(1) as u32;
+        let part = |there: u32| goal.saturating_sub(there).div_ceil(data_centres);
         let parts = names().map(|name| {
-            let stock = stock_of(name);
+            let counts = counts_of(name);
             let most =
-                rules.max_servers.saturating_sub(stock.spot).max(rules.min_servers);
+                rules.max_servers.saturating_sub(counts.spot).max(rules.min_servers);
             let (least, enough) = (part(coming.max(serving)), part(serving));
             let state = self.orders.get(&(name.clone(), false));
             let ordered = state.and_then(|state| state.ordered);
-            let current = ordered.map_or(stock.regular, |(count, _)| count);
+            let current = ordered.map_or(counts.regular, |(count, _)| count);
             let count = current.clamp(least, enough.max(least));
             (name.clone(), count.clamp(rules.min_servers, most))
         });
@@ -246,21 +253,21 @@
 
     /// Returns how many servers at the lower price a data centre has, or will have soon if so many
     /// are ordered there; nothing if it has none to give.
-    fn coming(
+    fn expected_spot(
         &self,
         name: &DataCentreName,
-        stock: ServerCounts,
+        counts: ServerCounts,
         wanted: Option<u32>,
         rules: &ScalingRules,
         now: Duration,
     ) -> u32 {
-        let Some(wanted) = wanted else { return stock.spot };
+        let Some(wanted) = wanted else { return counts.spot };
         let state = self.orders.get(&(name.clone(), true));
         let ordered = state.and_then(|state| state.ordered);
         let overdue = ordered.is_some_and(|(count, at)| {
             count == wanted && now >= at + rules.boot_time + REPLACE_AFTER
         });
-        if overdue { stock.spot } else { wanted.max(stock.spot) }
+        if overdue { counts.spot } else { wanted.max(counts.spot) }
     }
 
     /// Returns an order if the one in force isn't what it should be.
@@ -269,7 +276,7 @@
         data_centre: DataCentreName,
         spot: bool,
         count: u32,
-        stock: ServerCounts,
+        counts: ServerCounts,
         rules: &ScalingRules,
         now: Duration,
     ) -> Option<ServerOrder> {
@@ -280,26 +287,30 @@
         }
         let (current, since) = match state.ordered {
             Some((ordered, since)) => (ordered, Some(since)),
-            None => (stock.of(spot), None),
+            None => (counts.by_kind(spot), None),
         };
         if state.unknown {
             return Some(ServerOrder { data_centre, spot, count });
         }
         if count == current {
             // What was taken away isn't always replaced.
-            let missed = stock.of(spot) < count;
+            let servers_missing = counts.by_kind(spot) < count;
             let due =
                 since.is_some_and(|since| now >= since + rules.boot_time + REPLACE_AFTER);
-            return (missed && due).then_some(ServerOrder { data_centre, spot, count });
+            return (servers_missing && due).then_some(ServerOrder {
+                data_centre,
+                spot,
+                count,
+            });
         }
         if count < current {
             let pause = match spot {
-                true => self.options.lowering_pause,
-                false => self.options.full_price_pause,
+                true => self.options.spot_reduction_interval,
+                false => self.options.regular_reduction_interval,
             };
-            let rested = since.is_none_or(|since| now >= since + pause);
-            let least = f64::from(current) * self.options.lowering_part;
-            if !rested || f64::from(current - count) < least {
+            let interval_passed = since.is_none_or(|since| now >= since + pause);
+            let least = f64::from(current) * self.options.min_reduction;
+            if !interval_passed || f64::from(current - count) < least {
                 return None;
             }
         }
--- a/crates/flaxtide-policy/src/usage/tally.rs
+++ b/crates/flaxtide-policy/src/usage/tally.rs
@@ -6,7 +6,7 @@
 use super::{UsageCounts, WINDOWS_KEPT, WindowCounts, WindowNumber, window_end};
 
 /// An instance that isn't heard for so long has told all that it will.
-const SOURCE_LIFE: Duration = Duration::from_secs(20);
+const SOURCE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What identifies one start of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -34,9 +34,9 @@
     /// What stands for its data centre.
     data_centre: u32,
     /// When it was last heard.
-    heard: Duration,
+    last_heard: Duration,
     /// Up to which moment, counted from the start of 1970, it has told everything.
-    told_until: Duration,
+    complete_until: Duration,
     /// Whether it is stopping.
     leaving: bool,
     /// Its counts.
@@ -73,9 +73,9 @@
         &mut self,
         source: UsageSource,
         data_centre: u32,
-        told_until: Duration,
+        complete_until: Duration,
         leaving: bool,
-        news: Vec<WindowCounts>,
+        windows: Vec<WindowCounts>,
         now: Duration,
     ) {
         // A later start of the same instance has ended the one before it.
@@ -84,20 +84,20 @@
         ended.for_each(|(_, record)| record.leaving = true);
         let record = self.sources.entry(source).or_insert_with(|| SourceRecord {
             data_centre,
-            heard: now,
-            told_until,
+            last_heard: now,
+            complete_until,
             leaving,
             windows: BTreeMap::new(),
         });
-        record.heard = now;
-        record.told_until = record.told_until.max(told_until);
+        record.last_heard = now;
+        record.complete_until = record.complete_until.max(complete_until);
         record.leaving = leaving;
-        for told in news {
-            if told.window < self.open_from {
+        for reported in windows {
+            if reported.window < self.open_from {
                 continue;
             }
-            let known = record.windows.entry(told.window).or_default();
-            for (organisation, count) in told.counts {
+            let known = record.windows.entry(reported.window).or_default();
+            for (organisation, count) in reported.counts {
                 let known = known.entry(organisation).or_default();
                 *known = count.max(*known);
             }
@@ -117,13 +117,14 @@
         let silent = self.silent_data_centres(end, now);
         let mut total = WindowTotal::default();
         for record in self.sources.values() {
-            let told = record.windows.get(&window);
-            total.sources += u32::from(told.is_some());
+            let reported = record.windows.get(&window);
+            total.sources += u32::from(reported.is_some());
             total.missing += u32::from(record.is_missing(end, now));
-            let cut_off = !record.has_told(end) && silent.contains(&record.data_centre);
-            let before = window.checked_sub(1).filter(|_| cut_off);
-            let before = before.and_then(|before| record.windows.get(&before));
-            add(&mut total, told, before);
+            let cut_off =
+                !record.is_complete_until(end) && silent.contains(&record.data_centre);
+            let previous = window.checked_sub(1).filter(|_| cut_off);
+            let previous = previous.and_then(|previous| record.windows.get(&previous));
+            add_counts(&mut total, reported, previous);
         }
         self.add_inherited(&mut total.counts, window);
         total
@@ -144,18 +145,18 @@
     /// Returns the sums of what was told of the windows that aren't closed.
     #[must_use]
     pub fn drafts(&self) -> BTreeMap<WindowNumber, UsageCounts> {
-        let told = self.sources.values().flat_map(|record| record.windows.keys());
+        let reported = self.sources.values().flat_map(|record| record.windows.keys());
         let windows: BTreeSet<WindowNumber> =
-            told.chain(self.inherited.keys()).copied().collect();
+            reported.chain(self.inherited.keys()).copied().collect();
         let open = windows.into_iter().filter(|window| *window >= self.open_from);
-        open.map(|window| (window, self.told(window))).collect()
+        open.map(|window| (window, self.reported(window))).collect()
     }
 
     /// Returns the sum of what was told of a window.
-    fn told(&self, window: WindowNumber) -> UsageCounts {
+    fn reported(&self, window: WindowNumber) -> UsageCounts {
         let mut total = WindowTotal::default();
         for record in self.sources.values() {
-            add(&mut total, record.windows.get(&window), None);
+            add_counts(&mut total, record.windows.get(&window), None);
         }
         self.add_inherited(&mut total.counts, window);
         total.counts
@@ -196,29 +197,29 @@
     /// a moment.
     fn silent_data_centres(&self, end: Duration, now: Duration) -> BTreeSet<u32> {
         let records = || self.sources.values().filter(|record| record.is_alive(now));
-        let heard: BTreeSet<u32> = records()
-            .filter(|record| record.told_until >= end)
+        let reporting: BTreeSet<u32> = records()
+            .filter(|record| record.complete_until >= end)
             .map(|record| record.data_centre)
             .collect();
         let all: BTreeSet<u32> = records().map(|record| record.data_centre).collect();
-        all.difference(&heard).copied().collect()
+        all.difference(&reporting).copied().collect()
     }
 }
 
 impl SourceRecord {
     /// Returns whether it has been heard lately.
     fn is_alive(&self, now: Duration) -> bool {
-        now < self.heard + SOURCE_LIFE
+        now < self.last_heard + SOURCE_TIMEOUT
     }
 
     /// Returns whether it has told everything up to a moment, or all that it will.
-    fn has_told(&self, end: Duration) -> bool {
-        self.leaving || self.told_until >= end
+    fn is_complete_until(&self, end: Duration) -> bool {
+        self.leaving || self.complete_until >= end
     }
 
     /// Returns whether it is alive and hasn't told everything up to a moment.
     fn is_missing(&self, end: Duration, now: Duration) -> bool {
-        !self.has_told(end) && self.is_alive(now)
+        !self.is_complete_until(end) && self.is_alive(now)
     }
 
     /// Returns whether it has told of a window that isn't closed.
@@ -228,17 +229,17 @@
 }
 
 /// Adds what an instance has told, or as much as it told of the window before if that is more.
-fn add(
+fn add_counts(
     total: &mut WindowTotal,
-    told: Option<&UsageCounts>,
-    before: Option<&UsageCounts>,
+    reported: Option<&UsageCounts>,
+    previous: Option<&UsageCounts>,
 ) {
     let none = UsageCounts::new();
-    let (told, before) = (told.unwrap_or(&none), before.unwrap_or(&none));
-    let organisations: BTreeSet<_> = told.keys().chain(before.keys()).collect();
+    let (reported, previous) = (reported.unwrap_or(&none), previous.unwrap_or(&none));
+    let organisations: BTreeSet<_> = reported.keys().chain(previous.keys()).collect();
     for organisation in organisations {
-        let known = told.get(organisation).copied().unwrap_or_default();
-        let expected = before.get(organisation).copied().unwrap_or_default();
+        let known = reported.get(organisation).copied().unwrap_or_default();
+        let expected = previous.get(organisation).copied().unwrap_or_default();
         *total.counts.entry(*organisation).or_default() += known.max(expected);
         total.estimated += expected.saturating_sub(known);
     }
--- a/crates/flaxtide-policy/tests/scaling.rs
+++ b/crates/flaxtide-policy/tests/scaling.rs
@@ -127,7 +127,7 @@
     place.run(12, 0);
     place.run(40, 240);
     let (regular, spot) = place.serving();
-    let burst = f64::from(240 / SLOTS) * ScalerOptions::default().burst;
+    let burst = f64::from(240 / SLOTS) * ScalerOptions::default().burst_margin;
     let least = burst.ceil() as u32;
     assert!((least..=least + 8).contains(&(regular + spot)), "{regular}, {spot}");
     place.run(20, 900);
