--- a/crates/flaxtide-policy/src/options.rs
+++ b/crates/flaxtide-policy/src/options.rs
@@ -1,46 +1,47 @@
-//! What can be turned on the decision core.
+//! The options of the decision core.
 
 use std::time::Duration;
 
-/// The tunable constants of the policy, with the values that measurements chose; see
-/// `docs/MEASUREMENTS.md`.
+/// The tunable parameters of the policy. `docs/MEASUREMENTS.md` has the measurements
+/// behind the defaults.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PolicyOptions {
-    /// The most requests that wait in one pool's queue.
+    /// The maximum number of requests in one pool's queue.
     pub queue_limit: usize,
-    /// One turn in this many may go to a class past its starvation bound.
+    /// At most one dispatch in this many goes out of turn to a class past its starvation
+    /// bound.
     pub starvation_turns: u32,
-    /// How many servers are drawn at random for one choice.
+    /// The number of servers that are sampled at random for each choice.
     pub sampled_servers: usize,
-    /// A prefix's own server is taken while its load is below the pool's mean load times
-    /// this.
+    /// The home server of a prompt prefix is chosen while its load is below the mean load
+    /// of the pool times this.
     pub affinity_bound: f64,
-    /// A server is on probation when its time per token is over the pool's median times
-    /// this.
+    /// A server is put on probation when its time per token exceeds the median of its
+    /// pool times this.
     pub probation_factor: f64,
-    /// The largest part of a pool that may be on probation.
+    /// The maximum fraction of a pool that may be on probation.
     pub probation_part: f64,
-    /// How long a failed server gets no work.
+    /// How long a server gets no requests after a failure.
     pub failure_pause: Duration,
-    /// How many retries each success pays for.
+    /// The number of retries that each success adds to the budget.
     pub retry_ratio: f64,
-    /// How many retries may be saved up.
+    /// The maximum number of retries that the budget can accumulate.
     pub retry_burst: f64,
-    /// How often a request may be tried in all.
+    /// The maximum number of attempts for a request, the first one included.
     pub attempt_limit: u8,
-    /// A server may be silent for this many times the usual time to a first token.
+    /// A server may be silent for this many times the usual time to the first token.
     pub patience_factor: f64,
-    /// The shortest silence after which a request goes elsewhere.
+    /// The minimum silence of a server before a request is retried elsewhere.
     pub patience_floor: Duration,
-    /// A server may be silent for this long about a request of a lower tier, which may be
+    /// How long a server may be silent about a request of a lower tier, which may be
     /// preempted there.
     pub preempted_patience: Duration,
-    /// After this age a load report counts for half of its weight.
+    /// The age at which a load report has half of its initial weight.
     pub report_half_life: Duration,
-    /// The part of a server's idle slots, by its last report, that one instance may use
-    /// while no share holds.
+    /// The fraction of a server's idle slots, as last reported, that one instance may use
+    /// while it has no valid share.
     pub idle_part: f64,
-    /// The part of the waiting time that admission predicts and believes.
+    /// The fraction of the predicted waiting time that admission counts on.
     pub admission_trust: f64,
 }
 
--- a/crates/flaxtide-policy/src/rendezvous.rs
+++ b/crates/flaxtide-policy/src/rendezvous.rs
@@ -1,9 +1,9 @@
-//! Rendezvous hashing (Thaler and Ravishankar, 1998): every instance finds the same owner
-//! for a key without asking anyone, and losing an owner moves only its own keys.
+//! Rendezvous hashing (Thaler and Ravishankar, 1998): all instances compute the same
+//! owner for a key without communicating, and removing an owner moves only its own keys.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Returns the index of the member that owns `key`; nothing without members.
+/// Returns the index of the member that owns `key`, or `None` without members.
 ///
 /// ```
 /// let owner = flaxtide_policy::rendezvous_owner(7, &["a", "b"]);
@@ -14,7 +14,8 @@
     (0..members.len()).max_by_key(|index| (weight(key, members[*index].as_ref()), *index))
 }
 
-/// Returns the members' indexes in the order in which they would own `key`.
+/// Returns the indexes of the members in the order of their rank for `key`, the owner
+/// first.
 ///
 /// ```
 /// assert_eq!(flaxtide_policy::rendezvous_order(7, &["a", "b", "c"]).len(), 3);
@@ -26,9 +27,10 @@
     order
 }
 
-/// Returns the index of each key's owner, such that no member owns more than its even part
-/// of the keys and `slack` of it more: a key whose first member is full goes to its next
-/// (consistent hashing with bounded loads; Mirrokni, Thorup and Zadimoghaddam, 2018).
+/// Returns the index of each key's owner such that no member owns more than `1 + slack`
+/// times the mean number of keys. A key whose first member is full goes to the next in
+/// its order (consistent hashing with bounded loads; Mirrokni, Thorup and Zadimoghaddam,
+/// 2018).
 ///
 /// ```
 /// let owners = flaxtide_policy::bounded_owners(&[1, 2, 3, 4], &["a", "b"], 0.0);
@@ -56,12 +58,12 @@
     keys.iter().map(|key| owner_of(*key)).collect()
 }
 
-/// Returns the weight of a numbered member for a key.
+/// Returns the weight of a member that is identified by a number for a key.
 pub(crate) fn rendezvous_weight(key: u64, member: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), key)
 }
 
-/// Returns the weight of a member for a key.
+/// Returns the weight of a named member for a key.
 fn weight(key: u64, member: &str) -> u64 {
     xxh3_64_with_seed(member.as_bytes(), key)
 }
--- a/crates/flaxtide-policy/src/scaling/demand.rs
+++ b/crates/flaxtide-policy/src/scaling/demand.rs
@@ -1,23 +1,24 @@
-//! How many requests were open at once lately.
+//! The recent number of open requests.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The shortest span over which a mean is taken.
+/// The minimum span over which a mean is computed.
 const MIN_MEAN_SPAN: Duration = Duration::from_millis(600);
 
-/// For how long demand is remembered.
+/// How long samples are kept.
 const HISTORY: Duration = Duration::from_secs(60);
 
-/// The demand for the servers of a service.
+/// The recent demand for the servers of a service.
 #[derive(Debug, Clone, Default)]
 pub(super) struct DemandLog {
-    /// How many requests ran or waited, and when; the newest last.
+    /// The number of requests that were running or waiting, with the time of the sample;
+    /// the newest last.
     samples: VecDeque<(Duration, u32)>,
 }
 
 impl DemandLog {
-    /// Records how many requests run or wait.
+    /// Records the number of requests that are running or waiting.
     pub(super) fn record(&mut self, open: u32, now: Duration) {
         self.samples.push_back((now, open));
         while self.samples.front().is_some_and(|(at, _)| now >= *at + HISTORY) {
@@ -25,12 +26,13 @@
         }
     }
 
-    /// Returns the most requests at once within a span.
+    /// Returns the maximum number of open requests within a span.
     pub(super) fn peak(&self, span: Duration, now: Duration) -> u32 {
         self.within(span, now).max().unwrap_or_default()
     }
 
-    /// Returns how many requests were open on average within a span, since the first one.
+    /// Returns the mean number of open requests within a span, but not from before the
+    /// first request.
     pub(super) fn mean(&self, span: Duration, now: Duration) -> f64 {
         let busy = self.busy_since().map_or(Duration::ZERO, |since| now - since);
         let (sum, count) = self
@@ -39,7 +41,7 @@
         sum / f64::from(count.max(1))
     }
 
-    /// Returns when the first request was seen that is remembered.
+    /// Returns when the first request was recorded, as far as samples are kept.
     pub(super) fn busy_since(&self) -> Option<Duration> {
         self.samples.iter().find(|(_, open)| *open > 0).map(|(at, _)| *at)
     }
--- a/crates/flaxtide-policy/src/scaling/mod.rs
+++ b/crates/flaxtide-policy/src/scaling/mod.rs
@@ -1,8 +1,10 @@
-//! How many backend servers a service should have, in which data centre and at which price.
+//! Scaling of services: how many backend servers to order, in which data centre, and
+//! whether at the spot price or the regular price.
 //!
-//! The [`ServerScaler`] is pure: what serves, what is asked for and the time go in, orders
-//! come out. Servers at the lower price may all be taken away in a data centre at once, so
-//! they are spread over data centres, and what they can't bear is held at the full price.
+//! The [`ServerScaler`] performs no I/O: it is given the running servers, the demand and
+//! the time, and returns orders. All spot servers of a data centre may be reclaimed at
+//! once. Spot servers are therefore spread over data centres, and regular servers are
+//! ordered for the demand that the spot servers can't serve.
 
 mod demand;
 mod order;
@@ -16,18 +18,18 @@
 
 use flaxtide_core::DataCentreName;
 
-/// Within which bounds the servers of a service may be ordered, and what they cost.
+/// The limits and prices for the servers of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScalingRules {
-    /// The fewest servers in a data centre, of both prices together.
+    /// The minimum number of servers in a data centre, spot and regular together.
     pub min_servers: u32,
-    /// The most.
+    /// The maximum number of servers in a data centre, spot and regular together.
     pub max_servers: u32,
-    /// How long an ordered server takes until it serves.
+    /// The time from an order until the server serves requests.
     pub boot_time: Duration,
-    /// The part of the full price at which servers may be had that may be taken away; nothing
-    /// if there are none.
+    /// The price of a spot server as a fraction of the regular price, or `None` if there
+    /// are no spot servers.
     pub spot_price: Option<f64>,
-    /// What a second of a server costs, by data centre.
+    /// The price of a regular server per second, by data centre.
     pub prices: BTreeMap<DataCentreName, f64>,
 }
--- a/crates/flaxtide-policy/src/scaling/order.rs
+++ b/crates/flaxtide-policy/src/scaling/order.rs
@@ -1,72 +1,73 @@
-//! What serves and what is ordered in one data centre.
+//! The servers and orders of a service in one data centre.
 
 use std::time::Duration;
 
 use flaxtide_core::DataCentreName;
 
-/// For how long a data centre isn't asked again for servers that it didn't have.
+/// How long no servers are ordered from a data centre that had none available.
 const UNAVAILABLE_PAUSE: Duration = Duration::from_secs(2);
 
-/// The servers of a service in a data centre that serve and aren't leaving.
+/// The servers of a service in a data centre that are serving and not leaving.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerCounts {
-    /// At the full price.
+    /// Servers at the regular price.
     pub regular: u32,
-    /// At the lower price; they may be taken away.
+    /// Servers at the spot price, which may be reclaimed at any time.
     pub spot: u32,
 }
 
 impl ServerCounts {
-    /// Returns how many there are at one of the prices.
+    /// Returns the number of spot or of regular servers.
     #[must_use]
     pub fn by_kind(self, spot: bool) -> u32 {
         if spot { self.spot } else { self.regular }
     }
 
-    /// Returns how many there are.
+    /// Returns the number of all servers.
     #[must_use]
     pub fn total(self) -> u32 {
         self.regular + self.spot
     }
 }
 
-/// An order: so many servers of a service are to be in a data centre at a price.
+/// An order that sets the number of spot or regular servers of a service in a data
+/// centre.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerOrder {
     /// The data centre.
     pub data_centre: DataCentreName,
-    /// Whether they may be taken away.
+    /// Whether the order is for spot servers.
     pub spot: bool,
-    /// How many.
+    /// The number of servers that the service should have there.
     pub count: u32,
 }
 
-/// What came of an order.
+/// The outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is in force.
+    /// The order is in force.
     Accepted,
-    /// There are none to be had there now.
+    /// The data centre has no such servers available at the moment.
     Unavailable,
-    /// It was refused, and nothing was done.
+    /// The order was refused and has had no effect.
     Refused,
-    /// No answer came: it may be carried out late, or never.
+    /// No answer arrived. The order may still be carried out, late or never.
     Unknown,
 }
 
-/// The orders for one kind of server in a data centre.
+/// The state of the orders for spot or regular servers in a data centre.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct OrderState {
-    /// What is in force, as far as is known, and since when.
+    /// The number in force, as far as is known, and since when.
     pub(super) ordered: Option<(u32, Duration)>,
-    /// Whether it isn't known what is in force, as an order had no answer.
+    /// Whether the number in force is uncertain, because an order got no answer.
     pub(super) unknown: bool,
-    /// Until when none are to be had.
+    /// Until when no servers are available.
     unavailable_until: Option<Duration>,
 }
 
 impl OrderState {
-    /// Records what came of an order.
+    /// Records the outcome of an order.
     pub(super) fn record(&mut self, count: u32, outcome: OrderOutcome, now: Duration) {
         match outcome {
             OrderOutcome::Accepted => {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Returns whether the data centre said lately that it has none.
+    /// Returns whether the data centre recently had no servers available.
     pub(super) fn is_unavailable(&self, now: Duration) -> bool {
         self.unavailable_until.is_some_and(|until| now < until)
     }
--- a/crates/flaxtide-policy/src/scaling/scaler.rs
+++ b/crates/flaxtide-policy/src/scaling/scaler.rs
@@ -1,4 +1,4 @@
-//! The decision.
+//! The scaler, which decides how many servers to order.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,36 +9,40 @@
 use super::demand::DemandLog;
 use super::order::{OrderOutcome, OrderState, ServerCounts, ServerOrder};
 
-/// Servers that are missing for so long beyond their boot are ordered again.
+/// Servers that are still missing this long after their boot time are ordered again.
 const REPLACE_AFTER: Duration = Duration::from_secs(4);
 
-/// What is turned on the scaler.
+/// The parameters of the scaler.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScalerOptions {
-    /// How many times the mean demand the servers can bear: a burst comes without notice, and
-    /// nobody can wait until a server has booted.
+    /// How many times the mean demand the servers can take. Bursts come without notice,
+    /// and requests can't wait until a server has booted.
     pub burst_margin: f64,
-    /// How many times the highest demand that was seen: half of the servers may be taken away.
+    /// How many times the recent peak demand the servers can take, so that the peak can
+    /// still be served when half of the servers are reclaimed.
     pub peak_margin: f64,
-    /// How many times the present demand is to be borne by servers that serve now; below this
-    /// the full price is paid.
+    /// How many times the current demand must be covered by servers that already serve.
+    /// Regular servers are ordered to reach this.
     pub need_margin: f64,
-    /// The span of the mean.
+    /// The span of the mean demand.
     pub mean_span: Duration,
-    /// The span of the peak: after a burst its servers are kept for so long.
+    /// The span of the peak demand. The servers for a burst are kept for this long after
+    /// it.
     pub peak_span: Duration,
-    /// For how long after the first request what stood before is kept.
+    /// How long the initial servers are kept after the first request.
     pub learning_time: Duration,
-    /// For how long no more servers must have been seen when this begins, before any are ordered
-    /// at the full price: an order for as many as are seen would give back those that aren't.
+    /// How long the initial number of servers must have stayed the same before regular
+    /// servers are ordered. The server list may be incomplete at first, and an order for
+    /// the servers listed so far would release the others.
     pub settling_time: Duration,
-    /// How many times what stood before is held until then, at the lower price.
+    /// How many times the initial number of servers are kept as spot servers during the
+    /// learning time.
     pub startup_margin: f64,
-    /// The least time between two orders of servers at the lower price that lower a count.
+    /// The minimum time between two orders that reduce the number of spot servers.
     pub spot_reduction_interval: Duration,
-    /// The same for servers at the full price.
+    /// The minimum time between two orders that reduce the number of regular servers.
     pub regular_reduction_interval: Duration,
-    /// A count isn't lowered by less than this part.
+    /// The minimum reduction of a number of servers by one order, as a fraction of it.
     pub min_reduction: f64,
 }
 
@@ -60,43 +64,44 @@
     }
 }
 
-/// Decides how many servers of one service are ordered.
+/// Decides how many servers to order for one service.
 #[derive(Debug, Clone, Default)]
 pub struct ServerScaler {
-    /// What is turned on it.
+    /// The parameters.
     options: ScalerOptions,
-    /// The demand.
+    /// The recent demand.
     demand: DemandLog,
-    /// How many servers stood when this began.
+    /// The servers that were running when the scaler started, or `None` before any were
+    /// listed.
     initial: Option<ServerCounts>,
-    /// Since when that hasn't grown.
+    /// When the initial number of servers last grew.
     initial_since: Duration,
-    /// The orders, by data centre and price.
+    /// The state of the orders, by data centre and whether they are for spot servers.
     orders: BTreeMap<(DataCentreName, bool), OrderState>,
 }
 
-/// How many servers there should be.
+/// The number of servers that a service should have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ServerTarget {
-    /// How many must serve now, at whatever price.
+    /// The servers that must be serving now, spot or regular.
     needed: u32,
-    /// How many should be there for what may come.
+    /// The servers that should be available for an increase in demand.
     wanted: u32,
 }
 
 impl ServerScaler {
-    /// Starts with nothing known.
+    /// Creates a scaler that knows nothing yet.
     #[must_use]
     pub fn new(options: ScalerOptions) -> Self {
         Self { options, ..Self::default() }
     }
 
-    /// Records how many requests run at the servers or wait for them.
+    /// Records how many requests are running on the servers or waiting for them.
     pub fn record_demand(&mut self, open: u32, now: Duration) {
         self.demand.record(open, now);
     }
 
-    /// Records what came of an order.
+    /// Records the outcome of an order.
     pub fn record_outcome(
         &mut self,
         order: &ServerOrder,
@@ -107,7 +112,8 @@
         self.orders.entry(key).or_default().record(order.count, outcome, now);
     }
 
-    /// Returns the orders that are due. `slots` is how many requests a server works on at once.
+    /// Returns the orders that are due. `slots` is the number of requests that a server
+    /// runs at once.
     pub fn plan(
         &mut self,
         rules: &ScalingRules,
@@ -121,7 +127,8 @@
             serving.spot += counts.spot;
         }
         if serving.total() == 0 {
-            // Nothing is known yet, or all is lost: what is in force is left as it is.
+            // Either no list has arrived yet or all servers are lost. The orders in force
+            // stay as they are.
             return vec![];
         }
         let initial = self.initial_counts(serving, now);
@@ -130,7 +137,7 @@
         let spot = self.spot_counts(rules, target.wanted, now);
         let regular = self.regular_counts(rules, server_counts, &spot, target, now);
         let mut due = vec![];
-        // Where none are at the lower price yet, an order for some takes nothing away.
+        // Without initial spot servers, an order for spot servers can't release any.
         let may_order = settled || initial.spot == 0;
         for (data_centre, count) in spot.into_iter().filter(|_| may_order) {
             let counts = server_counts.get(&data_centre).copied().unwrap_or_default();
@@ -143,28 +150,29 @@
         due
     }
 
-    /// Returns how many servers stood when this began. The list of them may come in pieces, so
-    /// more than at first count as long as they stood before any was ordered.
+    /// Returns the servers that were running when the scaler started. The list may arrive
+    /// in parts, so further servers count as initial if they appear before any were
+    /// ordered.
     fn initial_counts(&mut self, serving: ServerCounts, now: Duration) -> ServerCounts {
         let initial = self.initial.get_or_insert_with(|| {
             self.initial_since = now;
             serving
         });
-        let orders = self.orders.keys().any(|(_, spot)| *spot);
-        let mut stood = serving;
-        if orders {
-            stood.spot = initial.spot;
+        let has_spot_orders = self.orders.keys().any(|(_, spot)| *spot);
+        let mut listed = serving;
+        if has_spot_orders {
+            listed.spot = initial.spot;
         }
         let settled = now >= self.initial_since + self.options.settling_time;
-        if !settled && (stood.regular > initial.regular || stood.spot > initial.spot) {
-            initial.regular = initial.regular.max(stood.regular);
-            initial.spot = initial.spot.max(stood.spot);
+        if !settled && (listed.regular > initial.regular || listed.spot > initial.spot) {
+            initial.regular = initial.regular.max(listed.regular);
+            initial.spot = initial.spot.max(listed.spot);
             self.initial_since = now;
         }
         *initial
     }
 
-    /// Works out how many servers there should be.
+    /// Computes how many servers the service should have.
     fn target(&self, initial: u32, slots: u32, now: Duration) -> ServerTarget {
         let options = &self.options;
         let servers = |open: f64| (open / f64::from(slots.max(1))).ceil() as u32;
@@ -185,7 +193,8 @@
         ServerTarget { needed, wanted: wanted.max(1) }
     }
 
-    /// Spreads the servers at the lower price evenly over the data centres that have some.
+    /// Returns how many spot servers each data centre should have: an even share for each
+    /// one that has some available.
     fn spot_counts(
         &self,
         rules: &ScalingRules,
@@ -206,9 +215,9 @@
         open.into_iter().map(|name| (name.clone(), part)).collect()
     }
 
-    /// Returns how many servers at the full price each data centre should have: the fewest that
-    /// are allowed, and what is needed now beyond those at the lower price. No more are ordered
-    /// while enough at the lower price boot, and none given back before these serve.
+    /// Returns how many regular servers each data centre should have: the minimum, plus
+    /// what is currently needed beyond the spot servers. None are added while enough spot
+    /// servers are booting, and none are released before these serve.
     fn regular_counts(
         &self,
         rules: &ScalingRules,
@@ -251,8 +260,8 @@
         parts.collect()
     }
 
-    /// Returns how many servers at the lower price a data centre has, or will have soon if so many
-    /// are ordered there; nothing if it has none to give.
+    /// Returns how many spot servers a data centre has, or will soon have if `wanted` are
+    /// ordered there. `wanted` is `None` if it has none available.
     fn expected_spot(
         &self,
         name: &DataCentreName,
@@ -270,7 +279,7 @@
         if overdue { counts.spot } else { wanted.max(counts.spot) }
     }
 
-    /// Returns an order if the one in force isn't what it should be.
+    /// Returns an order if the one in force differs from `count` or has to be repeated.
     fn due_order(
         &self,
         data_centre: DataCentreName,
@@ -293,7 +302,7 @@
             return Some(ServerOrder { data_centre, spot, count });
         }
         if count == current {
-            // What was taken away isn't always replaced.
+            // The platform doesn't always replace servers that it reclaimed.
             let servers_missing = counts.by_kind(spot) < count;
             let due =
                 since.is_some_and(|since| now >= since + rules.boot_time + REPLACE_AFTER);
--- a/crates/flaxtide-policy/src/usage/ledger.rs
+++ b/crates/flaxtide-policy/src/usage/ledger.rs
@@ -1,10 +1,10 @@
-//! What one instance counts.
+//! The usage counts of one instance.
 
 use std::collections::BTreeMap;
 
 use super::{UsageCounts, UsageKey, WINDOWS_KEPT, WindowCounts, WindowNumber};
 
-/// What one instance has counted since its start, by window.
+/// The requests that one instance has counted since its start, by window.
 ///
 /// ```
 /// use flaxtide_policy::UsageLedger;
@@ -18,25 +18,26 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct UsageLedger {
-    /// The windows.
+    /// The counts by window.
     windows: BTreeMap<WindowNumber, LedgerWindow>,
-    /// How many requests have been counted.
+    /// The number of requests counted so far. It identifies a state of the ledger.
     sequence: u64,
-    /// The fencing number of the holder that was last told, and what it knows.
+    /// The fencing token of the last holder that confirmed a report, and the sequence
+    /// number up to which it did.
     acknowledged: (u64, u64),
 }
 
-/// One window.
+/// The counts of one window.
 #[derive(Debug, Clone, Default)]
 struct LedgerWindow {
-    /// The counts.
+    /// The number of requests by organisation.
     counts: UsageCounts,
-    /// How many requests had been counted after the last one of this window.
+    /// The value of [`UsageLedger::sequence`] after the last request of this window.
     sequence: u64,
 }
 
 impl UsageLedger {
-    /// Counts a request of an organisation that began to run in a window.
+    /// Counts a request of an organisation that started to run in a window.
     pub fn record(&mut self, organisation: UsageKey, window: WindowNumber) {
         self.sequence += 1;
         let known = self.windows.entry(window).or_default();
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Returns the windows that the holder with this fencing number doesn't know as they are,
-    /// and a mark with which to confirm that it does.
+    /// Returns the windows that have changed since the last report which the holder with
+    /// this fencing token confirmed, and the sequence number to confirm them with.
     #[must_use]
     pub fn unconfirmed(&self, fence: u64) -> (Vec<WindowCounts>, u64) {
         let known = if self.acknowledged.0 == fence { self.acknowledged.1 } else { 0 };
@@ -66,7 +67,7 @@
         (changed.collect(), self.sequence)
     }
 
-    /// Records that a holder has heard the news up to a mark.
+    /// Records that a holder has received all windows up to a sequence number.
     pub fn confirm(&mut self, fence: u64, sequence: u64) {
         if self.acknowledged.0 == fence {
             self.acknowledged.1 = self.acknowledged.1.max(sequence);
--- a/crates/flaxtide-policy/src/usage/mod.rs
+++ b/crates/flaxtide-policy/src/usage/mod.rs
@@ -1,8 +1,9 @@
-//! Usage by organisation and window of time: what an instance counts ([`UsageLedger`]) and
-//! what the one that reports adds up ([`UsageTally`]).
+//! Usage counts by organisation and time window: each instance counts its own requests
+//! ([`UsageLedger`]), and the instance that holds the usage duty adds them up
+//! ([`UsageTally`]).
 //!
-//! Counts are cumulative for each instance, start of it, and window. A message that is lost,
-//! doubled, late or out of order changes nothing.
+//! Counts are cumulative for each window and each start of an instance. A report that is
+//! lost, duplicated, delayed or reordered therefore doesn't distort the totals.
 
 mod ledger;
 mod tally;
@@ -15,16 +16,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a window: so many whole windows have passed since the start of 1970.
+/// The number of a window: how many whole windows lie between the Unix epoch and its
+/// start.
 pub type WindowNumber = u64;
 
-/// What stands for an organisation's name.
+/// A hash of an organisation's name.
 pub type UsageKey = u32;
 
-/// How many requests of each organisation began to run.
+/// The number of requests that started to run, by organisation.
 pub type UsageCounts = BTreeMap<UsageKey, u32>;
 
-/// For how many windows counts are kept after their end.
+/// The number of windows for which counts are kept after their end.
 pub(crate) const WINDOWS_KEPT: u64 = 8;
 
 /// The counts of one window.
@@ -32,11 +34,12 @@
 pub struct WindowCounts {
     /// The window.
     pub window: WindowNumber,
-    /// How many requests of each organisation began to run in it.
+    /// The number of requests that started to run in the window, by organisation.
     pub counts: Vec<(UsageKey, u32)>,
 }
 
-/// Returns the window in which a moment lies, counted from the start of 1970.
+/// Returns the window that contains a moment, which is given as the time since the Unix
+/// epoch.
 ///
 /// ```
 /// use std::time::Duration;
@@ -49,7 +52,7 @@
     (moment.as_millis() / length) as WindowNumber
 }
 
-/// Returns when a window ends, counted from the start of 1970.
+/// Returns the end of a window as the time since the Unix epoch.
 #[must_use]
 pub fn window_end(window: WindowNumber, length: Duration) -> Duration {
     Duration::from_millis((window + 1) * length.as_millis() as u64)
--- a/crates/flaxtide-policy/src/usage/tally.rs
+++ b/crates/flaxtide-policy/src/usage/tally.rs
@@ -1,63 +1,65 @@
-//! What the reporting instance adds up.
+//! The usage counts of all instances, added up by the holder of the usage duty.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use super::{UsageCounts, WINDOWS_KEPT, WindowCounts, WindowNumber, window_end};
 
-/// An instance that isn't heard for so long has told all that it will.
+/// An instance that hasn't reported for this long is assumed to have ended.
 const SOURCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What identifies one start of an instance.
+/// Identifies one start of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UsageSource {
-    /// What stands for its name.
+    /// A hash of the instance's name.
     pub name: u32,
-    /// Drawn at random at its start.
+    /// A random number drawn when the instance starts.
     pub epoch: u32,
 }
 
-/// What all instances have told.
+/// The usage that all instances have reported.
 #[derive(Debug, Clone, Default)]
 pub struct UsageTally {
-    /// By instance.
+    /// The reports by instance and start.
     sources: BTreeMap<UsageSource, SourceRecord>,
-    /// What the holder before had been told.
+    /// The counts that had been reported to the previous holder.
     inherited: BTreeMap<WindowNumber, UsageCounts>,
-    /// Windows before this one are closed.
+    /// The first window that isn't closed.
     open_from: WindowNumber,
 }
 
-/// What one start of an instance has told.
+/// The usage that one start of an instance has reported.
 #[derive(Debug, Clone)]
 struct SourceRecord {
-    /// What stands for its data centre.
+    /// A hash of the name of its data centre.
     data_centre: u32,
-    /// When it was last heard.
+    /// When it last reported.
     last_heard: Duration,
-    /// Up to which moment, counted from the start of 1970, it has told everything.
+    /// The time since the Unix epoch up to which its reports are complete.
     complete_until: Duration,
-    /// Whether it is stopping.
+    /// Whether the instance is stopping or has been replaced by a later start.
     leaving: bool,
-    /// Its counts.
+    /// Its counts by window.
     windows: BTreeMap<WindowNumber, UsageCounts>,
 }
 
-/// The sum of a window.
+/// The total of a window.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WindowTotal {
-    /// How many requests of each organisation began to run.
+    /// The number of requests that started to run, by organisation.
     pub counts: UsageCounts,
-    /// How many of them are estimated.
+    /// How many of these requests are estimated.
     pub estimated: u32,
-    /// How many instances have told.
+    /// The number of instances that have reported the window.
     pub sources: u32,
-    /// How many of those that are alive haven't told up to the window's end.
+    /// The number of live instances whose reports aren't complete up to the end of the
+    /// window.
     pub missing: u32,
 }
 
 impl UsageTally {
-    /// Takes over what the holder before had been told, and from which window on.
+    /// Takes over the counts that had been reported to the previous holder, and its first
+    /// open window.
     pub fn inherit(
         &mut self,
         drafts: BTreeMap<WindowNumber, UsageCounts>,
@@ -67,8 +69,8 @@
         self.open_from = self.open_from.max(open_from);
     }
 
-    /// Records what an instance has told. `told_until` is the moment, counted from the start of
-    /// 1970, up to which it has told everything.
+    /// Records a report of an instance. `complete_until` is the time since the Unix epoch
+    /// up to which its reports are complete.
     pub fn record_report(
         &mut self,
         source: UsageSource,
@@ -78,7 +80,7 @@
         windows: Vec<WindowCounts>,
         now: Duration,
     ) {
-        // A later start of the same instance has ended the one before it.
+        // An earlier start of the same instance has ended.
         let name = source.name;
         let ended = self.sources.iter_mut().filter(|(other, _)| other.name == name);
         ended.for_each(|(_, record)| record.leaving = true);
@@ -104,8 +106,9 @@
         }
     }
 
-    /// Returns the sum of a window. What instances of a data centre of which nobody is heard
-    /// haven't told is estimated from the window before: they may be serving behind a cut.
+    /// Returns the total of a window. If no instance of a data centre has reported
+    /// completely, the data centre may be serving behind a network partition, and the
+    /// missing counts of its instances are estimated from the previous window.
     #[must_use]
     pub fn total(
         &self,
@@ -130,7 +133,7 @@
         total
     }
 
-    /// Returns whether every instance that is alive has told all of a window.
+    /// Returns whether the reports of all live instances are complete for a window.
     #[must_use]
     pub fn is_complete(
         &self,
@@ -142,7 +145,7 @@
         !self.sources.values().any(|record| record.is_missing(end, now))
     }
 
-    /// Returns the sums of what was told of the windows that aren't closed.
+    /// Returns the reported totals of the windows that aren't closed, without estimates.
     #[must_use]
     pub fn drafts(&self) -> BTreeMap<WindowNumber, UsageCounts> {
         let reported = self.sources.values().flat_map(|record| record.windows.keys());
@@ -152,7 +155,7 @@
         open.map(|window| (window, self.reported(window))).collect()
     }
 
-    /// Returns the sum of what was told of a window.
+    /// Returns the reported total of a window, without estimates.
     fn reported(&self, window: WindowNumber) -> UsageCounts {
         let mut total = WindowTotal::default();
         for record in self.sources.values() {
@@ -162,7 +165,7 @@
         total.counts
     }
 
-    /// Raises counts to what the holder before had been told of a window.
+    /// Raises counts to those that had been reported to the previous holder.
     fn add_inherited(&self, counts: &mut UsageCounts, window: WindowNumber) {
         for (organisation, count) in self.inherited.get(&window).into_iter().flatten() {
             let known = counts.entry(*organisation).or_default();
@@ -170,11 +173,12 @@
         }
     }
 
-    /// Closes all windows up to one, and forgets what belongs to them.
+    /// Closes all windows up to and including `window` and drops their counts.
     pub fn close(&mut self, window: WindowNumber, now: Duration) {
         self.open_from = self.open_from.max(window + 1);
         let open_from = self.open_from;
-        // The last closed one tells how much a data centre that is cut off may be serving.
+        // The counts of the last closed window are kept, as the next estimate is based on
+        // them.
         let oldest = open_from.saturating_sub(1);
         for record in self.sources.values_mut() {
             record.windows.retain(|window, _| *window >= oldest);
@@ -184,7 +188,7 @@
             .retain(|_, record| record.is_alive(now) || record.has_open(open_from));
     }
 
-    /// Forgets windows that are long over.
+    /// Closes windows that ended too long ago to be kept.
     pub fn expire(&mut self, current: WindowNumber, now: Duration) {
         if let Some(oldest) = current.checked_sub(WINDOWS_KEPT)
             && oldest > self.open_from
@@ -193,8 +197,8 @@
         }
     }
 
-    /// Returns the data centres of which no instance that is alive or was lately has told up to
-    /// a moment.
+    /// Returns the data centres that have live instances, none of which has reported
+    /// completely up to `end`.
     fn silent_data_centres(&self, end: Duration, now: Duration) -> BTreeSet<u32> {
         let records = || self.sources.values().filter(|record| record.is_alive(now));
         let reporting: BTreeSet<u32> = records()
@@ -207,28 +211,30 @@
 }
 
 impl SourceRecord {
-    /// Returns whether it has been heard lately.
+    /// Returns whether it has reported recently.
     fn is_alive(&self, now: Duration) -> bool {
         now < self.last_heard + SOURCE_TIMEOUT
     }
 
-    /// Returns whether it has told everything up to a moment, or all that it will.
+    /// Returns whether its reports are complete up to `end`, or no more reports are
+    /// expected.
     fn is_complete_until(&self, end: Duration) -> bool {
         self.leaving || self.complete_until >= end
     }
 
-    /// Returns whether it is alive and hasn't told everything up to a moment.
+    /// Returns whether it is alive and its reports aren't complete up to `end`.
     fn is_missing(&self, end: Duration, now: Duration) -> bool {
         !self.is_complete_until(end) && self.is_alive(now)
     }
 
-    /// Returns whether it has told of a window that isn't closed.
+    /// Returns whether it has reported a window that isn't closed.
     fn has_open(&self, open_from: WindowNumber) -> bool {
         self.windows.keys().any(|window| *window >= open_from)
     }
 }
 
-/// Adds what an instance has told, or as much as it told of the window before if that is more.
+/// Adds the counts that an instance reported for a window to a total. Where its count of
+/// the previous window is higher, that one is added as an estimate.
 fn add_counts(
     total: &mut WindowTotal,
     reported: Option<&UsageCounts>,
