--- a/crates/flaxtide-policy/tests/retries.rs
+++ b/crates/flaxtide-policy/tests/retries.rs
@@ -1,4 +1,5 @@
-//! Retries on time, whatever else happens.
+//! Retries in the decision core are dispatched on time. Frequent load reports must not delay
+//! them: the core's driver sends a tick only when no other event is pending.
 
 use std::time::Duration;
 
@@ -8,7 +9,7 @@
 };
 
 #[test]
-fn a_retry_goes_out_once_its_server_is_back_though_no_tick_comes() {
+fn a_retry_is_dispatched_once_its_server_is_back_although_no_tick_comes() {
     let mut core = DecisionCore::new(PolicyOptions::default(), 1);
     let class = ClassRule {
         tier: 0,
@@ -47,8 +48,9 @@
         passed_on: 0,
     };
     assert!(!dispatched(&core.handle(fault, Duration::from_millis(10))));
-    // Reports come so often that whoever drives the core never finds it idle.
-    let again = (1..300).find(|round| {
+    // Load reports arrive so often that the core's driver never becomes idle and sends no
+    // tick.
+    let retried = (1..300).find(|round| {
         let now = Duration::from_millis(10 + round * 10);
         let step = Duration::from_millis(4);
         let report = LoadReport {
@@ -61,6 +63,6 @@
         };
         dispatched(&core.handle(PolicyEvent::Report(report), now))
     });
-    let again = Duration::from_millis(again.expect("it is tried again") * 10);
-    assert!(again < Duration::from_millis(2200), "only after {again:?}");
+    let retried = Duration::from_millis(retried.expect("the request is retried") * 10);
+    assert!(retried < Duration::from_millis(2200), "retried only after {retried:?}");
 }
--- a/crates/flaxtide-policy/tests/router.rs
+++ b/crates/flaxtide-policy/tests/router.rs
@@ -1,4 +1,4 @@
-//! The router: which server gets a request, and when one is tried again.
+//! The router: the choice of a server, retries, refusals, and the health of servers.
 
 mod common;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_leaving_server_gets_nothing() {
+fn a_leaving_server_gets_no_requests() {
     let mut core = core_with(3);
     let mut servers: Vec<RoutedServer> = (0..3).map(engine).collect();
     servers[0].leaving = true;
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn a_failed_request_goes_elsewhere_only_if_that_is_right() {
-    // fault, may be repeated, whether it is tried again
+fn a_failed_request_is_retried_elsewhere_only_if_allowed() {
+    // The fault, whether the request is repeatable, and the expected decision.
     let cases = [
         (RouteFault::Full, false, RetryDecision::Retry),
         (RouteFault::Withheld, false, RetryDecision::Retry),
@@ -73,31 +73,31 @@
 }
 
 #[test]
-fn repeats_stay_within_the_budget_of_all_instances() {
+fn retries_stay_within_the_budget_of_all_instances() {
     let options = RouteOptions::default();
     let instances = options.assumed_instances;
     let mut core = core_with(3);
-    let mut repeats = 0;
+    let mut retries = 0;
     for request in 0..400 {
         core.arrive(call(request, 100, true), ms(request));
         if core.fail(request, RouteFault::Full, false, ms(request)).0
             == RetryDecision::Retry
         {
-            repeats += 1;
+            retries += 1;
             core.cancel(request, ms(request));
         }
     }
     let allowed =
         options.retry_ratio * 400.0 + options.retry_slack / f64::from(instances);
-    assert!(f64::from(repeats) <= allowed, "{repeats} of {allowed}");
-    assert!(repeats > 20, "the budget is of use: {repeats}");
+    assert!(f64::from(retries) <= allowed, "{retries} of {allowed}");
+    assert!(retries > 20, "only {retries} retries were granted");
 }
 
 #[test]
-fn a_large_fleet_that_starts_at_once_stays_within_the_budget() {
+fn a_large_fleet_that_starts_at_once_stays_within_the_retry_budget() {
     const INSTANCES: u32 = 84;
     let options = RouteOptions { retry_slack: 208.0, ..RouteOptions::default() };
-    let (mut requests, mut repeats) = (0, 0);
+    let (mut requests, mut retries) = (0, 0);
     for _ in 0..INSTANCES {
         // No peer has been heard yet.
         let mut core = RouteCore::new(options.clone());
@@ -109,21 +109,21 @@
             requests += 1;
             if core.fail(request, RouteFault::Full, false, now).0 == RetryDecision::Retry
             {
-                repeats += 1;
+                retries += 1;
                 core.cancel(request, now);
             }
         }
     }
     let allowed = options.retry_ratio * f64::from(requests) + options.retry_slack;
-    assert!(f64::from(repeats) <= allowed, "{repeats} of {allowed}");
+    assert!(f64::from(retries) <= allowed, "{retries} of {allowed}");
 }
 
 #[test]
-fn a_silent_server_with_streams_gets_no_more_work() {
+fn a_server_that_falls_silent_while_streaming_gets_no_requests() {
     let mut core = core_with(2);
     let first = server_of(&core.arrive(call(1, 100, true), ms(0))).unwrap();
     core.record_response_data(1, ms(20));
-    // Nothing has come for a second, though a stream is under way there.
+    // The server has sent nothing for a second although it is streaming a response.
     for request in 2..6 {
         let actions = core.arrive(call(request, 100, true), ms(1020));
         assert_ne!(server_of(&actions), Some(first));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_server_that_only_reads_prompts_may_be_silent() {
+fn a_server_that_only_prefills_may_be_silent() {
     let mut core = core_with(1);
     core.arrive(call(1, 12_000, false), ms(0));
     let actions = core.arrive(call(2, 100, true), ms(900));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_busy_moment_elsewhere_is_seen_through_peers() {
+fn the_load_that_a_peer_reports_counts_until_it_expires() {
     let mut core = core_with(2);
     let busy = PeerLoad {
         server: 0,
@@ -151,7 +151,7 @@
     for request in 0..3 {
         assert_eq!(server_of(&core.arrive(call(request, 100, true), ms(1))), Some(1));
     }
-    // Its word has expired, and nothing else is known.
+    // The peer's report has expired, and nothing else is known.
     let mut seen = BTreeSet::new();
     for request in 10..14 {
         seen.extend(server_of(&core.arrive(call(request, 100, true), ms(5000))));
@@ -160,16 +160,16 @@
 }
 
 #[test]
-fn prompts_with_the_same_parts_go_where_they_were_read() {
+fn prompts_with_shared_parts_go_to_the_server_that_has_them_cached() {
     let mut core = core_with(6);
     let shared = PromptPart { key: 77, tokens: 2000 };
     let mut servers = BTreeMap::new();
     for request in 0..12u64 {
-        let mut order = call(request, 2100, true);
+        let mut route_call = call(request, 2100, true);
         let own = PromptPart { key: 1000 + request, tokens: 100 };
-        order.prompt.parts = vec![shared, own];
+        route_call.prompt.parts = vec![shared, own];
         let now = ms(request * 400);
-        let server = server_of(&core.arrive(order, now)).unwrap();
+        let server = server_of(&core.arrive(route_call, now)).unwrap();
         core.record_response_data(request, now + ms(40));
         core.finish(request, now + ms(100));
         *servers.entry(server).or_insert(0) += 1;
@@ -177,10 +177,10 @@
     assert_eq!(servers.len(), 1, "{servers:?}");
 }
 
-/// Returns how many engines long prompts are spread over while a peer has so many short ones
-/// at each. Twenty come at once; engines are given for those that are there up to a fill, or
-/// never for 0.
-fn engines_of_long_prompts(short_at_each: u32, long_fill: f64) -> usize {
+/// Returns how many engines 20 long prompts use while a peer runs `short_at_each` short
+/// prompts on each of ten engines. `long_fill` is the option of this name; 0 disables
+/// additional engines.
+fn engines_used_by_long_prompts(short_at_each: u32, long_fill: f64) -> usize {
     let options = RouteOptions { long_fill, ..RouteOptions::default() };
     let mut core = core_with_options(10, options);
     let busy = |server| PeerLoad {
@@ -194,37 +194,42 @@
     core.arrive(call(1000, 100, true), ms(0));
     let mut engines = BTreeSet::new();
     for request in 0..20 {
-        let mut order = call(request, 12_000, true);
-        // Time enough to wait for others: tight targets are told apart in router_lanes.
-        order.target = ms(2000);
-        let actions = core.arrive(order, ms(request * 20));
+        let mut route_call = call(request, 12_000, true);
+        // The target leaves time to wait for other prompts; router_lanes tests tight
+        // targets.
+        route_call.target = ms(2000);
+        let actions = core.arrive(route_call, ms(request * 20));
         engines.extend(server_of(&actions));
     }
     engines.len()
 }
 
 #[test]
-fn long_prompts_leave_more_engines_while_short_ones_are_many() {
-    assert_eq!(engines_of_long_prompts(1, 0.0), 6);
-    assert_eq!(engines_of_long_prompts(2, 0.0), 5);
-    assert_eq!(engines_of_long_prompts(3, 0.0), 3, "they keep a third");
+fn more_short_prompts_leave_fewer_engines_to_long_ones() {
+    assert_eq!(engines_used_by_long_prompts(1, 0.0), 6);
+    assert_eq!(engines_used_by_long_prompts(2, 0.0), 5);
+    assert_eq!(engines_used_by_long_prompts(3, 0.0), 3, "long prompts keep a third");
 }
 
 #[test]
-fn long_prompts_get_engines_for_those_that_are_there() {
+fn running_long_prompts_get_additional_engines() {
     let fill = RouteOptions::default().long_fill;
-    assert_eq!(engines_of_long_prompts(1, fill), 6);
-    assert_eq!(engines_of_long_prompts(2, fill), 5);
-    assert_eq!(engines_of_long_prompts(3, fill), 4, "20 are too many for three engines");
+    assert_eq!(engines_used_by_long_prompts(1, fill), 6);
+    assert_eq!(engines_used_by_long_prompts(2, fill), 5);
     assert_eq!(
-        engines_of_long_prompts(5, fill),
+        engines_used_by_long_prompts(3, fill),
+        4,
+        "20 long prompts are too many for three engines"
+    );
+    assert_eq!(
+        engines_used_by_long_prompts(5, fill),
         3,
-        "short ones leave no more than a third"
+        "short prompts leave no more than a third"
     );
 }
 
 #[test]
-fn long_prompts_leave_engines_to_short_ones() {
+fn long_and_short_prompts_use_different_engines() {
     let mut core = core_with(10);
     let (mut long, mut short) = (BTreeSet::new(), BTreeSet::new());
     for request in 0..20u64 {
@@ -232,12 +237,12 @@
         long.extend(server_of(&core.arrive(call(request * 2, 12_000, true), now)));
         short.extend(server_of(&core.arrive(call(request * 2 + 1, 400, true), now)));
     }
-    // The first of each came before the other kind had been seen.
+    // The first prompt of each kind arrived before the other kind had been seen.
     assert!(long.intersection(&short).count() <= 1, "{long:?} {short:?}");
 }
 
 #[test]
-fn requests_wait_in_the_order_of_tiers_while_servers_are_full() {
+fn waiting_requests_are_dispatched_in_the_order_of_tiers() {
     let mut core = core_with(1);
     let room = 12;
     for request in 0..room {
@@ -254,7 +259,7 @@
 }
 
 #[test]
-fn a_request_that_waited_too_long_is_refused_with_a_time_to_come_back() {
+fn a_request_that_waited_too_long_is_refused_with_a_retry_after_time() {
     let mut core = core_with(1);
     for request in 0..12 {
         core.arrive(call(request, 100, true), ms(0));
@@ -272,19 +277,19 @@
     assert!(*retry_after >= ms(100));
 }
 
-/// What may happen to a request, for random days.
+/// An event of a random sequence.
 #[derive(Debug, Clone)]
-enum Happening {
+enum RouterEvent {
     Arrive { repeatable: bool, tokens: u32, tier: u8 },
-    Hear(usize),
+    Data(usize),
     Finish(usize),
     Fail(usize, RouteFault),
-    Leave(usize),
-    Servers(Vec<bool>),
-    Pass(u64),
+    Cancel(usize),
+    SetServers(Vec<bool>),
+    Advance(u64),
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn router_event() -> impl Strategy<Value = RouterEvent> {
     let fault = prop_oneof![
         Just(RouteFault::Unreachable),
         Just(RouteFault::Full),
@@ -295,89 +300,89 @@
     ];
     prop_oneof![
         4 => (any::<bool>(), 0u32..20_000, 0u8..4).prop_map(|(repeatable, tokens, tier)| {
-            Happening::Arrive { repeatable, tokens, tier }
+            RouterEvent::Arrive { repeatable, tokens, tier }
         }),
-        2 => (0usize..64).prop_map(Happening::Hear),
-        2 => (0usize..64).prop_map(Happening::Finish),
-        2 => (0usize..64, fault).prop_map(|(place, fault)| Happening::Fail(place, fault)),
-        1 => (0usize..64).prop_map(Happening::Leave),
-        1 => prop::collection::vec(any::<bool>(), 4).prop_map(Happening::Servers),
-        2 => (0u64..3000).prop_map(Happening::Pass),
+        2 => (0usize..64).prop_map(RouterEvent::Data),
+        2 => (0usize..64).prop_map(RouterEvent::Finish),
+        2 => (0usize..64, fault).prop_map(|(index, fault)| RouterEvent::Fail(index, fault)),
+        1 => (0usize..64).prop_map(RouterEvent::Cancel),
+        1 => prop::collection::vec(any::<bool>(), 4).prop_map(RouterEvent::SetServers),
+        2 => (0u64..3000).prop_map(RouterEvent::Advance),
     ]
 }
 
-/// What a checker knows of a request.
+/// What the test expects of a request.
 #[derive(Debug, Default, Clone)]
-struct Seen {
+struct TrackedRequest {
     repeatable: bool,
     may_have_run: u32,
     running: bool,
-    over: bool,
+    finished: bool,
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1000, ..ProptestConfig::default() })]
 
-    /// Whatever happens: nothing is sent to a leaving server, nothing that may have run and
-    /// may not be repeated is sent again, no request is decided about twice at a time, and
-    /// none is lost.
+    /// For any sequence of events: nothing is dispatched to a leaving server, a request
+    /// that may have run and isn't repeatable is not dispatched again, no request is
+    /// dispatched twice at a time, and none is lost.
     #[test]
-    fn the_router_keeps_its_word(happenings in prop::collection::vec(happening(), 1..120)) {
+    fn the_router_keeps_its_invariants(events in prop::collection::vec(router_event(), 1..120)) {
         let mut core = core_with(4);
-        let mut seen: BTreeMap<RequestId, Seen> = BTreeMap::new();
+        let mut tracked: BTreeMap<RequestId, TrackedRequest> = BTreeMap::new();
         let mut leaving = [false; 4];
         let mut now = ms(0);
         let mut next = 0;
-        for happening in happenings {
-            let running: Vec<RequestId> = seen
+        for event in events {
+            let running: Vec<RequestId> = tracked
                 .iter()
-                .filter(|(_, seen)| seen.running)
+                .filter(|(_, request)| request.running)
                 .map(|(request, _)| *request)
                 .collect();
-            let pick = |place: usize| running.get(place % running.len().max(1)).copied();
-            let actions = match happening {
-                Happening::Arrive { repeatable, tokens, tier } => {
+            let pick = |index: usize| running.get(index % running.len().max(1)).copied();
+            let actions = match event {
+                RouterEvent::Arrive { repeatable, tokens, tier } => {
                     next += 1;
-                    seen.insert(next, Seen { repeatable, ..Seen::default() });
-                    let mut order = call(next, tokens, repeatable);
-                    order.tier = tier;
-                    order.give_up = now + ms(2000);
-                    core.arrive(order, now)
+                    tracked.insert(next, TrackedRequest { repeatable, ..TrackedRequest::default() });
+                    let mut route_call = call(next, tokens, repeatable);
+                    route_call.tier = tier;
+                    route_call.give_up = now + ms(2000);
+                    core.arrive(route_call, now)
                 }
-                Happening::Hear(place) => {
-                    if let Some(request) = pick(place) {
+                RouterEvent::Data(index) => {
+                    if let Some(request) = pick(index) {
                         core.record_response_data(request, now);
                     }
                     vec![]
                 }
-                Happening::Finish(place) => match pick(place) {
+                RouterEvent::Finish(index) => match pick(index) {
                     Some(request) => {
-                        let known = seen.get_mut(&request).unwrap();
-                        (known.running, known.over) = (false, true);
+                        let known = tracked.get_mut(&request).unwrap();
+                        (known.running, known.finished) = (false, true);
                         core.finish(request, now)
                     }
                     None => vec![],
                 },
-                Happening::Leave(place) => match pick(place) {
+                RouterEvent::Cancel(index) => match pick(index) {
                     Some(request) => {
-                        let known = seen.get_mut(&request).unwrap();
-                        (known.running, known.over) = (false, true);
+                        let known = tracked.get_mut(&request).unwrap();
+                        (known.running, known.finished) = (false, true);
                         core.cancel(request, now)
                     }
                     None => vec![],
                 },
-                Happening::Fail(place, fault) => match pick(place) {
+                RouterEvent::Fail(index, fault) => match pick(index) {
                     Some(request) => {
-                        let known = seen.get_mut(&request).unwrap();
+                        let known = tracked.get_mut(&request).unwrap();
                         known.running = false;
                         known.may_have_run += u32::from(!fault.not_run());
                         let (verdict, actions) = core.fail(request, fault, false, now);
-                        known.over = verdict == RetryDecision::Stop;
+                        known.finished = verdict == RetryDecision::Stop;
                         actions
                     }
                     None => vec![],
                 },
-                Happening::Servers(states) => {
+                RouterEvent::SetServers(states) => {
                     let servers = (0..4).map(|id| {
                         let mut server = engine(id);
                         server.leaving = states[id as usize];
@@ -389,7 +394,7 @@
                     }
                     core.set_servers(POOL, &servers, now)
                 }
-                Happening::Pass(millis) => {
+                RouterEvent::Advance(millis) => {
                     now += ms(millis);
                     core.tick(now)
                 }
@@ -397,24 +402,24 @@
             for action in actions {
                 match action {
                     RouteAction::Dispatch { request, choice, .. } => {
-                        let known = seen.get_mut(&request).unwrap();
-                        prop_assert!(!leaving[choice.server as usize], "sent to a leaving server");
-                        prop_assert!(!known.running && !known.over, "decided twice: {request}");
+                        let known = tracked.get_mut(&request).unwrap();
+                        prop_assert!(!leaving[choice.server as usize], "dispatched to a leaving server");
+                        prop_assert!(!known.running && !known.finished, "{request} was dispatched twice");
                         prop_assert!(known.repeatable || known.may_have_run == 0);
-                        prop_assert!(known.may_have_run < 2, "over its limit of servers");
+                        prop_assert!(known.may_have_run < 2, "runs on too many servers");
                         known.running = true;
                     }
                     RouteAction::Refuse { request, .. } => {
-                        let known = seen.get_mut(&request).unwrap();
-                        prop_assert!(!known.running && !known.over);
-                        known.over = true;
+                        let known = tracked.get_mut(&request).unwrap();
+                        prop_assert!(!known.running && !known.finished);
+                        known.finished = true;
                     }
                 }
             }
-            let open = seen.values().filter(|seen| !seen.over).count();
-            prop_assert_eq!(core.open_calls(), open, "a request is lost");
+            let open = tracked.values().filter(|request| !request.finished).count();
+            prop_assert_eq!(core.open_calls(), open, "a request was lost");
         }
-        // Once there is time, everything that waits is sent or refused.
+        // Given enough time, all waiting requests are dispatched or refused.
         let servers: Vec<RoutedServer> = (0..4).map(engine).collect();
         core.set_servers(POOL, &servers, now);
         core.tick(now + ms(60_000));
@@ -423,7 +428,7 @@
 }
 
 #[test]
-fn what_is_believed_of_a_server_is_told_once() {
+fn each_health_change_is_reported_once() {
     let mut core = core_with(2);
     assert_eq!(core.health_changes(ms(0)), []);
     let server = server_of(&core.arrive(call(1, 100, true), ms(0))).unwrap();
@@ -437,15 +442,15 @@
 }
 
 #[test]
-fn a_request_whose_caller_left_says_nothing_against_its_server() {
+fn a_cancelled_request_does_not_count_against_its_server() {
     let mut core = core_with(1);
     core.arrive(call(1, 100, true), ms(0));
     core.cancel(1, ms(100));
-    assert_eq!(core.health_changes(ms(10_000)), [], "nobody has waited since");
+    assert_eq!(core.health_changes(ms(10_000)), [], "no request has been waiting since");
 }
 
 #[test]
-fn a_server_that_was_seen_to_read_slowly_is_not_given_what_would_come_late() {
+fn a_slow_server_is_not_sent_requests_that_would_be_late() {
     let mut core = core_with(1);
     let mut now = ms(0);
     for request in 0..10 {
@@ -457,7 +462,8 @@
         core.record_response_data(request, now);
         core.finish(request, now);
     }
-    // Six tokens a millisecond were seen: 12,000 take two seconds, the target is half of one.
+    // The measured rate is six tokens per millisecond, so 12,000 tokens take two seconds.
+    // The target is half a second.
     let actions = core.arrive(call(100, 12_000, false), now);
     let [RouteAction::Refuse { reason, expected: Some(expected), .. }] = &actions[..]
     else {
@@ -465,7 +471,8 @@
     };
     assert_eq!(*reason, RefusalCause::TooLate);
     assert!(*expected > ms(500), "{expected:?}");
-    // A short prompt is still taken, and so is the long one once that is long ago.
+    // A short prompt is still accepted, and so is a long one once the measurements are
+    // old.
     assert!(server_of(&core.arrive(call(101, 500, false), now)).is_some());
     core.finish(101, now);
     let later = now + ms(30_000);
--- a/crates/flaxtide-policy/tests/router_lanes.rs
+++ b/crates/flaxtide-policy/tests/router_lanes.rs
@@ -1,4 +1,4 @@
-//! How many engines long prompts are kept to: the less time they have, the more.
+//! The number of engines for long prompts: the tighter their targets, the more.
 
 mod common;
 
@@ -6,20 +6,20 @@
 
 use self::common::{call, core_with, ms, server_of};
 
-/// Returns how many of ten engines long prompts with such a target are spread over.
+/// Returns how many of ten engines are used by long prompts with the given target.
 fn engines_for_target(target_ms: u64) -> usize {
     let mut core = core_with(10);
     core.arrive(call(1000, 100, true), ms(0));
     let mut engines = BTreeSet::new();
     for request in 0..30 {
-        let mut order = call(request, 9000, true);
-        order.target = ms(target_ms);
+        let mut route_call = call(request, 9000, true);
+        route_call.target = ms(target_ms);
         let now = ms(request * 60);
-        engines.extend(server_of(&core.arrive(order, now)));
+        engines.extend(server_of(&core.arrive(route_call, now)));
         core.cancel(request, now + ms(50));
         core.arrive(call(2000 + request, 100, true), now + ms(51));
         core.cancel(2000 + request, now + ms(52));
-        // Each engine is busy with the last long prompt, so the next goes elsewhere.
+        // This prompt keeps the engine busy, so that the next one goes to another engine.
         let mut busy = call(3000 + request, 9000, true);
         busy.target = ms(target_ms);
         core.arrive(busy, now + ms(53));
@@ -29,7 +29,7 @@
 
 #[test]
 fn long_prompts_with_tight_targets_get_more_engines() {
-    // An engine reads one in 150 ms, by the first guess of its pace.
+    // At the assumed prefill rate, an engine takes 150 ms for one of these prompts.
     assert_eq!(engines_for_target(500), 8, "three in a row would be late");
-    assert_eq!(engines_for_target(2000), 6, "many may wait for each other");
+    assert_eq!(engines_for_target(2000), 6, "several can wait for each other");
 }
--- a/crates/flaxtide-policy/tests/router_shed.rs
+++ b/crates/flaxtide-policy/tests/router_shed.rs
@@ -1,4 +1,4 @@
-//! Servers that turn requests away while others answer: which come first.
+//! Load shedding: how a server that refuses requests ranks against one that accepts them.
 
 mod common;
 
@@ -7,20 +7,20 @@
 
 use self::common::{call, core_with_options, ms, server_of};
 
-/// Has a server go on with a stream and turn everything else away, and another one answer. Returns
-/// the first, the other one, and where a request goes that comes 400 ms later: the first has less
-/// to do.
+/// Simulates one server that continues a stream but refuses all other requests, and one
+/// that accepts them. Returns the refusing server, the accepting one, and the server that
+/// gets a request 400 ms later, when the refusing one has less load.
 fn next_after_refusal(refused_cost_ms: f64) -> (ServerId, ServerId, ServerId) {
     let options = RouteOptions { refused_cost_ms, ..RouteOptions::default() };
     let mut core = core_with_options(2, options);
-    let sheds = sent(&mut core, 1, 0);
+    let refusing = dispatched_server(&mut core, 1, 0);
     core.record_response_data(1, ms(20));
     let mut request = 2;
     let mut other = None;
-    // Four requests stay at the other server.
+    // Four requests stay on the accepting server.
     while request < 10 {
-        let server = sent(&mut core, request, 30);
-        if server == sheds {
+        let server = dispatched_server(&mut core, request, 30);
+        if server == refusing {
             core.fail(request, RouteFault::Full, false, ms(31));
             core.cancel(request, ms(32));
         } else {
@@ -29,24 +29,24 @@
         }
         request += 1;
     }
-    // The stream goes on.
+    // The stream continues.
     core.record_response_data(1, ms(410));
-    let next = sent(&mut core, request, 430);
-    (sheds, other.unwrap(), next)
+    let next = dispatched_server(&mut core, request, 430);
+    (refusing, other.unwrap(), next)
 }
 
-/// Has a request come. Returns where it is sent.
-fn sent(core: &mut RouteCore, request: u64, millis: u64) -> ServerId {
+/// Submits a request and returns the server that it is dispatched to.
+fn dispatched_server(core: &mut RouteCore, request: u64, millis: u64) -> ServerId {
     server_of(&core.arrive(call(request, 100, true), ms(millis))).unwrap()
 }
 
 #[test]
-fn a_server_that_turns_requests_away_comes_last_though_its_streams_go_on() {
-    let (sheds, other, next) =
+fn a_server_that_refuses_requests_is_ranked_last_although_it_is_still_streaming() {
+    let (refusing, other, next) =
         next_after_refusal(RouteOptions::default().refused_cost_ms);
-    assert_ne!(sheds, other);
+    assert_ne!(refusing, other);
     assert_eq!(next, other);
-    // It would be the cheapest otherwise.
-    let (sheds, _, next) = next_after_refusal(0.0);
-    assert_eq!(next, sheds);
+    // Without the cost of a refusal, the refusing server would be the cheapest.
+    let (refusing, _, next) = next_after_refusal(0.0);
+    assert_eq!(next, refusing);
 }
--- a/crates/flaxtide-policy/tests/router_silence.rs
+++ b/crates/flaxtide-policy/tests/router_silence.rs
@@ -1,4 +1,4 @@
-//! Requests whose server is silent: when they are broken off there.
+//! Silent servers: when requests on them are aborted, and how silence is reported.
 
 mod common;
 
@@ -7,10 +7,10 @@
 use self::common::{call, core_with, ms, server_of};
 
 #[test]
-fn a_silent_request_is_broken_off_only_if_another_try_is_granted() {
+fn a_request_on_a_silent_server_is_aborted_only_if_a_retry_is_granted() {
     let mut core = core_with(1);
     core.arrive(call(1, 100, true), ms(0));
-    // No other server is there: the request stays, and may still be answered.
+    // There is no other server, so the request stays and may still be answered.
     assert!(!core.may_abort_silent(1, false, ms(3000)));
     assert!(core.finish(1, ms(3100)).is_empty());
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_try_that_is_granted_is_paid_for_once() {
+fn a_granted_retry_is_charged_once() {
     let mut core = core_with(2);
     let mut granted = 0;
     for request in 0..200 {
@@ -37,12 +37,13 @@
         }
         core.cancel(request, ms(6000));
     }
-    // 0.7 of a fifth of 200 and of an eighth of 50: what `fail` alone would grant.
+    // 0.7 of the budget: a fifth of 200 requests, and an eighth of the allowance of 50.
+    // `fail` alone would grant as many.
     assert_eq!(granted, 32);
 }
 
 #[test]
-fn a_server_that_answers_others_is_busy_and_keeps_its_requests() {
+fn a_server_that_responds_to_others_keeps_its_requests() {
     let mut core = core_with(2);
     let first = server_of(&core.arrive(call(1, 6000, true), ms(0)));
     let mut other = 2;
@@ -50,17 +51,26 @@
         other += 1;
     }
     core.record_response_data(other, ms(2900));
-    assert!(!core.may_abort_silent(1, false, ms(3000)), "it has answered another since");
-    assert!(core.may_abort_silent(1, false, ms(9000)), "nothing has come for long");
+    assert!(
+        !core.may_abort_silent(1, false, ms(3000)),
+        "the server has responded to another request since"
+    );
+    assert!(
+        core.may_abort_silent(1, false, ms(9000)),
+        "the server has sent nothing for a long time"
+    );
 }
 
 #[test]
-fn a_silent_server_gets_no_more_work_though_its_request_stays() {
+fn a_silent_server_gets_no_new_requests_although_its_request_stays() {
     let mut core = core_with(2);
-    let mut order = call(1, 100, true);
-    order.run_limit = 1;
-    let first = server_of(&core.arrive(order, ms(0)));
-    assert!(!core.may_abort_silent(1, false, ms(3000)), "it may run on one server only");
+    let mut route_call = call(1, 100, true);
+    route_call.run_limit = 1;
+    let first = server_of(&core.arrive(route_call, ms(0)));
+    assert!(
+        !core.may_abort_silent(1, false, ms(3000)),
+        "the request may run on one server only"
+    );
     assert_eq!(core.silent_servers(ms(3000)), first.into_iter().collect::<Vec<_>>());
     for request in 2..5 {
         assert_ne!(server_of(&core.arrive(call(request, 100, true), ms(3001))), first);
@@ -68,7 +78,7 @@
 }
 
 #[test]
-fn a_server_that_a_peer_found_silent_gets_no_work_for_a_while() {
+fn a_server_that_a_peer_reported_silent_gets_no_requests_for_a_while() {
     let mut core = core_with(2);
     core.record_silence_reports(&[0], ms(1000));
     for request in 0..4 {
@@ -80,7 +90,7 @@
 }
 
 #[test]
-fn a_server_that_answers_here_is_used_whatever_peers_say() {
+fn silence_reports_do_not_count_against_a_server_that_has_just_responded() {
     let mut core = core_with(2);
     let first = server_of(&core.arrive(call(1, 100, true), ms(0))).unwrap();
     core.record_response_data(1, ms(990));
@@ -92,21 +102,21 @@
 }
 
 #[test]
-fn peers_are_told_of_what_this_instance_found_and_of_no_rumour() {
+fn silence_reports_of_peers_are_not_passed_on() {
     let mut core = core_with(3);
     core.record_silence_reports(&[2], ms(0));
     assert!(core.silent_servers(ms(1)).is_empty());
     let server = server_of(&core.arrive(call(1, 100, false), ms(10))).unwrap();
     core.fail(1, RouteFault::Unreachable, false, ms(110));
     assert_eq!(core.silent_servers(ms(120)), [server]);
-    assert!(core.silent_servers(ms(2000)).is_empty(), "old finds are forgotten");
+    assert!(core.silent_servers(ms(2000)).is_empty(), "old reports expire");
 }
 
 #[test]
-fn a_request_that_reached_no_server_costs_no_repeat() {
+fn a_request_that_reached_no_server_is_retried_without_charge() {
     let mut core = core_with(30);
-    let order = call(1, 100, false);
-    core.arrive(order, ms(0));
+    let route_call = call(1, 100, false);
+    core.arrive(route_call, ms(0));
     for _ in 0..3 {
         let (verdict, _) = core.fail(1, RouteFault::Unreachable, false, ms(1));
         assert_eq!(verdict, RetryDecision::Retry);
@@ -115,7 +125,7 @@
         core.fail(1, RouteFault::Unreachable, false, ms(1)).0,
         RetryDecision::Stop
     );
-    // Just started, an instance has two free repeats; they are all left.
+    // A newly started instance has two additional retries, and both are left.
     for request in 2..4 {
         core.arrive(call(request, 100, false), ms(2));
         assert_eq!(
@@ -126,31 +136,31 @@
 }
 
 #[test]
-fn servers_are_not_silent_for_the_time_in_which_the_instance_stood_still() {
+fn a_stall_does_not_count_as_silence_of_servers() {
     let mut core = core_with(2);
     let first = server_of(&core.arrive(call(1, 100, true), ms(0)));
     core.record_response_data(1, ms(100));
     core.discount_stall(ms(5000), ms(5200));
     assert!(core.silent_servers(ms(5200)).is_empty());
-    // Both servers may get work.
+    // Both servers may get requests.
     let second = server_of(&core.arrive(call(2, 100, true), ms(5200)));
     let third = server_of(&core.arrive(call(3, 100, true), ms(5200)));
     assert!([second, third].contains(&first));
-    // From there on silence counts as ever.
+    // After the stall, silence counts as usual.
     assert_eq!(core.silent_servers(ms(6200)), first.into_iter().collect::<Vec<_>>());
 }
 
 #[test]
-fn a_standstill_does_not_count_as_time_that_a_server_took() {
-    let expected_after = |standstill: u64| {
-        let patient =
+fn a_stall_does_not_count_as_prefill_time() {
+    let expected_after = |stall: u64| {
+        let slow_call =
             |request| RouteCall { target: ms(5000), ..call(request, 20_000, true) };
         let mut core = core_with(1);
-        core.arrive(patient(1), ms(0));
-        core.discount_stall(ms(standstill), ms(600 + standstill));
-        core.record_response_data(1, ms(700 + standstill));
-        core.finish(1, ms(800 + standstill));
-        let actions = core.arrive(patient(2), ms(800 + standstill));
+        core.arrive(slow_call(1), ms(0));
+        core.discount_stall(ms(stall), ms(600 + stall));
+        core.record_response_data(1, ms(700 + stall));
+        core.finish(1, ms(800 + stall));
+        let actions = core.arrive(slow_call(2), ms(800 + stall));
         match &actions[..] {
             [RouteAction::Dispatch { choice, .. }] => choice.expected,
             other => panic!("not sent: {other:?}"),
