--- a/crates/flaxtide-entry/src/relay.rs
+++ b/crates/flaxtide-entry/src/relay.rs
@@ -12,9 +12,9 @@
 use hyper::body::Frame;
 
 use crate::contract::CallKind;
-use crate::exchange::{AnswerSource, CallerRequest};
-use crate::open_call::{OpenCall, TryEnd};
-use crate::reply::AnswerBody;
+use crate::exchange::{CallerRequest, UpstreamBody};
+use crate::open_call::{AttemptOutcome, OpenCall};
+use crate::reply::ResponseBody;
 
 /// A server that is silent for this long in the midst of a stream that another one can go
 /// on with is left. Callers wait two seconds at least.
@@ -27,7 +27,7 @@
     /// What the caller sent, to be sent again if the stream breaks.
     request: CallerRequest,
     /// The server's answer.
-    source: Option<AnswerSource>,
+    source: Option<UpstreamBody>,
     /// What has come of an event that isn't whole.
     events: EventCutter,
     /// What came before the first poll.
@@ -43,7 +43,7 @@
     pub(crate) fn new(
         call: OpenCall,
         request: CallerRequest,
-        source: AnswerSource,
+        source: UpstreamBody,
         first: Bytes,
     ) -> Self {
         let last_piece = call.state.now();
@@ -79,7 +79,7 @@
                     }
                 }
                 Ok(None) => return Ok(self.finish()),
-                Err(TryEnd::Fault(fault)) => self.resume(fault).await?,
+                Err(AttemptOutcome::Fault(fault)) => self.resume(fault).await?,
                 Err(_) => return Err(self.cut("timed_out")),
             }
         }
@@ -95,32 +95,32 @@
     }
 
     /// Receives the next bytes.
-    async fn receive(&mut self) -> Result<Option<Bytes>, TryEnd> {
+    async fn receive(&mut self) -> Result<Option<Bytes>, AttemptOutcome> {
         let resumable = self.resumable();
         let Some(source) = &mut self.source else {
-            return Err(TryEnd::Fault(RouteFault::Broken));
+            return Err(AttemptOutcome::Fault(RouteFault::Broken));
         };
         let state = self.call.state.clone();
         loop {
-            let left = self.call.left();
+            let left = self.call.time_left();
             let wait = if resumable { left.min(STALLED) } else { left };
             let until = state.now() + wait;
             match state.wait_until(until, source.next(&state)).await {
                 Some(Ok(Some(bytes))) => {
-                    state.decide(|core, now| {
+                    state.run_router(|core, now| {
                         core.record_response_data(self.call.request, now);
                         vec![]
                     });
                     return Ok(Some(bytes));
                 }
                 Some(Ok(None)) => return Ok(None),
-                Some(Err(fault)) => return Err(TryEnd::Fault(fault)),
-                None if wait < left && !self.call.left().is_zero() => {
+                Some(Err(fault)) => return Err(AttemptOutcome::Fault(fault)),
+                None if wait < left && !self.call.time_left().is_zero() => {
                     if self.call.may_break_off(resumable) {
-                        return Err(TryEnd::Fault(RouteFault::Silent));
+                        return Err(AttemptOutcome::Fault(RouteFault::Silent));
                     }
                 }
-                None => return Err(TryEnd::TimeOver),
+                None => return Err(AttemptOutcome::TimedOut),
             }
         }
     }
@@ -129,10 +129,10 @@
     fn finish(&mut self) -> Option<Bytes> {
         self.call
             .state
-            .decide(|core, now| core.finish(self.call.request, now));
+            .run_router(|core, now| core.finish(self.call.request, now));
         self.call.state.quarantine.clear(&self.call.state, &self.request);
-        self.call.note_late();
-        self.call.end("streamed", 200);
+        self.call.record_missed_target();
+        self.call.record_end("streamed", 200);
         self.ended = true;
         let rest = self.events.take_rest();
         (!rest.is_empty()).then_some(rest)
@@ -147,7 +147,7 @@
         loop {
             let decision = state.await_decision(self.call.request);
             let resumable = self.resumable();
-            let verdict = self.call.fail(&self.request, fault, resumable).await;
+            let verdict = self.call.handle_fault(&self.request, fault, resumable).await;
             if verdict == RetryDecision::Stop {
                 return Err(self.cut("stream_broken"));
             }
@@ -162,14 +162,14 @@
                 .try_server(&self.request, &choice, silence_timeout, last)
                 .await
             {
-                TryEnd::Started(start) if start.status.is_success() => {
+                AttemptOutcome::Started(start) if start.status.is_success() => {
                     self.source = Some(start.body);
                     return Ok(());
                 }
-                TryEnd::Started(_) => fault = RouteFault::Failed,
-                TryEnd::Fault(next) => fault = next,
-                TryEnd::TimeOver => return Err(self.cut("timed_out")),
-                TryEnd::Quarantined => return Err(self.cut("stream_broken")),
+                AttemptOutcome::Started(_) => fault = RouteFault::Failed,
+                AttemptOutcome::Fault(next) => fault = next,
+                AttemptOutcome::TimedOut => return Err(self.cut("timed_out")),
+                AttemptOutcome::Quarantined => return Err(self.cut("stream_broken")),
             }
         }
     }
@@ -178,13 +178,13 @@
     fn cut(&mut self, end: &'static str) -> io::Error {
         self.source = None;
         self.ended = true;
-        self.call.end(end, 200);
+        self.call.record_end(end, 200);
         io::Error::other("the stream broke")
     }
 }
 
 /// Makes the body of an answer out of a stream.
-pub(crate) fn relay_body(relay: StreamRelay) -> AnswerBody {
+pub(crate) fn relay_body(relay: StreamRelay) -> ResponseBody {
     let pieces = stream::unfold(relay, |mut relay| async move {
         if relay.ended {
             return None;
--- a/crates/flaxtide-fleet/src/node/digest.rs
+++ b/crates/flaxtide-fleet/src/node/digest.rs
@@ -79,7 +79,7 @@
         GroupDigest {
             hello: self.hello(now),
             contacts: self.some_of(&home),
-            loads: sum_loads(home.iter().map(|peer| &peer.loads), &self.demand.loads),
+            loads: sum_loads(home.iter().map(|peer| &peer.loads), &self.status.loads),
             reads: self.recent_reads(now),
         }
     }
@@ -91,7 +91,7 @@
         now: Duration,
     ) -> Vec<FleetNotice> {
         for info in &digest.contacts {
-            self.meet(info.clone(), false);
+            self.add_peer(info.clone(), false);
         }
         let data_centre = digest.hello.from.data_centre.clone();
         self.record_hello(&digest.hello, now);
@@ -115,7 +115,7 @@
     /// two periods, as a digest may be lost.
     fn recent_reads(&self, now: Duration) -> Vec<PartRead> {
         let peers = self.reads.within(self.digest_period() * 2, now);
-        let mut reads = self.demand.reads.clone();
+        let mut reads = self.status.reads.clone();
         reads.extend(peers);
         reads.truncate(READS_TOLD);
         reads
@@ -149,9 +149,9 @@
         if self.is_home(&hello.from) {
             return;
         }
-        self.hear_duty(hello.duty);
+        self.record_duty_holder(hello.duty);
         self.forget_seed(&hello.from);
-        self.meet(hello.from.clone(), false);
+        self.add_peer(hello.from.clone(), false);
         let timeout = self.far_liveness_timeout();
         if let Some(peer) = self.peers.get_mut(&hello.from.name) {
             peer.crashes.compare |= !peer.heard_within(now, timeout);
--- a/crates/flaxtide-fleet/src/node/talk.rs
+++ b/crates/flaxtide-fleet/src/node/talk.rs
@@ -91,9 +91,9 @@
             address: heartbeat.address,
         };
         let timeout = self.liveness_timeout();
-        self.hear_duty(heartbeat.duty);
+        self.record_duty_holder(heartbeat.duty);
         self.forget_seed(&info);
-        self.meet(info.clone(), false);
+        self.add_peer(info.clone(), false);
         let mut changes = false;
         if let Some(peer) = self.peers.get_mut(&heartbeat.from) {
             if !peer.listed {
@@ -139,10 +139,10 @@
         reply: &HeartbeatReply,
         now: Duration,
     ) -> Vec<FleetNotice> {
-        self.hear_duty(reply.duty);
+        self.record_duty_holder(reply.duty);
         for info in &reply.peers {
             self.forget_seed(info);
-            self.meet(info.clone(), false);
+            self.add_peer(info.clone(), false);
         }
         let timeout = self.liveness_timeout();
         let until = now + timeout;
@@ -181,11 +181,11 @@
             epoch: self.epoch,
             leaving: self.leaving,
             version: self.version(),
-            demands: if near { self.demand.demands.clone() } else { vec![] },
-            servers: if near { self.demand.servers.clone() } else { vec![] },
-            loads: if near { self.demand.loads.clone() } else { vec![] },
-            reads: if near { self.demand.reads.clone() } else { vec![] },
-            unresponsive: if near { self.demand.unresponsive.clone() } else { vec![] },
+            demands: if near { self.status.demands.clone() } else { vec![] },
+            servers: if near { self.status.servers.clone() } else { vec![] },
+            loads: if near { self.status.loads.clone() } else { vec![] },
+            reads: if near { self.status.reads.clone() } else { vec![] },
+            unresponsive: if near { self.status.unresponsive.clone() } else { vec![] },
             usage: kept.cloned().unwrap_or_default(),
             wants_peers: self.list_failed
                 && (peer.heard.is_none() || asked == Some(&peer.info.name)),
--- a/crates/flaxtide-policy/src/router/choose.rs
+++ b/crates/flaxtide-policy/src/router/choose.rs
@@ -108,7 +108,7 @@
             .iter()
             .copied()
             .filter(|server| !call.excluded.contains(&server.facts.server))
-            .filter(|server| server.pushback.is_open(now))
+            .filter(|server| server.pushback.is_ready(now))
             .collect();
         let lane = state.split.lane(call.details.prompt.tokens, &self.options, now);
         let healthy = self.healthy_servers(&usable, now);
--- a/crates/flaxtide-policy/src/router/mod.rs
+++ b/crates/flaxtide-policy/src/router/mod.rs
@@ -194,7 +194,7 @@
                     new_server.pushback = self.unlisted.take(server.server);
                     let rate_share =
                         |rate| own_rate_share(self.group.as_deref(), server, rate);
-                    new_server.pushback.set_part(rate_share, now);
+                    new_server.pushback.update_share(rate_share, now);
                     state.servers.insert(server.server, new_server);
                 }
             }
--- a/crates/flaxtide-policy/src/router/pushback.rs
+++ b/crates/flaxtide-policy/src/router/pushback.rs
@@ -52,8 +52,8 @@
             }
             let facts = &server.facts;
             let rate_share =
-                |rate| group.rate_part(facts.name_hash, facts.data_centre, rate);
-            server.pushback.set_part(rate_share, now);
+                |rate| group.rate_share(facts.name_hash, facts.data_centre, rate);
+            server.pushback.update_share(rate_share, now);
         }
         self.group = Some(group);
     }
@@ -71,10 +71,10 @@
         let server = find_server(&mut self.pools, server)?;
         let rate_share = |rate| own_rate_share(group, &server.facts, rate);
         let pushback = &mut server.pushback;
-        let rest = statement.rest.map(|rest| rest.min(self.options.longest_rest));
-        let new_backoff = rest.filter(|rest| pushback.rest(*rest, now));
-        let rate_changed = pushback.hear_rate(statement.rate, rate_share, sent, now);
-        let (rate, share) = (pushback.rate(), pushback.part());
+        let rest = statement.backoff.map(|rest| rest.min(self.options.longest_rest));
+        let new_backoff = rest.filter(|rest| pushback.back_off(*rest, now));
+        let rate_changed = pushback.apply_statement(statement.rate, rate_share, sent, now);
+        let (rate, share) = (pushback.rate(), pushback.share());
         (rate_changed || new_backoff.is_some()).then_some(StatementChange {
             rate,
             share,
@@ -95,7 +95,7 @@
         let group = self.group.as_deref();
         let server = find_server(&mut self.pools, server)?;
         let rate_share = |rate| own_rate_share(group, &server.facts, rate);
-        Some(server.pushback.hear_peer(rate, rate_share, heard, now))
+        Some(server.pushback.apply_report(rate, rate_share, heard, now))
     }
 
     /// Returns the rate that a server states, if any, and when it was last received.
@@ -107,7 +107,7 @@
     ) -> Option<(Option<RequestRate>, Duration)> {
         let mut pools = self.pools.values();
         let server = pools.find_map(|pool| pool.servers.get(&server))?;
-        Some((server.pushback.rate(), server.pushback.rate_heard()))
+        Some((server.pushback.rate(), server.pushback.rate_heard_at()))
     }
 
     /// Returns how many servers state a rate, and how many currently ask this instance to
@@ -117,7 +117,7 @@
         let mut count = PushbackCount::default();
         for server in self.pools.values().flat_map(|pool| pool.servers.values()) {
             count.limited += usize::from(server.pushback.rate().is_some());
-            count.backing_off += usize::from(server.pushback.rests(now));
+            count.backing_off += usize::from(server.pushback.is_backing_off(now));
         }
         count
     }
@@ -132,7 +132,7 @@
         let Some(server) = pool.and_then(|pool| pool.servers.get_mut(&server)) else {
             return false;
         };
-        if !server.facts.in_service() || server.pushback.rests(now) {
+        if !server.facts.in_service() || server.pushback.is_backing_off(now) {
             return false;
         }
         let counted = call.rate_counted || server.pushback.rate().is_none();
@@ -151,7 +151,7 @@
         });
         let mut first = None;
         for server in usable {
-            let Some(at) = server.pushback.opens_at(now) else { continue };
+            let Some(at) = server.pushback.ready_at(now) else { continue };
             if at <= now {
                 return NextReady::Now;
             }
@@ -221,5 +221,5 @@
     facts: &RoutedServer,
     rate: RequestRate,
 ) -> f64 {
-    group.map_or(0.0, |group| group.rate_part(facts.name_hash, facts.data_centre, rate))
+    group.map_or(0.0, |group| group.rate_share(facts.name_hash, facts.data_centre, rate))
 }
