--- a/crates/flaxtide-policy/src/router/choose.rs
+++ b/crates/flaxtide-policy/src/router/choose.rs
@@ -150,13 +150,13 @@
             .filter(|server| self.is_answering(server, now))
             .collect();
         let mut failures: Vec<f64> =
-            answering.iter().map(|server| server.health.failures()).collect();
+            answering.iter().map(|server| server.health.failure_rate()).collect();
         failures.sort_by(f64::total_cmp);
         let median = failures.get(failures.len() / 2).copied().unwrap_or_default();
         let inliers: Vec<&ServerState> = answering
             .iter()
             .copied()
-            .filter(|server| server.health.failures() <= median + OUTLIER_MARGIN)
+            .filter(|server| server.health.failure_rate() <= median + OUTLIER_MARGIN)
             .collect();
         let least = usable.len() as f64 * (1.0 - self.options.ejected_part);
         if (inliers.len() as f64) < least { answering } else { inliers }
--- a/crates/flaxtide-policy/src/router/health.rs
+++ b/crates/flaxtide-policy/src/router/health.rs
@@ -29,7 +29,7 @@
     /// When it was last found silent or unreachable; reset when anything is received.
     silent_at: Option<Duration>,
     /// The decayed fraction of its requests that failed.
-    failures: f64,
+    failure_rate: f64,
 }
 
 impl ServerHealth {
@@ -42,7 +42,7 @@
             admitted_at: None,
             refused_at: None,
             silent_at: None,
-            failures: 0.0,
+            failure_rate: 0.0,
         }
     }
 
@@ -70,7 +70,7 @@
     pub(crate) fn record_success(&mut self, now: Duration) {
         self.record_activity(now);
         self.pause = Duration::ZERO;
-        self.failures *= 1.0 - OUTCOME_WEIGHT;
+        self.failure_rate *= 1.0 - OUTCOME_WEIGHT;
     }
 
     /// Records a fault.
@@ -102,15 +102,15 @@
         }
     }
 
-    /// Returns whether this instance itself recently found the server silent. `streams`
+    /// Returns whether this instance itself recently found the server silent. `streaming`
     /// tells whether responses are being streamed from the server.
     pub(crate) fn was_silent(
         &self,
-        streams: bool,
+        streaming: bool,
         now: Duration,
         options: &RouteOptions,
     ) -> bool {
-        let silent = streams && now > self.last_heard + options.silence;
+        let silent = streaming && now > self.last_heard + options.silence;
         silent || self.silent_at.is_some_and(|at| now < at + options.rumour_life)
     }
 
@@ -141,7 +141,7 @@
 
     /// Counts a failed request.
     fn count_failure(&mut self) {
-        self.failures += (1.0 - self.failures) * OUTCOME_WEIGHT;
+        self.failure_rate += (1.0 - self.failure_rate) * OUTCOME_WEIGHT;
     }
 
     /// Returns how uncertain it is that the server accepts requests: 0 if it has just
@@ -159,19 +159,19 @@
     }
 
     /// Returns the decayed fraction of failed requests.
-    pub(crate) fn failures(&self) -> f64 {
-        self.failures
+    pub(crate) fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 
     /// Returns whether the server may get requests, judged by its recent responses.
-    /// `streams` tells whether responses are being streamed from it, `waiting` since when
+    /// `streaming` tells whether responses are being streamed from it, `waiting_since` since when
     /// its oldest unanswered request has been waiting, and `expected` how long that
     /// request may take. A server that is streaming sends data continuously; one that
     /// only prefills prompts may be silent for longer.
     pub(crate) fn is_healthy(
         &self,
-        streams: bool,
-        waiting: Option<Duration>,
+        streaming: bool,
+        waiting_since: Option<Duration>,
         expected: Duration,
         now: Duration,
         options: &RouteOptions,
@@ -179,10 +179,10 @@
         if now < self.paused_until {
             return false;
         }
-        if streams && now > self.last_heard + options.silence {
+        if streaming && now > self.last_heard + options.silence {
             return false;
         }
-        let Some(since) = waiting else { return true };
+        let Some(since) = waiting_since else { return true };
         now < since.max(self.last_heard) + options.long_silence + expected * 2
     }
 }
--- a/crates/flaxtide-policy/src/router/lane.rs
+++ b/crates/flaxtide-policy/src/router/lane.rs
@@ -22,7 +22,7 @@
 }
 
 /// How long a kind of prompt counts as present after the last arrival.
-const SEEN_LIFE: Duration = Duration::from_secs(3);
+const SEEN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The set of engines that a prompt prefers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -68,10 +68,11 @@
         else {
             return options.long_part;
         };
-        let times = target * tokens_per_ms / tokens.max(1.0);
+        let prompts_in_target = target * tokens_per_ms / tokens.max(1.0);
         let range = (options.ample_target - options.tight_target).max(f64::MIN_POSITIVE);
-        let tight = ((options.ample_target - times) / range).clamp(0.0, 1.0);
-        options.long_part + (options.tight_long_part - options.long_part) * tight
+        let tightness =
+            ((options.ample_target - prompts_in_target) / range).clamp(0.0, 1.0);
+        options.long_part + (options.tight_long_part - options.long_part) * tightness
     }
 
     /// Returns the lane of a prompt.
@@ -81,7 +82,7 @@
         options: &RouteOptions,
         now: Duration,
     ) -> PromptLane {
-        let seen = |at: Option<Duration>| at.is_some_and(|at| now < at + SEEN_LIFE);
+        let seen = |at: Option<Duration>| at.is_some_and(|at| now < at + SEEN_TIMEOUT);
         if tokens == 0 || !seen(self.long_seen) || !seen(self.short_seen) {
             return PromptLane::Any;
         }
--- a/crates/flaxtide-policy/src/router/mod.rs
+++ b/crates/flaxtide-policy/src/router/mod.rs
@@ -392,7 +392,7 @@
                 changes.push(HealthChange {
                     server: *id,
                     healthy: is_healthy,
-                    failure_rate: server.health.failures(),
+                    failure_rate: server.health.failure_rate(),
                     heard_ago: now.saturating_sub(server.health.last_heard()),
                 });
             }
--- a/crates/flaxtide-policy/src/router/options.rs
+++ b/crates/flaxtide-policy/src/router/options.rs
@@ -30,9 +30,10 @@
     /// A prompt with more tokens than this counts as long.
     pub long_prompt: u32,
     /// The maximum fraction of the engines that long prompts use while short prompts are
-    /// running too.
+    /// running too, if the long ones can wait for each other.
     pub long_part: f64,
-    /// The same where long prompts can't wait for each other.
+    /// The maximum fraction of the engines that long prompts use if they can't wait for
+    /// each other.
     pub tight_long_part: f64,
     /// Long prompts can't wait for each other if their target is at most this many times
     /// the time to prefill one of them: then a prompt behind three others would be late.
@@ -83,8 +84,8 @@
     /// The number of instances that are assumed to share the budget until peers have been
     /// heard.
     pub assumed_instances: u32,
-    /// How long an instance may not know after its start how many instances share the
-    /// budget: twice the longest heartbeat period.
+    /// The time after its start during which an instance may not have heard yet how many
+    /// instances share the budget: twice the longest heartbeat period.
     #[serde(deserialize_with = "deserialize_span")]
     pub settling: Duration,
     /// The maximum of the additional retries per window during that time, for this
--- a/crates/flaxtide-policy/src/router/prefill_rate.rs
+++ b/crates/flaxtide-policy/src/router/prefill_rate.rs
@@ -48,15 +48,15 @@
         }
     }
 
-    /// Records that a first token arrived `seen_ms` after its request was sent. `tokens`
+    /// Records that a first token arrived `elapsed_ms` after its request was sent. `tokens`
     /// were prefilled before it, including the request's own.
     pub(crate) fn record_first_token(
         &mut self,
         tokens: f64,
-        seen_ms: f64,
+        elapsed_ms: f64,
         now: Duration,
     ) {
-        let time_ms = (seen_ms - FIXED_OVERHEAD_MS).max(tokens / MAX_TOKENS_PER_MS);
+        let time_ms = (elapsed_ms - FIXED_OVERHEAD_MS).max(tokens / MAX_TOKENS_PER_MS);
         self.tokens = self.tokens * SAMPLE_DECAY + tokens;
         self.time_ms = self.time_ms * SAMPLE_DECAY + time_ms;
         self.updated_at = now;
--- a/crates/flaxtide-policy/src/router/pushback.rs
+++ b/crates/flaxtide-policy/src/router/pushback.rs
@@ -71,9 +71,10 @@
         let server = find_server(&mut self.pools, server)?;
         let rate_share = |rate| own_rate_share(group, &server.facts, rate);
         let pushback = &mut server.pushback;
-        let rest = statement.backoff.map(|rest| rest.min(self.options.longest_rest));
-        let new_backoff = rest.filter(|rest| pushback.back_off(*rest, now));
-        let rate_changed = pushback.apply_statement(statement.rate, rate_share, sent, now);
+        let backoff = statement.backoff.map(|span| span.min(self.options.longest_rest));
+        let new_backoff = backoff.filter(|span| pushback.back_off(*span, now));
+        let rate_changed =
+            pushback.apply_statement(statement.rate, rate_share, sent, now);
         let (rate, share) = (pushback.rate(), pushback.share());
         (rate_changed || new_backoff.is_some()).then_some(StatementChange {
             rate,
@@ -84,18 +85,18 @@
     }
 
     /// Applies the rate, or the absence of one, that a peer received from a server at
-    /// `heard`. Returns `None` if the server isn't known.
+    /// `heard_at`. Returns `None` if the server isn't known.
     pub fn record_peer_rate(
         &mut self,
         server: ServerId,
         rate: Option<RequestRate>,
-        heard: Duration,
+        heard_at: Duration,
         now: Duration,
     ) -> Option<ReportEffect> {
         let group = self.group.as_deref();
         let server = find_server(&mut self.pools, server)?;
         let rate_share = |rate| own_rate_share(group, &server.facts, rate);
-        Some(server.pushback.apply_report(rate, rate_share, heard, now))
+        Some(server.pushback.apply_report(rate, rate_share, heard_at, now))
     }
 
     /// Returns the rate that a server states, if any, and when it was last received.
@@ -123,8 +124,8 @@
     }
 
     /// Returns whether a request may now be written to its chosen server, and counts it
-    /// against the server's rate. The server may have lowered its rate or asked for a
-    /// backoff since it was chosen.
+    /// against the server's rate unless that was done at dispatch. The server may have
+    /// lowered its rate or asked for a backoff since it was chosen.
     pub fn permit_send(&mut self, request: RequestId, now: Duration) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
         let CallPhase::Running { server, .. } = call.phase else { return false };
--- a/crates/flaxtide-policy/src/scaling/scaler.rs
+++ b/crates/flaxtide-policy/src/scaling/scaler.rs
@@ -205,14 +205,14 @@
             return BTreeMap::new();
         }
         let most = rules.max_servers.saturating_sub(rules.min_servers);
-        let refuses = |name: &DataCentreName| {
+        let is_unavailable = |name: &DataCentreName| {
             let state = self.orders.get(&(name.clone(), true));
             state.is_some_and(|state| state.is_unavailable(now))
         };
-        let open: Vec<&DataCentreName> =
-            rules.prices.keys().filter(|name| !refuses(name)).collect();
-        let part = wanted.div_ceil((open.len() as u32).max(1)).min(most);
-        open.into_iter().map(|name| (name.clone(), part)).collect()
+        let available: Vec<&DataCentreName> =
+            rules.prices.keys().filter(|name| !is_unavailable(name)).collect();
+        let share = wanted.div_ceil((available.len() as u32).max(1)).min(most);
+        available.into_iter().map(|name| (name.clone(), share)).collect()
     }
 
     /// Returns how many regular servers each data centre should have: the minimum, plus
@@ -233,7 +233,7 @@
         let counts_of = |name| server_counts.get(name).copied().unwrap_or_default();
         let names = || rules.prices.keys();
         let serving: u32 = names().map(|name| counts_of(name).spot).sum();
-        let coming: u32 = names()
+        let expected: u32 = names()
             .map(|name| {
                 self.expected_spot(
                     name,
@@ -245,19 +245,21 @@
             })
             .sum();
         let data_centres = rules.prices.len().max(1) as u32;
-        let part = |there: u32| goal.saturating_sub(there).div_ceil(data_centres);
-        let parts = names().map(|name| {
+        let per_data_centre =
+            |there: u32| goal.saturating_sub(there).div_ceil(data_centres);
+        let regular_counts = names().map(|name| {
             let counts = counts_of(name);
             let most =
                 rules.max_servers.saturating_sub(counts.spot).max(rules.min_servers);
-            let (least, enough) = (part(coming.max(serving)), part(serving));
+            let (least, enough) =
+                (per_data_centre(expected.max(serving)), per_data_centre(serving));
             let state = self.orders.get(&(name.clone(), false));
             let ordered = state.and_then(|state| state.ordered);
             let current = ordered.map_or(counts.regular, |(count, _)| count);
             let count = current.clamp(least, enough.max(least));
             (name.clone(), count.clamp(rules.min_servers, most))
         });
-        parts.collect()
+        regular_counts.collect()
     }
 
     /// Returns how many spot servers a data centre has, or will soon have if `wanted` are
@@ -313,11 +315,11 @@
             });
         }
         if count < current {
-            let pause = match spot {
+            let interval = match spot {
                 true => self.options.spot_reduction_interval,
                 false => self.options.regular_reduction_interval,
             };
-            let interval_passed = since.is_none_or(|since| now >= since + pause);
+            let interval_passed = since.is_none_or(|since| now >= since + interval);
             let least = f64::from(current) * self.options.min_reduction;
             if !interval_passed || f64::from(current - count) < least {
                 return None;
--- a/crates/flaxtide-policy/src/usage/tally.rs
+++ b/crates/flaxtide-policy/src/usage/tally.rs
@@ -80,7 +80,7 @@
         windows: Vec<WindowCounts>,
         now: Duration,
     ) {
-        // An earlier start of the same instance has ended.
+        // This start replaces any earlier one of the same instance.
         let name = source.name;
         let ended = self.sources.iter_mut().filter(|(other, _)| other.name == name);
         ended.for_each(|(_, record)| record.leaving = true);
