--- a/crates/flaxtide-entry/src/duty/shared.rs
+++ b/crates/flaxtide-entry/src/duty/shared.rs
@@ -252,7 +252,7 @@
             heard.open.insert(name, (now, notice.open));
         }
         heard.tally.record_report(
-            UsageSource { name, epoch: notice.epoch },
+            UsageSource { name_hash: name, epoch: notice.epoch },
             fleet_key(&notice.from.data_centre),
             Duration::from_millis(notice.told_until_ms),
             notice.leaving,
--- a/crates/flaxtide-lab/src/burst.rs
+++ b/crates/flaxtide-lab/src/burst.rs
@@ -228,7 +228,7 @@
             level: u8::from(long),
             prompt: PromptShape {
                 tokens: shape.prompt,
-                answer: shape.answer,
+                max_output_tokens: shape.answer,
                 parts: vec![],
             },
             target: shape.target,
--- a/crates/flaxtide-policy/benches/gate.rs
+++ b/crates/flaxtide-policy/benches/gate.rs
@@ -58,7 +58,7 @@
         organisation: 1,
         tier: 1,
         level: 1,
-        prompt: PromptShape { tokens: 800, answer: 100, parts: vec![] },
+        prompt: PromptShape { tokens: 800, max_output_tokens: 100, parts: vec![] },
         target: Duration::from_secs(10),
         give_up: now + Duration::from_secs(10),
         deadline: now + Duration::from_secs(20),
--- a/crates/flaxtide-policy/src/lib.rs
+++ b/crates/flaxtide-policy/src/lib.rs
@@ -58,6 +58,6 @@
 };
 pub use self::share::{SlotDemand, divide_slots, equal_share};
 pub use self::usage::{
-    UsageCounts, UsageKey, UsageLedger, UsageSource, UsageTally, WindowCounts,
+    OrganisationKey, UsageCounts, UsageLedger, UsageSource, UsageTally, WindowCounts,
     WindowNumber, WindowTotal, window_end, window_of,
 };
--- a/crates/flaxtide-policy/src/rendezvous.rs
+++ b/crates/flaxtide-policy/src/rendezvous.rs
@@ -11,7 +11,8 @@
 /// ```
 #[must_use]
 pub fn rendezvous_owner(key: u64, members: &[impl AsRef<str>]) -> Option<usize> {
-    (0..members.len()).max_by_key(|index| (weight(key, members[*index].as_ref()), *index))
+    (0..members.len())
+        .max_by_key(|index| (named_weight(key, members[*index].as_ref()), *index))
 }
 
 /// Returns the indexes of the members in the order of their rank for `key`, the owner
@@ -23,7 +24,9 @@
 #[must_use]
 pub fn rendezvous_order(key: u64, members: &[impl AsRef<str>]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..members.len()).collect();
-    order.sort_by_key(|index| std::cmp::Reverse(weight(key, members[*index].as_ref())));
+    order.sort_by_key(|index| {
+        std::cmp::Reverse(named_weight(key, members[*index].as_ref()))
+    });
     order
 }
 
@@ -64,6 +67,6 @@
 }
 
 /// Returns the weight of a named member for a key.
-fn weight(key: u64, member: &str) -> u64 {
+fn named_weight(key: u64, member: &str) -> u64 {
     xxh3_64_with_seed(member.as_bytes(), key)
 }
--- a/crates/flaxtide-policy/src/router/call.rs
+++ b/crates/flaxtide-policy/src/router/call.rs
@@ -8,7 +8,7 @@
 
 /// How many prompt tokens take an engine as long to prefill as one output token takes to
 /// generate.
-const PROMPT_TOKENS_PER_TOKEN: f64 = 10.0;
+const PROMPT_TOKENS_PER_OUTPUT_TOKEN: f64 = 10.0;
 
 /// A part of a prompt that other requests may have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     /// The length of the whole prompt in tokens; 0 for a call that isn't for a model.
     pub tokens: u32,
     /// The maximum number of output tokens.
-    pub answer: u32,
+    pub max_output_tokens: u32,
     /// The parts in order. The last one is specific to the request or its session, the
     /// others may be shared with other requests.
     pub parts: Vec<PromptPart>,
@@ -48,7 +48,9 @@
     /// between organisations uses it.
     #[must_use]
     pub fn work(&self) -> f64 {
-        f64::from(self.tokens) / PROMPT_TOKENS_PER_TOKEN + f64::from(self.answer) + 1.0
+        f64::from(self.tokens) / PROMPT_TOKENS_PER_OUTPUT_TOKEN
+            + f64::from(self.max_output_tokens)
+            + 1.0
     }
 
     /// Returns whether prefilling the prompt noticeably delays other requests on the same
@@ -67,7 +69,7 @@
     /// Returns the last shared part. An engine that has cached it has also cached all
     /// parts before it.
     #[must_use]
-    pub fn shared_part(&self) -> Option<&PromptPart> {
+    pub fn last_shared_part(&self) -> Option<&PromptPart> {
         let shared = self.parts.len().checked_sub(2)?;
         self.parts.get(shared)
     }
@@ -175,7 +177,7 @@
         /// When the request was sent.
         since: Duration,
         /// When the first response data arrived, or `None` if none has.
-        answered_at: Option<Duration>,
+        first_data_at: Option<Duration>,
     },
 }
 
@@ -208,8 +210,8 @@
     /// Records that response data arrived. Returns whether it was the first.
     pub(crate) fn record_data(&mut self, now: Duration) -> bool {
         match &mut self.phase {
-            CallPhase::Running { answered_at: answered_at @ None, .. } => {
-                *answered_at = Some(now);
+            CallPhase::Running { first_data_at: first_data_at @ None, .. } => {
+                *first_data_at = Some(now);
                 true
             }
             _ => false,
@@ -220,15 +222,15 @@
     /// waiting.
     pub(crate) fn progress(&self) -> Option<CallProgress> {
         match self.phase {
-            CallPhase::Running { since, answered_at, .. } => {
-                Some(CallProgress { sent: since, begun: answered_at.is_some() })
+            CallPhase::Running { since, first_data_at, .. } => {
+                Some(CallProgress { sent: since, begun: first_data_at.is_some() })
             }
             CallPhase::Waiting => None,
         }
     }
 
     /// Returns whether any response data has arrived.
-    pub(crate) fn begun(&self) -> bool {
-        matches!(self.phase, CallPhase::Running { answered_at: Some(_), .. })
+    pub(crate) fn has_data(&self) -> bool {
+        matches!(self.phase, CallPhase::Running { first_data_at: Some(_), .. })
     }
 }
--- a/crates/flaxtide-policy/src/router/choose.rs
+++ b/crates/flaxtide-policy/src/router/choose.rs
@@ -8,7 +8,7 @@
 use super::RouteCore;
 use super::call::PromptShape;
 use super::health::OUTLIER_MARGIN;
-use super::lane::{LaneSplit, PromptLane, in_lane};
+use super::lane::{LaneDemand, PromptLane, in_lane};
 use super::server::ServerState;
 use crate::rendezvous::rendezvous_weight;
 
@@ -103,16 +103,17 @@
     ) -> Option<RouteChoice> {
         let call = self.calls.get(&request)?;
         let state = self.pools.get(&pool)?;
-        let active: Vec<&ServerState> = self.active_servers(pool);
-        let usable: Vec<&ServerState> = active
+        let in_service: Vec<&ServerState> = self.servers_in_service(pool);
+        let usable: Vec<&ServerState> = in_service
             .iter()
             .copied()
-            .filter(|server| !call.excluded.contains(&server.facts.server))
+            .filter(|server| !call.excluded.contains(&server.listing.server))
             .filter(|server| server.pushback.is_ready(now))
             .collect();
-        let lane = state.split.lane(call.details.prompt.tokens, &self.options, now);
+        let lane = state.lane_demand.lane(call.details.prompt.tokens, &self.options, now);
         let healthy = self.healthy_servers(&usable, now);
-        let preferred = self.lane_servers(&active, &healthy, &state.split, lane, now);
+        let preferred =
+            self.lane_servers(&in_service, &healthy, &state.lane_demand, lane, now);
         for group in [&preferred, &healthy] {
             let best = self.cheapest(group, &healthy, request, now);
             if let Some((best, reason)) = best {
@@ -128,13 +129,14 @@
 
     /// Returns the servers of a pool that aren't leaving, in an order that is the same on
     /// all instances.
-    pub(super) fn active_servers(&self, pool: PoolId) -> Vec<&ServerState> {
+    pub(super) fn servers_in_service(&self, pool: PoolId) -> Vec<&ServerState> {
         let Some(state) = self.pools.get(&pool) else { return vec![] };
         let servers = state.servers.values();
-        let mut active: Vec<&ServerState> =
-            servers.filter(|server| server.facts.in_service()).collect();
-        active.sort_by_key(|server| rendezvous_weight(LANE_SEED, server.facts.name_hash));
-        active
+        let mut in_service: Vec<&ServerState> =
+            servers.filter(|server| server.listing.in_service()).collect();
+        in_service
+            .sort_by_key(|server| rendezvous_weight(LANE_SEED, server.listing.name_hash));
+        in_service
     }
 
     /// Returns the servers that respond and whose failure rate isn't an outlier in their
@@ -144,53 +146,57 @@
         usable: &[&'a ServerState],
         now: Duration,
     ) -> Vec<&'a ServerState> {
-        let answering: Vec<&ServerState> = usable
+        let available: Vec<&ServerState> = usable
             .iter()
             .copied()
-            .filter(|server| self.is_answering(server, now))
+            .filter(|server| self.is_available(server, now))
             .collect();
         let mut failures: Vec<f64> =
-            answering.iter().map(|server| server.health.failure_rate()).collect();
+            available.iter().map(|server| server.health.failure_rate()).collect();
         failures.sort_by(f64::total_cmp);
         let median = failures.get(failures.len() / 2).copied().unwrap_or_default();
-        let inliers: Vec<&ServerState> = answering
+        let inliers: Vec<&ServerState> = available
             .iter()
             .copied()
             .filter(|server| server.health.failure_rate() <= median + OUTLIER_MARGIN)
             .collect();
         let least = usable.len() as f64 * (1.0 - self.options.ejected_part);
-        if (inliers.len() as f64) < least { answering } else { inliers }
+        if (inliers.len() as f64) < least { available } else { inliers }
     }
 
     /// Returns whether a server responds at all.
-    fn is_answering(&self, server: &ServerState, now: Duration) -> bool {
-        let expected =
-            Duration::from_secs_f64(self.backlog_ms(server, u8::MAX, now) / 1000.0);
+    fn is_available(&self, server: &ServerState, now: Duration) -> bool {
+        let expected = Duration::from_secs_f64(
+            self.pending_prefill_ms(server, u8::MAX, now) / 1000.0,
+        );
         let streams = server.load.has_streams(&self.calls);
         let waiting = server.load.waiting_since(&self.calls);
         server
             .health
-            .is_healthy(streams, waiting, expected, now, &self.options)
+            .is_available(streams, waiting, expected, now, &self.options)
     }
 
     /// Returns the healthy servers that belong to a lane.
     fn lane_servers<'a>(
         &self,
-        active: &[&'a ServerState],
+        in_service: &[&'a ServerState],
         healthy: &[&'a ServerState],
-        split: &LaneSplit,
+        lane_demand: &LaneDemand,
         lane: PromptLane,
         now: Duration,
     ) -> Vec<&'a ServerState> {
         if lane == PromptLane::Any {
             return healthy.to_vec();
         }
-        let count = active.len();
-        let part = self.long_part(split, active, now);
-        let indexed = active.iter().enumerate();
-        let members = indexed.filter(|(index, _)| in_lane(lane, *index, count, part));
+        let count = in_service.len();
+        let long_fraction = self.long_fraction(lane_demand, in_service, now);
+        let indexed = in_service.iter().enumerate();
+        let members =
+            indexed.filter(|(index, _)| in_lane(lane, *index, count, long_fraction));
         let is_member_healthy = |server: &ServerState| {
-            healthy.iter().any(|other| other.facts.server == server.facts.server)
+            healthy
+                .iter()
+                .any(|other| other.listing.server == server.listing.server)
         };
         members
             .map(|(_, server)| *server)
@@ -200,31 +206,32 @@
 
     /// Returns the fraction of the engines that long prompts may use: what the short
     /// prompts leave.
-    fn long_part(
+    fn long_fraction(
         &self,
-        split: &LaneSplit,
-        active: &[&ServerState],
+        lane_demand: &LaneDemand,
+        in_service: &[&ServerState],
         now: Duration,
     ) -> f64 {
         let short = |server: &&ServerState| server.load.short_running(&self.options, now);
-        let short: u32 = active.iter().map(short).sum();
-        let slots: u32 = active.iter().map(|server| server.facts.slots).sum();
+        let short: u32 = in_service.iter().map(short).sum();
+        let slots: u32 = in_service.iter().map(|server| server.listing.slots).sum();
         let short_capacity = f64::from(slots.max(1)) * self.options.short_fill;
         let left = 1.0 - f64::from(short) / short_capacity;
         // Other requests slow prefilling down, so the highest rate is closest to that of
         // an idle engine.
-        let rates = active.iter().map(|server| server.prefill_rate.tokens_per_ms(now));
+        let rates =
+            in_service.iter().map(|server| server.prefill_rate.tokens_per_ms(now));
         let fastest = rates.fold(0.0, f64::max);
-        let most = split.max_long_part(fastest, &self.options);
+        let most = lane_demand.max_long_part(fastest, &self.options);
         let usual = left.clamp(self.options.least_long_part.min(most), most);
-        usual.max(self.burst_part(active, short, slots, now))
+        usual.max(self.needed_long_fraction(in_service, short, slots, now))
     }
 
     /// Returns the fraction of the engines that the long prompts running now need,
     /// limited by what the short prompts can spare.
-    fn burst_part(
+    fn needed_long_fraction(
         &self,
-        active: &[&ServerState],
+        in_service: &[&ServerState],
         short: u32,
         slots: u32,
         now: Duration,
@@ -233,7 +240,7 @@
             return 0.0;
         }
         let running = |server: &&ServerState| server.load.running(&self.options, now);
-        let running: u32 = active.iter().map(running).sum();
+        let running: u32 = in_service.iter().map(running).sum();
         let slots = f64::from(slots.max(1));
         let needed = f64::from(running - short) / (slots * self.options.long_fill);
         let left = 1.0 - f64::from(short) / (slots * self.options.short_most_fill);
@@ -253,7 +260,7 @@
         let home_servers = home_servers(&details.prompt, servers);
         let fetch_source = self.fetch_source(&details.prompt, sources, now);
         let service_ms = self.service_ms(details.pool);
-        let refusal_cost_ms = self.refusal_cost_ms(details.pool, now);
+        let expected_refusal_ms = self.expected_refusal_ms(details.pool, now);
         let shared = details.prompt.shared_tokens();
         let own = details.prompt.tokens.saturating_sub(shared);
         let candidates =
@@ -278,16 +285,16 @@
                     // all instances send prompts with the same parts there.
                     let reread = match home_servers
                         .iter()
-                        .position(|home| *home == server.facts.server)
+                        .position(|home| *home == server.listing.server)
                     {
                         Some(0) => 0,
                         Some(_) => uncached.saturating_sub(own).min(shared / 2),
                         None => uncached.saturating_sub(own),
                     };
                     candidate.cost_ms += self.jitter_ms(server, request);
-                    if refusal_cost_ms > 0.0 {
+                    if expected_refusal_ms > 0.0 {
                         let uncertainty = server.health.uncertainty(now, &self.options);
-                        candidate.cost_ms += refusal_cost_ms * uncertainty;
+                        candidate.cost_ms += expected_refusal_ms * uncertainty;
                     }
                     let reread_ms =
                         f64::from(reread) / server.prefill_rate.tokens_per_ms(now);
@@ -296,7 +303,7 @@
                 });
         let best =
             candidates.min_by(|one, other| one.cost_ms.total_cmp(&other.cost_ms))?;
-        let reason = if home_servers.first() == Some(&best.server.facts.server) {
+        let reason = if home_servers.first() == Some(&best.server.listing.server) {
             RouteReason::Home
         } else if best.uncached < details.prompt.tokens {
             RouteReason::Cached
@@ -326,7 +333,7 @@
     ) -> Option<PartFetch> {
         let shared = prompt.shared_tokens();
         let cached = servers.iter().map(|server| PartFetch {
-            from: server.facts.server,
+            from: server.listing.server,
             tokens: self.cached_tokens(prompt, server, now).min(shared),
         });
         let most = cached.max_by_key(|fetch| fetch.tokens)?;
@@ -340,7 +347,7 @@
         cached: u32,
         fetch_source: Option<PartFetch>,
     ) -> Option<PartFetch> {
-        server.facts.engine?.fetch_tokens_per_ms?;
+        server.listing.engine?.fetch_tokens_per_ms?;
         let fetch_source = fetch_source?;
         let tokens = fetch_source.tokens.saturating_sub(cached);
         (tokens >= self.options.least_fetch)
@@ -361,26 +368,27 @@
         let running = f64::from(count);
         let mut cost_ms = 0.0;
         let mut tokens_ahead = 0.0;
-        if !server.facts.local {
+        if !server.listing.local {
             cost_ms += self.options.far_cost_ms;
         }
-        if server.facts.lapsed {
+        if server.listing.lapsed {
             cost_ms += LAPSED_COST_MS;
         }
-        let expected_ms = match server.facts.engine {
+        let expected_ms = match server.listing.engine {
             Some(_) => {
-                tokens_ahead = self.backlog(server, level, now) + f64::from(uncached);
+                tokens_ahead =
+                    self.pending_prefill(server, level, now) + f64::from(uncached);
                 cost_ms += running * self.options.running_cost_ms;
                 let fetch_ms = fetch_ms(server, fetch);
                 cost_ms += fetch_ms * (self.options.fetch_weight - 1.0);
-                let slots = f64::from(server.facts.slots.max(1));
+                let slots = f64::from(server.listing.slots.max(1));
                 let waiting = (running + 1.0 - slots).max(0.0);
                 let slot_ms =
                     waiting * service_ms / slots * self.options.slot_wait_weight;
                 tokens_ahead / server.prefill_rate.tokens_per_ms(now) + fetch_ms + slot_ms
             }
             None => {
-                let slots = f64::from(server.facts.slots.max(1));
+                let slots = f64::from(server.listing.slots.max(1));
                 PLAIN_CALL_GUESS_MS * (running + 1.0) / slots
             }
         };
@@ -404,20 +412,20 @@
 
     /// Returns the expected cost of being refused by a server of a pool that hasn't
     /// responded recently, in milliseconds.
-    fn refusal_cost_ms(&self, pool: PoolId, now: Duration) -> f64 {
+    fn expected_refusal_ms(&self, pool: PoolId, now: Duration) -> f64 {
         let probability = self.pools.get(&pool).map_or(0.0, |state| state.shed.get(now));
         probability * self.options.refused_cost_ms
     }
 
     /// Returns how long a server is busy prefilling other prompts before a new request of
     /// an urgency level, in milliseconds.
-    fn backlog_ms(&self, server: &ServerState, level: u8, now: Duration) -> f64 {
-        self.backlog(server, level, now) / server.prefill_rate.tokens_per_ms(now)
+    fn pending_prefill_ms(&self, server: &ServerState, level: u8, now: Duration) -> f64 {
+        self.pending_prefill(server, level, now) / server.prefill_rate.tokens_per_ms(now)
     }
 
     /// Returns the prompt tokens that a server prefills before a new request of an
     /// urgency level.
-    fn backlog(&self, server: &ServerState, level: u8, now: Duration) -> f64 {
+    fn pending_prefill(&self, server: &ServerState, level: u8, now: Duration) -> f64 {
         let rate = server.prefill_rate.tokens_per_ms(now);
         server
             .load
@@ -426,17 +434,17 @@
 
     /// Returns whether a server has room for one more request.
     fn has_room(&self, server: &ServerState, now: Duration) -> bool {
-        let most = f64::from(server.facts.slots) * self.options.fill;
+        let most = f64::from(server.listing.slots) * self.options.fill;
         f64::from(self.running(server, now)) < most.max(1.0)
     }
 
     /// Returns the random part of a plain server's cost for a request. Each instance
     /// draws its own.
     fn jitter_ms(&self, server: &ServerState, request: RequestId) -> f64 {
-        if server.facts.engine.is_some() {
+        if server.listing.engine.is_some() {
             return 0.0;
         }
-        let draw = rendezvous_weight(request ^ self.seed, server.facts.name_hash);
+        let draw = rendezvous_weight(request ^ self.seed, server.listing.name_hash);
         PLAIN_JITTER_MS * draw as f64 / u64::MAX as f64
     }
 
@@ -445,7 +453,7 @@
     /// of it arrives, and all instances that get the same reports would choose the same
     /// servers.
     fn running(&self, server: &ServerState, now: Duration) -> u32 {
-        match server.facts.engine {
+        match server.listing.engine {
             Some(_) => server.load.running(&self.options, now),
             None => server.load.own_running(),
         }
@@ -455,7 +463,7 @@
 /// Returns how long a server takes to fetch a prompt part, in milliseconds.
 fn fetch_ms(server: &ServerState, fetch: Option<PartFetch>) -> f64 {
     let Some(fetch) = fetch else { return 0.0 };
-    let rate = server.facts.engine.and_then(|engine| engine.fetch_tokens_per_ms);
+    let rate = server.listing.engine.and_then(|engine| engine.fetch_tokens_per_ms);
     rate.map_or(0.0, |rate| f64::from(fetch.tokens) / rate)
 }
 
@@ -465,11 +473,11 @@
 
 /// Returns the servers that prompts with the same shared parts are sent to first.
 fn home_servers(prompt: &PromptShape, servers: &[&ServerState]) -> Vec<ServerId> {
-    let Some(part) = prompt.shared_part() else { return vec![] };
+    let Some(part) = prompt.last_shared_part() else { return vec![] };
     let mut ranked: Vec<(u64, ServerId)> = servers
         .iter()
         .map(|server| {
-            (rendezvous_weight(part.key, server.facts.name_hash), server.facts.server)
+            (rendezvous_weight(part.key, server.listing.name_hash), server.listing.server)
         })
         .collect();
     ranked.sort_unstable_by(|one, other| other.cmp(one));
@@ -484,7 +492,7 @@
     eligible: usize,
 ) -> RouteChoice {
     RouteChoice {
-        server: candidate.server.facts.server,
+        server: candidate.server.listing.server,
         reason,
         cost_ms: candidate.cost_ms,
         expected: Duration::from_secs_f64(candidate.expected_ms / 1000.0),
--- a/crates/flaxtide-policy/src/router/health.rs
+++ b/crates/flaxtide-policy/src/router/health.rs
@@ -168,7 +168,7 @@
     /// its oldest unanswered request has been waiting, and `expected` how long that
     /// request may take. A server that is streaming sends data continuously; one that
     /// only prefills prompts may be silent for longer.
-    pub(crate) fn is_healthy(
+    pub(crate) fn is_available(
         &self,
         streaming: bool,
         waiting_since: Option<Duration>,
--- a/crates/flaxtide-policy/src/router/lane.rs
+++ b/crates/flaxtide-policy/src/router/lane.rs
@@ -10,7 +10,7 @@
 
 /// The recent demand for long and short prompts.
 #[derive(Debug, Default)]
-pub(crate) struct LaneSplit {
+pub(crate) struct LaneDemand {
     /// When a long prompt last arrived.
     long_seen: Option<Duration>,
     /// When a short prompt last arrived.
@@ -35,7 +35,7 @@
     Any,
 }
 
-impl LaneSplit {
+impl LaneDemand {
     /// Records a request that arrived.
     pub(crate) fn record_arrival(
         &mut self,
--- a/crates/flaxtide-policy/src/router/load.rs
+++ b/crates/flaxtide-policy/src/router/load.rs
@@ -80,7 +80,7 @@
     }
 
     /// Records that the server has prefilled a prompt and continues with the next.
-    pub(crate) fn record_prefill(&mut self, now: Duration) {
+    pub(crate) fn start_next_prefill(&mut self, now: Duration) {
         self.prefill_since = now;
     }
 
@@ -109,7 +109,7 @@
         calls: &'a HashMap<RequestId, RoutedCall>,
     ) -> impl Iterator<Item = &'a RoutedCall> {
         let own = self.own.iter().filter_map(|request| calls.get(request));
-        own.filter(|call| !call.begun())
+        own.filter(|call| !call.has_data())
     }
 
     /// Sets the load of a peer; `None` if the peer has no requests on this server.
@@ -133,7 +133,7 @@
     /// requests.
     pub(crate) fn has_streams(&self, calls: &HashMap<RequestId, RoutedCall>) -> bool {
         let mut own = self.own.iter().filter_map(|request| calls.get(request));
-        own.any(RoutedCall::begun)
+        own.any(RoutedCall::has_data)
     }
 
     /// Returns the number of requests on the server, including those of peers.
--- a/crates/flaxtide-policy/src/router/mod.rs
+++ b/crates/flaxtide-policy/src/router/mod.rs
@@ -39,7 +39,7 @@
 
 use self::budget::RetryWindow;
 use self::call::{CallPhase, RoutedCall};
-use self::lane::LaneSplit;
+use self::lane::LaneDemand;
 use self::prefill_log::PrefillLog;
 use self::pushback::own_rate_share;
 use self::server::ServerState;
@@ -114,7 +114,7 @@
     /// The probability that a server with unknown admission state refuses a request.
     shed: ShedProbability,
     /// How the servers are divided between long and short prompts.
-    split: LaneSplit,
+    lane_demand: LaneDemand,
     /// The mean time from dispatch to the end of the response, in seconds.
     service_time: crate::estimate::DecayedMean,
 }
@@ -188,7 +188,7 @@
         self.unlisted.keep(unlisted.map(|(id, server)| (id, server.pushback)));
         for server in servers {
             match state.servers.get_mut(&server.server) {
-                Some(known) => known.facts = server.clone(),
+                Some(known) => known.listing = server.clone(),
                 None => {
                     let mut new_server = ServerState::new(server.clone(), guess, now);
                     new_server.pushback = self.unlisted.take(server.server);
@@ -281,8 +281,8 @@
         let request = call.request;
         let state = self.pools.entry(pool).or_default();
         state.budget.record_arrival(now);
-        state.split.record_arrival(&call, &self.options, now);
-        if !state.servers.values().any(|server| server.facts.in_service()) {
+        state.lane_demand.record_arrival(&call, &self.options, now);
+        if !state.servers.values().any(|server| server.listing.in_service()) {
             let retry_after = self.options.no_server_retry;
             let reason = RefusalCause::NoServer;
             return vec![RouteAction::Refuse {
@@ -314,15 +314,15 @@
         let Some(server) = state.servers.get_mut(&id) else { return };
         server.health.record_activity(now);
         if first {
-            state.shed.record_answer(&server.health, &self.options, now);
+            state.shed.record_response(&server.health, &self.options, now);
             server.health.record_admission(since, now);
-            server.load.record_prefill(now);
+            server.load.start_next_prefill(now);
             let elapsed = now.saturating_sub(since + call.stalled_for);
             let elapsed = elapsed.as_secs_f64() * 1000.0;
             server
                 .prefill_rate
                 .record_first_token(call.tokens_ahead, elapsed, now);
-            server.record_prefill(&call.details.prompt, now);
+            server.record_cached_parts(&call.details.prompt, now);
             self.prefills.add(&call.details, id, &self.options, now);
         }
     }
@@ -344,8 +344,8 @@
             state.service_time.add(span.as_secs_f64());
             if let Some(server) = state.servers.get_mut(&server) {
                 server.load.end(request, call.details.prompt.is_long(&self.options));
-                if !call.begun() {
-                    state.shed.record_answer(&server.health, &self.options, now);
+                if !call.has_data() {
+                    state.shed.record_response(&server.health, &self.options, now);
                     server.health.record_admission(since, now);
                 }
                 server.health.record_success(now);
@@ -359,7 +359,7 @@
     /// caller left or the deadline passed.
     pub fn cancel(&mut self, request: RequestId, now: Duration) -> Vec<RouteAction> {
         let Some(call) = self.calls.remove(&request) else { return vec![] };
-        self.free(&call, now);
+        self.release(&call, now);
         self.take_actions()
     }
 
@@ -378,14 +378,14 @@
     pub fn health_changes(&mut self, now: Duration) -> Vec<HealthChange> {
         let mut changes = vec![];
         for pool in self.pools.keys().copied().collect::<Vec<PoolId>>() {
-            let active = self.active_servers(pool);
-            let healthy = self.healthy_servers(&active, now);
+            let in_service = self.servers_in_service(pool);
+            let healthy = self.healthy_servers(&in_service, now);
             let healthy: Vec<ServerId> =
-                healthy.iter().map(|server| server.facts.server).collect();
+                healthy.iter().map(|server| server.listing.server).collect();
             let Some(state) = self.pools.get_mut(&pool) else { continue };
             for (id, server) in &mut state.servers {
                 let is_healthy = healthy.contains(id);
-                if !server.facts.in_service() || server.reported_healthy == is_healthy {
+                if !server.listing.in_service() || server.reported_healthy == is_healthy {
                     continue;
                 }
                 server.reported_healthy = is_healthy;
@@ -415,7 +415,7 @@
     }
 
     /// Releases the slot or the queue entry of a request.
-    fn free(&mut self, call: &RoutedCall, now: Duration) {
+    fn release(&mut self, call: &RoutedCall, now: Duration) {
         let details = &call.details;
         let Some(state) = self.pools.get_mut(&details.pool) else { return };
         match call.phase {
@@ -443,7 +443,7 @@
     fn dispatch(&mut self, request: RequestId, choice: RouteChoice, now: Duration) {
         let Some(call) = self.calls.get_mut(&request) else { return };
         let server = choice.server;
-        call.phase = CallPhase::Running { server, since: now, answered_at: None };
+        call.phase = CallPhase::Running { server, since: now, first_data_at: None };
         call.sends += 1;
         call.stalled_for = Duration::ZERO;
         call.rate_counted = false;
--- a/crates/flaxtide-policy/src/router/prefill_log.rs
+++ b/crates/flaxtide-policy/src/router/prefill_log.rs
@@ -40,7 +40,7 @@
         options: &RouteOptions,
         now: Duration,
     ) {
-        let Some(part) = call.prompt.shared_part() else { return };
+        let Some(part) = call.prompt.last_shared_part() else { return };
         if call.prompt.shared_tokens() < options.least_fetch {
             return;
         }
--- a/crates/flaxtide-policy/src/router/pushback.rs
+++ b/crates/flaxtide-policy/src/router/pushback.rs
@@ -44,15 +44,15 @@
     /// Sets the instances that are alive. Must be called periodically: an increased share
     /// of a rate takes effect only after a delay.
     pub fn set_group(&mut self, group: Arc<InstanceGroup>, now: Duration) {
-        let known = self.group.as_ref() == Some(&group);
+        let unchanged = self.group.as_ref() == Some(&group);
         for server in self.pools.values_mut().flat_map(|pool| pool.servers.values_mut()) {
-            if known {
+            if unchanged {
                 server.pushback.tick(now);
                 continue;
             }
-            let facts = &server.facts;
+            let listing = &server.listing;
             let rate_share =
-                |rate| group.rate_share(facts.name_hash, facts.data_centre, rate);
+                |rate| group.rate_share(listing.name_hash, listing.data_centre, rate);
             server.pushback.update_share(rate_share, now);
         }
         self.group = Some(group);
@@ -69,7 +69,7 @@
     ) -> Option<StatementChange> {
         let group = self.group.as_deref();
         let server = find_server(&mut self.pools, server)?;
-        let rate_share = |rate| own_rate_share(group, &server.facts, rate);
+        let rate_share = |rate| own_rate_share(group, &server.listing, rate);
         let pushback = &mut server.pushback;
         let backoff = statement.backoff.map(|span| span.min(self.options.longest_rest));
         let new_backoff = backoff.filter(|span| pushback.back_off(*span, now));
@@ -95,7 +95,7 @@
     ) -> Option<ReportEffect> {
         let group = self.group.as_deref();
         let server = find_server(&mut self.pools, server)?;
-        let rate_share = |rate| own_rate_share(group, &server.facts, rate);
+        let rate_share = |rate| own_rate_share(group, &server.listing, rate);
         Some(server.pushback.apply_report(rate, rate_share, heard_at, now))
     }
 
@@ -133,7 +133,7 @@
         let Some(server) = pool.and_then(|pool| pool.servers.get_mut(&server)) else {
             return false;
         };
-        if !server.facts.in_service() || server.pushback.is_backing_off(now) {
+        if !server.listing.in_service() || server.pushback.is_backing_off(now) {
             return false;
         }
         let counted = call.rate_counted || server.pushback.rate().is_none();
@@ -147,8 +147,8 @@
         };
         let servers = state.servers.values();
         let usable = servers.filter(|server| {
-            let excluded = call.excluded.contains(&server.facts.server);
-            server.facts.in_service() && !excluded
+            let excluded = call.excluded.contains(&server.listing.server);
+            server.listing.in_service() && !excluded
         });
         let mut first = None;
         for server in usable {
@@ -219,8 +219,10 @@
 /// Returns this instance's share of a server's rate. It is 0 until membership is known.
 pub(super) fn own_rate_share(
     group: Option<&InstanceGroup>,
-    facts: &RoutedServer,
+    listing: &RoutedServer,
     rate: RequestRate,
 ) -> f64 {
-    group.map_or(0.0, |group| group.rate_share(facts.name_hash, facts.data_centre, rate))
+    group.map_or(0.0, |group| {
+        group.rate_share(listing.name_hash, listing.data_centre, rate)
+    })
 }
--- a/crates/flaxtide-policy/src/router/retry.rs
+++ b/crates/flaxtide-policy/src/router/retry.rs
@@ -55,10 +55,10 @@
         let CallPhase::Running { server, since, .. } = call.phase else { return false };
         let pool = self.pools.get(&call.details.pool);
         let server = pool.and_then(|pool| pool.servers.get(&server));
-        let Some(heard) = server.map(|server| server.health.last_heard()) else {
+        let Some(last_heard) = server.map(|server| server.health.last_heard()) else {
             return false;
         };
-        heard > since && now < heard + self.options.shortest_patience
+        last_heard > since && now < last_heard + self.options.shortest_patience
     }
 
     /// Records that a server failed a request, and decides whether the request is
@@ -84,7 +84,7 @@
         }
         let granted = std::mem::take(&mut call.retry_granted);
         let retry = granted || self.grant_retry(&call, fault, resumable, now);
-        self.free(&call, now);
+        self.release(&call, now);
         if !retry {
             return (RetryDecision::Stop, self.take_actions());
         }
@@ -110,7 +110,7 @@
     ) -> Vec<RouteAction> {
         let Some(call) = self.calls.remove(&request) else { return vec![] };
         self.record_fault(&call, fault, now);
-        self.free(&call, now);
+        self.release(&call, now);
         self.take_actions()
     }
 
@@ -158,10 +158,9 @@
     /// Returns whether there is a server that hasn't failed the request.
     fn has_alternative(&self, call: &RoutedCall) -> bool {
         let Some(state) = self.pools.get(&call.details.pool) else { return false };
-        state
-            .servers
-            .iter()
-            .any(|(id, server)| server.facts.in_service() && !call.excluded.contains(id))
+        state.servers.iter().any(|(id, server)| {
+            server.listing.in_service() && !call.excluded.contains(id)
+        })
     }
 
     /// Records a fault in the state of the server and its pool.
--- a/crates/flaxtide-policy/src/router/server.rs
+++ b/crates/flaxtide-policy/src/router/server.rs
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub(crate) struct ServerState {
     /// The server as listed by the platform.
-    pub(crate) facts: RoutedServer,
+    pub(crate) listing: RoutedServer,
     /// The requests on the server.
     pub(crate) load: LoadTracker,
     /// Its recent responses and faults.
@@ -77,9 +77,9 @@
 impl ServerState {
     /// Creates the state of a newly listed server. `guess` is its assumed prefill rate in
     /// tokens per millisecond.
-    pub(crate) fn new(facts: RoutedServer, guess: f64, now: Duration) -> Self {
+    pub(crate) fn new(listing: RoutedServer, guess: f64, now: Duration) -> Self {
         Self {
-            facts,
+            listing,
             load: LoadTracker::default(),
             health: ServerHealth::new(now),
             pushback: ServerPushback::default(),
@@ -90,12 +90,12 @@
     }
 
     /// Records that the server has prefilled a prompt.
-    pub(crate) fn record_prefill(&mut self, prompt: &PromptShape, now: Duration) {
+    pub(crate) fn record_cached_parts(&mut self, prompt: &PromptShape, now: Duration) {
         if self.parts.len() > MAX_KNOWN_PARTS {
             let mut times: Vec<Duration> = self.parts.values().copied().collect();
             times.sort_unstable();
             let middle = times[times.len() / 2];
-            self.parts.retain(|_, read| *read > middle);
+            self.parts.retain(|_, prefilled_at| *prefilled_at > middle);
         }
         for part in &prompt.parts {
             self.parts.insert(part.short_key(), now);
@@ -121,7 +121,7 @@
         let known = prompt.parts.iter().rposition(|part| {
             self.parts
                 .get(&part.short_key())
-                .is_some_and(|read| now < *read + life)
+                .is_some_and(|prefilled_at| now < *prefilled_at + life)
         });
         let Some(last) = known else { return 0 };
         let cached: u32 = prompt.parts[..=last].iter().map(|part| part.tokens).sum();
--- a/crates/flaxtide-policy/src/router/shed.rs
+++ b/crates/flaxtide-policy/src/router/shed.rs
@@ -19,7 +19,7 @@
     /// The probability at the time of the last outcome.
     probability: f64,
     /// When the last outcome was recorded.
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl ShedProbability {
@@ -29,7 +29,7 @@
     }
 
     /// Records that a server started to respond.
-    pub(crate) fn record_answer(
+    pub(crate) fn record_response(
         &mut self,
         health: &ServerHealth,
         options: &RouteOptions,
@@ -46,7 +46,7 @@
         let probability = self.get(now);
         self.probability =
             probability + (outcome - probability) * OUTCOME_WEIGHT * uncertainty;
-        self.at = now;
+        self.updated_at = now;
     }
 
     /// Returns the probability, from 0 to 1.
@@ -54,7 +54,7 @@
         if self.probability == 0.0 {
             return 0.0;
         }
-        let age = now.saturating_sub(self.at).as_secs_f64();
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
         self.probability * 0.5f64.powf(age / HALF_LIFE.as_secs_f64())
     }
 }
--- a/crates/flaxtide-policy/src/router/wait.rs
+++ b/crates/flaxtide-policy/src/router/wait.rs
@@ -27,7 +27,7 @@
         for request in requests {
             let retry_after = self.drain_time(pool);
             if let Some(call) = self.calls.remove(&request) {
-                self.free(&call, now);
+                self.release(&call, now);
             }
             let reason = RefusalCause::TooLate;
             let expected = None;
@@ -49,8 +49,8 @@
         let slots: u32 = state
             .servers
             .values()
-            .filter(|server| server.facts.in_service())
-            .map(|server| server.facts.slots)
+            .filter(|server| server.listing.in_service())
+            .map(|server| server.listing.slots)
             .sum();
         let span = state.service_time.get().unwrap_or(1.0);
         let seconds = span * state.queue.len() as f64 / f64::from(slots.max(1));
@@ -78,7 +78,7 @@
             if let Some(state) = self.pools.get_mut(&pool) {
                 state.queue.pop(&head, 1, now);
             }
-            if self.would_answer_late(request, &choice) {
+            if self.would_respond_late(request, &choice) {
                 self.refuse_early(request, choice.expected);
                 continue;
             }
@@ -87,7 +87,7 @@
     }
 
     /// Returns whether even the best server would respond too late.
-    fn would_answer_late(&self, request: RequestId, choice: &RouteChoice) -> bool {
+    fn would_respond_late(&self, request: RequestId, choice: &RouteChoice) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
         choice.expected > call.details.target.mul_f64(self.options.admit_factor)
     }
--- a/crates/flaxtide-policy/src/scaling/demand.rs
+++ b/crates/flaxtide-policy/src/scaling/demand.rs
@@ -34,7 +34,7 @@
     /// Returns the mean number of open requests within a span, but not from before the
     /// first request.
     pub(super) fn mean(&self, span: Duration, now: Duration) -> f64 {
-        let busy = self.busy_since().map_or(Duration::ZERO, |since| now - since);
+        let busy = self.first_demand_at().map_or(Duration::ZERO, |since| now - since);
         let (sum, count) = self
             .within(span.min(busy + MIN_MEAN_SPAN), now)
             .fold((0.0, 0u32), |(sum, count), open| (sum + f64::from(open), count + 1));
@@ -42,7 +42,7 @@
     }
 
     /// Returns when the first request was recorded, as far as samples are kept.
-    pub(super) fn busy_since(&self) -> Option<Duration> {
+    pub(super) fn first_demand_at(&self) -> Option<Duration> {
         self.samples.iter().find(|(_, open)| *open > 0).map(|(at, _)| *at)
     }
 
--- a/crates/flaxtide-policy/src/scaling/scaler.rs
+++ b/crates/flaxtide-policy/src/scaling/scaler.rs
@@ -181,7 +181,7 @@
         let recent = f64::from(self.demand.peak(options.spot_reduction_interval, now));
         let mut wanted =
             servers((mean * options.burst_margin).max(peak * options.peak_margin));
-        let since = self.demand.busy_since();
+        let since = self.demand.first_demand_at();
         if since.is_none_or(|since| now < since + options.learning_time) {
             let least = f64::from(initial) * options.startup_margin;
             wanted = wanted.max(least as u32);
@@ -246,17 +246,17 @@
             .sum();
         let data_centres = rules.prices.len().max(1) as u32;
         let per_data_centre =
-            |there: u32| goal.saturating_sub(there).div_ceil(data_centres);
+            |spot_servers: u32| goal.saturating_sub(spot_servers).div_ceil(data_centres);
         let regular_counts = names().map(|name| {
             let counts = counts_of(name);
             let most =
                 rules.max_servers.saturating_sub(counts.spot).max(rules.min_servers);
-            let (least, enough) =
+            let (min_needed, max_needed) =
                 (per_data_centre(expected.max(serving)), per_data_centre(serving));
             let state = self.orders.get(&(name.clone(), false));
             let ordered = state.and_then(|state| state.ordered);
             let current = ordered.map_or(counts.regular, |(count, _)| count);
-            let count = current.clamp(least, enough.max(least));
+            let count = current.clamp(min_needed, max_needed.max(min_needed));
             (name.clone(), count.clamp(rules.min_servers, most))
         });
         regular_counts.collect()
--- a/crates/flaxtide-policy/src/usage/ledger.rs
+++ b/crates/flaxtide-policy/src/usage/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{UsageCounts, UsageKey, WINDOWS_KEPT, WindowCounts, WindowNumber};
+use super::{OrganisationKey, UsageCounts, WINDOWS_KEPT, WindowCounts, WindowNumber};
 
 /// The requests that one instance has counted since its start, by window.
 ///
@@ -13,7 +13,7 @@
 /// let (changed, sequence) = ledger.unconfirmed(1);
 /// assert_eq!(changed[0].counts, [(7, 1)]);
 /// ledger.confirm(1, sequence);
-/// assert!(ledger.unconfirmed(1).0.is_empty(), "already acknowledged");
+/// assert!(ledger.unconfirmed(1).0.is_empty(), "already confirmed");
 /// assert_eq!(ledger.unconfirmed(2).0.len(), 1, "a new holder gets everything");
 /// ```
 #[derive(Debug, Clone, Default)]
@@ -24,7 +24,7 @@
     sequence: u64,
     /// The fencing token of the last holder that confirmed a report, and the sequence
     /// number up to which it did.
-    acknowledged: (u64, u64),
+    confirmed: (u64, u64),
 }
 
 /// The counts of one window.
@@ -38,7 +38,7 @@
 
 impl UsageLedger {
     /// Counts a request of an organisation that started to run in a window.
-    pub fn record(&mut self, organisation: UsageKey, window: WindowNumber) {
+    pub fn record(&mut self, organisation: OrganisationKey, window: WindowNumber) {
         self.sequence += 1;
         let known = self.windows.entry(window).or_default();
         *known.counts.entry(organisation).or_default() += 1;
@@ -58,7 +58,7 @@
     /// this fencing token confirmed, and the sequence number to confirm them with.
     #[must_use]
     pub fn unconfirmed(&self, fence: u64) -> (Vec<WindowCounts>, u64) {
-        let known = if self.acknowledged.0 == fence { self.acknowledged.1 } else { 0 };
+        let known = if self.confirmed.0 == fence { self.confirmed.1 } else { 0 };
         let changed = self.windows.iter().filter(|(_, window)| window.sequence > known);
         let changed = changed.map(|(number, window)| WindowCounts {
             window: *number,
@@ -69,10 +69,10 @@
 
     /// Records that a holder has received all windows up to a sequence number.
     pub fn confirm(&mut self, fence: u64, sequence: u64) {
-        if self.acknowledged.0 == fence {
-            self.acknowledged.1 = self.acknowledged.1.max(sequence);
-        } else if fence > self.acknowledged.0 {
-            self.acknowledged = (fence, sequence);
+        if self.confirmed.0 == fence {
+            self.confirmed.1 = self.confirmed.1.max(sequence);
+        } else if fence > self.confirmed.0 {
+            self.confirmed = (fence, sequence);
         }
     }
 }
--- a/crates/flaxtide-policy/src/usage/mod.rs
+++ b/crates/flaxtide-policy/src/usage/mod.rs
@@ -21,10 +21,10 @@
 pub type WindowNumber = u64;
 
 /// A hash of an organisation's name.
-pub type UsageKey = u32;
+pub type OrganisationKey = u32;
 
 /// The number of requests that started to run, by organisation.
-pub type UsageCounts = BTreeMap<UsageKey, u32>;
+pub type UsageCounts = BTreeMap<OrganisationKey, u32>;
 
 /// The number of windows for which counts are kept after their end.
 pub(crate) const WINDOWS_KEPT: u64 = 8;
@@ -35,7 +35,7 @@
     /// The window.
     pub window: WindowNumber,
     /// The number of requests that started to run in the window, by organisation.
-    pub counts: Vec<(UsageKey, u32)>,
+    pub counts: Vec<(OrganisationKey, u32)>,
 }
 
 /// Returns the window that contains a moment, which is given as the time since the Unix
--- a/crates/flaxtide-policy/src/usage/tally.rs
+++ b/crates/flaxtide-policy/src/usage/tally.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UsageSource {
     /// A hash of the instance's name.
-    pub name: u32,
+    pub name_hash: u32,
     /// A random number drawn when the instance starts.
     pub epoch: u32,
 }
@@ -81,8 +81,8 @@
         now: Duration,
     ) {
         // This start replaces any earlier one of the same instance.
-        let name = source.name;
-        let ended = self.sources.iter_mut().filter(|(other, _)| other.name == name);
+        let name = source.name_hash;
+        let ended = self.sources.iter_mut().filter(|(other, _)| other.name_hash == name);
         ended.for_each(|(_, record)| record.leaving = true);
         let record = self.sources.entry(source).or_insert_with(|| SourceRecord {
             data_centre,
@@ -129,7 +129,7 @@
             let previous = previous.and_then(|previous| record.windows.get(&previous));
             add_counts(&mut total, reported, previous);
         }
-        self.add_inherited(&mut total.counts, window);
+        self.raise_to_inherited(&mut total.counts, window);
         total
     }
 
@@ -161,12 +161,12 @@
         for record in self.sources.values() {
             add_counts(&mut total, record.windows.get(&window), None);
         }
-        self.add_inherited(&mut total.counts, window);
+        self.raise_to_inherited(&mut total.counts, window);
         total.counts
     }
 
     /// Raises counts to those that had been reported to the previous holder.
-    fn add_inherited(&self, counts: &mut UsageCounts, window: WindowNumber) {
+    fn raise_to_inherited(&self, counts: &mut UsageCounts, window: WindowNumber) {
         for (organisation, count) in self.inherited.get(&window).into_iter().flatten() {
             let known = counts.entry(*organisation).or_default();
             *known = (*known).max(*count);
--- a/crates/flaxtide-policy/tests/common/mod.rs
+++ b/crates/flaxtide-policy/tests/common/mod.rs
@@ -54,7 +54,7 @@
         organisation: 1,
         tier: 1,
         level: 1,
-        prompt: PromptShape { tokens, answer: 100, parts: vec![] },
+        prompt: PromptShape { tokens, max_output_tokens: 100, parts: vec![] },
         target: ms(500),
         give_up: ms(1_000_000),
         deadline: ms(1_000_000),
--- a/crates/flaxtide-policy/tests/router.rs
+++ b/crates/flaxtide-policy/tests/router.rs
@@ -55,9 +55,9 @@
     for (fault, repeatable, expected) in cases {
         let mut core = core_with(3);
         let first = server_of(&core.arrive(call(1, 100, repeatable), ms(0)));
-        let (verdict, actions) = core.fail(1, fault, false, ms(10));
-        assert_eq!(verdict, expected, "{fault:?}, repeatable: {repeatable}");
-        if verdict == RetryDecision::Retry {
+        let (decision, actions) = core.fail(1, fault, false, ms(10));
+        assert_eq!(decision, expected, "{fault:?}, repeatable: {repeatable}");
+        if decision == RetryDecision::Retry {
             assert_ne!(server_of(&actions), first, "{fault:?}");
             assert!(server_of(&actions).is_some());
         }
@@ -376,8 +376,8 @@
                         let known = tracked.get_mut(&request).unwrap();
                         known.running = false;
                         known.may_have_run += u32::from(!fault.not_run());
-                        let (verdict, actions) = core.fail(request, fault, false, now);
-                        known.finished = verdict == RetryDecision::Stop;
+                        let (decision, actions) = core.fail(request, fault, false, now);
+                        known.finished = decision == RetryDecision::Stop;
                         actions
                     }
                     None => vec![],
@@ -433,12 +433,15 @@
     assert_eq!(core.health_changes(ms(0)), []);
     let server = server_of(&core.arrive(call(1, 100, true), ms(0))).unwrap();
     core.fail(1, RouteFault::Unreachable, false, ms(10));
-    let notes = core.health_changes(ms(20));
-    assert_eq!((notes.len(), notes[0].server, notes[0].healthy), (1, server, false));
+    let changes = core.health_changes(ms(20));
+    assert_eq!(
+        (changes.len(), changes[0].server, changes[0].healthy),
+        (1, server, false)
+    );
     assert_eq!(core.health_changes(ms(30)), []);
     core.cancel(1, ms(40));
-    let notes = core.health_changes(ms(5000));
-    assert_eq!((notes.len(), notes[0].server, notes[0].healthy), (1, server, true));
+    let changes = core.health_changes(ms(5000));
+    assert_eq!((changes.len(), changes[0].server, changes[0].healthy), (1, server, true));
 }
 
 #[test]
--- a/crates/flaxtide-policy/tests/router_silence.rs
+++ b/crates/flaxtide-policy/tests/router_silence.rs
@@ -17,8 +17,8 @@
     let mut core = core_with(2);
     let first = server_of(&core.arrive(call(1, 100, true), ms(0)));
     assert!(core.may_abort_silent(1, false, ms(3000)));
-    let (verdict, actions) = core.fail(1, RouteFault::Silent, false, ms(3000));
-    assert_eq!(verdict, RetryDecision::Retry);
+    let (decision, actions) = core.fail(1, RouteFault::Silent, false, ms(3000));
+    assert_eq!(decision, RetryDecision::Retry);
     assert_ne!(server_of(&actions), first);
 }
 
@@ -118,8 +118,8 @@
     let route_call = call(1, 100, false);
     core.arrive(route_call, ms(0));
     for _ in 0..3 {
-        let (verdict, _) = core.fail(1, RouteFault::Unreachable, false, ms(1));
-        assert_eq!(verdict, RetryDecision::Retry);
+        let (decision, _) = core.fail(1, RouteFault::Unreachable, false, ms(1));
+        assert_eq!(decision, RetryDecision::Retry);
     }
     assert_eq!(
         core.fail(1, RouteFault::Unreachable, false, ms(1)).0,
--- a/crates/flaxtide-policy/tests/usage.rs
+++ b/crates/flaxtide-policy/tests/usage.rs
@@ -20,7 +20,7 @@
 type Report = (usize, Duration, Vec<WindowCounts>);
 
 fn source(index: usize) -> UsageSource {
-    UsageSource { name: index as u32, epoch: 1 }
+    UsageSource { name_hash: index as u32, epoch: 1 }
 }
 
 fn record(tally: &mut UsageTally, (index, at, windows): Report) {
@@ -103,7 +103,7 @@
     let counts = |count| vec![WindowCounts { window, counts: vec![(1, count)] }];
     let mut tally = UsageTally::default();
     record(&mut tally, (0, START, counts(40)));
-    let again = UsageSource { name: 0, epoch: 2 };
+    let again = UsageSource { name_hash: 0, epoch: 2 };
     let end = window_end(window, WINDOW);
     tally.record_report(again, 7, end, false, counts(5), end);
     assert_eq!(tally.total(window, WINDOW, end).counts[&1], 45);
