--- a/crates/flaxtide-policy/src/options.rs
+++ b/crates/flaxtide-policy/src/options.rs
@@ -1,4 +1,5 @@
-//! The options of the decision core.
+//! The options of [`DecisionCore`](crate::DecisionCore). Those of
+//! [`RouteCore`](crate::RouteCore) are [`RouteOptions`](crate::RouteOptions).
 
 use std::time::Duration;
 
@@ -39,9 +40,9 @@
     /// The age at which a load report has half of its initial weight.
     pub report_half_life: Duration,
     /// The fraction of a server's idle slots, as last reported, that one instance may use
-    /// while it has no valid share.
+    /// while it has no valid share of the server's slots.
     pub idle_part: f64,
-    /// The fraction of the predicted waiting time that admission counts on.
+    /// Admission multiplies the predicted waiting time by this.
     pub admission_trust: f64,
 }
 
--- a/crates/flaxtide-policy/src/rendezvous.rs
+++ b/crates/flaxtide-policy/src/rendezvous.rs
@@ -61,12 +61,12 @@
     keys.iter().map(|key| owner_of(*key)).collect()
 }
 
-/// Returns the weight of a member that is identified by a number for a key.
+/// Returns the weight for `key` of a member that is identified by a number.
 pub(crate) fn rendezvous_weight(key: u64, member: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), key)
 }
 
-/// Returns the weight of a named member for a key.
+/// Returns the weight for `key` of a member that is identified by its name.
 fn named_weight(key: u64, member: &str) -> u64 {
     xxh3_64_with_seed(member.as_bytes(), key)
 }
--- a/crates/flaxtide-policy/src/router/budget.rs
+++ b/crates/flaxtide-policy/src/router/budget.rs
@@ -5,8 +5,8 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The length of a window. The allowance is for this span, so a platform that uses
-/// another window must scale its allowance.
+/// The length of a window. `RouteOptions::retry_slack` is for this span, so a platform
+/// whose limit uses another window must scale it.
 const WINDOW: Duration = Duration::from_secs(10);
 
 /// The number of steps that a window is divided into for counting.
@@ -36,7 +36,9 @@
         self.current(now).arrived += 1;
     }
 
-    /// Charges the budget for a retry. Returns `false` if the budget is exhausted.
+    /// Charges the budget for a retry. `ratio` is the number of retries per arrival,
+    /// `slack` the number that is allowed in addition. Returns `false` if the budget is
+    /// exhausted.
     pub(crate) fn try_spend(&mut self, ratio: f64, slack: f64, now: Duration) -> bool {
         self.current(now);
         let arrived: u32 = self.steps.iter().map(|step| step.arrived).sum();
--- a/crates/flaxtide-policy/src/router/call.rs
+++ b/crates/flaxtide-policy/src/router/call.rs
@@ -19,12 +19,12 @@
     pub tokens: u32,
 }
 
-/// The 32-bit form of [`PromptPart::key`] that is kept in memory and sent to other
+/// The 32-bit form of [`PromptPart::key`], which is kept in memory and sent to other
 /// instances.
 pub type PartKey = u32;
 
 impl PromptPart {
-    /// Returns the 32-bit form of the key.
+    /// Returns the key folded to 32 bits.
     #[must_use]
     pub fn short_key(&self) -> PartKey {
         (self.key ^ (self.key >> 32)) as PartKey
--- a/crates/flaxtide-policy/src/router/choose.rs
+++ b/crates/flaxtide-policy/src/router/choose.rs
@@ -12,8 +12,8 @@
 use super::server::ServerState;
 use crate::rendezvous::rendezvous_weight;
 
-/// The additional cost of a server that is missing from the current server list, in
-/// milliseconds.
+/// The additional cost of a server that the newest list lacks, in milliseconds. It is
+/// high enough that such a server is chosen only if the others are heavily loaded.
 const LAPSED_COST_MS: f64 = 500.0;
 
 /// The assumed time of a call to a plain server, in milliseconds.
@@ -22,8 +22,8 @@
 /// The range of the random cost that spreads calls over plain servers, in milliseconds.
 /// It exceeds the default cost of a server in another data centre, so that a data centre
 /// with few servers isn't overloaded. Without the jitter, 295 instances that rank nine
-/// servers alike overload the first few: at 85 % of the servers' capacity, .80 of the
-/// calls met their deadline instead of .98 (`flaxtide-lab`).
+/// servers alike overload the first few: at 85 % of the servers' capacity, 80 % of the
+/// calls met their deadline instead of 98 % (`flaxtide-lab`).
 const PLAIN_JITTER_MS: f64 = 4.0;
 
 /// The hash key of the order in which engines are assigned to long prompts.
@@ -46,7 +46,7 @@
     pub fetch: Option<PartFetch>,
     /// The number of requests known to be running on the server.
     pub running: u32,
-    /// The number of servers that the choice was made from.
+    /// The number of servers that were considered, including those without room.
     pub eligible: usize,
     /// An estimate of the prompt tokens that are prefilled before the first output token.
     pub tokens_ahead: f64,
@@ -65,7 +65,7 @@
 /// The reason why a server was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteReason {
-    /// The server has a part of the prompt cached.
+    /// The server has a part of the prompt cached or fetches one from another engine.
     Cached,
     /// Rendezvous hashing ranks the server first for the shared part of the prompt.
     Home,
@@ -94,7 +94,7 @@
 }
 
 impl RouteCore {
-    /// Chooses a server for a request, or returns `None` if no server has room.
+    /// Chooses a server for a request, or returns `None` if no server can take it now.
     pub(super) fn choose(
         &self,
         pool: PoolId,
@@ -139,8 +139,9 @@
         in_service
     }
 
-    /// Returns the servers that respond and whose failure rate isn't an outlier in their
-    /// pool. Outliers are kept if too few servers would remain without them.
+    /// Returns the servers that are neither paused nor silent and whose failure rate
+    /// isn't an outlier in their pool. Outliers are kept if too few servers would remain
+    /// without them.
     pub(super) fn healthy_servers<'a>(
         &self,
         usable: &[&'a ServerState],
@@ -164,8 +165,9 @@
         if (inliers.len() as f64) < least { available } else { inliers }
     }
 
-    /// Returns whether a server responds at all.
+    /// Returns whether a server is neither paused nor silent.
     fn is_available(&self, server: &ServerState, now: Duration) -> bool {
+        // The level `u8::MAX` includes the prompts of all urgency levels.
         let expected = Duration::from_secs_f64(
             self.pending_prefill_ms(server, u8::MAX, now) / 1000.0,
         );
@@ -280,9 +282,10 @@
                         service_ms,
                         now,
                     );
-                    // Prefilling shared parts again costs extra on any server but the
-                    // first home server, and at most half as much on the second, so that
-                    // all instances send prompts with the same parts there.
+                    // Shared tokens that are prefilled again cost extra, so that all
+                    // instances send prompts with the same parts to the same servers. On
+                    // the first home server none count, on the second at most half of the
+                    // shared tokens, on any other server all.
                     let reread = match home_servers
                         .iter()
                         .position(|home| *home == server.listing.server)
@@ -380,6 +383,7 @@
                     self.pending_prefill(server, level, now) + f64::from(uncached);
                 cost_ms += running * self.options.running_cost_ms;
                 let fetch_ms = fetch_ms(server, fetch);
+                // `expected_ms` contains the fetch time once.
                 cost_ms += fetch_ms * (self.options.fetch_weight - 1.0);
                 let slots = f64::from(server.listing.slots.max(1));
                 let waiting = (running + 1.0 - slots).max(0.0);
@@ -410,8 +414,8 @@
         span.unwrap_or_default() * 1000.0
     }
 
-    /// Returns the expected cost of being refused by a server of a pool that hasn't
-    /// responded recently, in milliseconds.
+    /// Returns the expected cost of sending a request to a server that hasn't responded
+    /// recently and may refuse it, in milliseconds.
     fn expected_refusal_ms(&self, pool: PoolId, now: Duration) -> f64 {
         let probability = self.pools.get(&pool).map_or(0.0, |state| state.shed.get(now));
         probability * self.options.refused_cost_ms
--- a/crates/flaxtide-policy/src/router/health.rs
+++ b/crates/flaxtide-policy/src/router/health.rs
@@ -18,7 +18,8 @@
 pub(crate) struct ServerHealth {
     /// The server gets no requests until this time.
     paused_until: Duration,
-    /// The length of the last pause; the next one is twice as long.
+    /// The length of the last pause. It is doubled with each further pause up to
+    /// `longest_pause`, and reset by a complete response.
     pause: Duration,
     /// When anything was last received from the server.
     last_heard: Duration,
@@ -145,8 +146,8 @@
     }
 
     /// Returns how uncertain it is that the server accepts requests: 0 if it has just
-    /// started to respond to one, 1 if it has refused one since or hasn't responded to
-    /// any.
+    /// started to respond to one, approaching 1 as that response gets older, and 1 if it
+    /// has refused a request since or hasn't responded to any.
     pub(crate) fn uncertainty(&self, now: Duration, options: &RouteOptions) -> f64 {
         let Some(admitted_at) = self.admitted_at else { return 1.0 };
         let age = now.saturating_sub(admitted_at).as_secs_f64();
@@ -164,10 +165,10 @@
     }
 
     /// Returns whether the server may get requests, judged by its recent responses.
-    /// `streaming` tells whether responses are being streamed from it, `waiting_since` since when
-    /// its oldest unanswered request has been waiting, and `expected` how long that
-    /// request may take. A server that is streaming sends data continuously; one that
-    /// only prefills prompts may be silent for longer.
+    /// `streaming` tells whether responses are being streamed from it, `waiting_since`
+    /// since when its oldest unanswered request has been waiting, and `expected` how long
+    /// that request may take. A server that is streaming sends data continuously; one
+    /// that only prefills prompts may be silent for longer.
     pub(crate) fn is_available(
         &self,
         streaming: bool,
--- a/crates/flaxtide-policy/src/router/load.rs
+++ b/crates/flaxtide-policy/src/router/load.rs
@@ -42,7 +42,7 @@
     usize::from(level).min(URGENCY_LEVELS - 1)
 }
 
-/// The load of a peer on a server.
+/// The load of a peer on a server; the same form as this instance's own.
 pub type PeerLoad = ServerLoad;
 
 /// A hash of a peer's name.
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Records that the server has prefilled a prompt and continues with the next.
+    /// Records that the server has prefilled a prompt, and restarts the clock for the
+    /// next.
     pub(crate) fn start_next_prefill(&mut self, now: Duration) {
         self.prefill_since = now;
     }
@@ -173,8 +174,8 @@
             ages += age.as_secs_f64() * 1000.0;
             count += 1.0;
         }
-        // Since the reports the server has continued to prefill, at one rate for all
-        // peers together.
+        // The server has continued to prefill since the reports. This subtracts what it
+        // prefills in their mean age; the rate is that of the whole server, not per peer.
         let prefilled = ages / count.max(1.0) * rate;
         let own = self.own_pending_prefill(calls, rate, now);
         own[..=level_index(level)].iter().sum::<f64>() + (reported - prefilled).max(0.0)
@@ -219,19 +220,19 @@
         now: Duration,
     ) -> [f64; URGENCY_LEVELS] {
         // An engine prefills prompts roughly one after the other, in the order of
-        // requests.
+        // arrival.
         let mut pending = [0.0; URGENCY_LEVELS];
         let mut waiting: Vec<&RoutedCall> = self.unanswered(calls).collect();
-        // The most urgent class comes first; the stable sort keeps the order of requests
-        // within it.
+        // The most urgent class comes first. The sort is stable, so requests of a class
+        // stay in the order of their identifiers.
         waiting.sort_by_key(|call| call.details.level);
         let elapsed = now.saturating_sub(self.prefill_since).as_secs_f64() * 1000.0;
         let mut prefilled = elapsed * tokens_per_ms;
         for call in waiting {
             let tokens = f64::from(call.uncached);
             pending[level_index(call.details.level)] += (tokens - prefilled).max(0.0);
-            // Only the first prompt can have been started: its end would have been
-            // recorded.
+            // All elapsed time belongs to the first prompt: once it is prefilled,
+            // `start_next_prefill` restarts the clock.
             prefilled = 0.0;
         }
         pending
--- a/crates/flaxtide-policy/src/router/mod.rs
+++ b/crates/flaxtide-policy/src/router/mod.rs
@@ -1,5 +1,5 @@
 //! The router: chooses the backend server for each request and decides when a request is
-//! retried.
+//! retried. A call is a request as the router tracks it, from its arrival to its end.
 //!
 //! A [`RouteCore`] receives requests and their outcomes, each with a timestamp, and
 //! returns [`RouteAction`]s. It performs no I/O, so recorded traffic can be replayed.
@@ -68,7 +68,7 @@
     Refuse {
         /// The request to refuse.
         request: RequestId,
-        /// The cause that is reported to the caller.
+        /// The reason that is reported to the caller.
         reason: RefusalCause,
         /// The time after which the caller should try again.
         retry_after: Duration,
@@ -90,7 +90,7 @@
     pub heard_ago: Duration,
 }
 
-/// The cause of a refusal.
+/// The reason why the router refuses a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalCause {
     /// No server of the pool can be used.
@@ -108,12 +108,13 @@
     queue: PoolQueue,
     /// Requests that wait to be retried on another server.
     retries: Vec<RequestId>,
-    /// Arrivals and retries of the current window, which the retry budget is computed
-    /// from.
+    /// The arrivals and retries in the sliding window; they determine how many more
+    /// retries are allowed.
     budget: RetryWindow,
-    /// The probability that a server with unknown admission state refuses a request.
+    /// The probability that a server which hasn't responded to this instance recently
+    /// refuses a request.
     shed: ShedProbability,
-    /// How the servers are divided between long and short prompts.
+    /// The recent demand for long and short prompts.
     lane_demand: LaneDemand,
     /// The mean time from dispatch to the end of the response, in seconds.
     service_time: crate::estimate::DecayedMean,
@@ -142,7 +143,7 @@
     instances: u32,
     /// The instances that are alive, or `None` until membership is known.
     group: Option<Arc<InstanceGroup>>,
-    /// The pushback state of servers that are not listed at the moment.
+    /// The pushback state of servers that [`RouteCore::set_servers`] has removed.
     unlisted: UnlistedPushback,
     /// The shared prompt parts that servers recently prefilled for this instance.
     prefills: PrefillLog,
@@ -203,9 +204,9 @@
         self.take_actions()
     }
 
-    /// Records how many instances are alive. The retry budget is divided by the largest
-    /// number seen, so that after a network partition the two sides together can't exceed
-    /// it.
+    /// Records how many instances are alive, for the retry budget. It is divided by the
+    /// largest number seen, so that after a network partition the two sides together
+    /// can't exceed it.
     pub fn set_instances(&mut self, live: u32) {
         self.instances = self.instances.max(live);
     }
@@ -414,7 +415,8 @@
         self.calls.len()
     }
 
-    /// Releases the slot or the queue entry of a request.
+    /// Releases the slot or the queue entry of a request, and dispatches waiting requests
+    /// to the freed slot.
     fn release(&mut self, call: &RoutedCall, now: Duration) {
         let details = &call.details;
         let Some(state) = self.pools.get_mut(&details.pool) else { return };
--- a/crates/flaxtide-policy/src/router/options.rs
+++ b/crates/flaxtide-policy/src/router/options.rs
@@ -76,7 +76,8 @@
     pub least_time: Duration,
     /// The retries that each request adds to the budget, for all instances together.
     pub retry_ratio: f64,
-    /// The retries per window that are allowed in addition, for all instances together.
+    /// The retries per window of 10 s that are allowed in addition, for all instances
+    /// together.
     pub retry_slack: f64,
     /// The fraction of the budget that is used, so that it also holds for windows that
     /// are aligned differently.
@@ -88,8 +89,8 @@
     /// instances share the budget: twice the longest heartbeat period.
     #[serde(deserialize_with = "deserialize_span")]
     pub settling: Duration,
-    /// The maximum of the additional retries per window during that time, for this
-    /// instance alone.
+    /// The maximum of this instance's share of `retry_slack` per window during
+    /// `settling`.
     pub settling_slack: f64,
     /// A server may be silent for this many times the expected time to the first token.
     pub patience_factor: f64,
@@ -107,8 +108,8 @@
     /// nothing from the server for this long.
     #[serde(deserialize_with = "deserialize_span")]
     pub rumour_silence: Duration,
-    /// A server that is not streaming gets no more requests after a silence of this
-    /// length plus twice the time that its prompts take to prefill.
+    /// A server with unanswered requests that isn't streaming gets no more requests after
+    /// a silence of this length plus twice the time that its prompts take to prefill.
     #[serde(deserialize_with = "deserialize_span")]
     pub long_silence: Duration,
     /// How long a server gets no requests after a first fault by silence or a failed
@@ -122,17 +123,17 @@
     /// accepts requests.
     #[serde(deserialize_with = "deserialize_span")]
     pub admitted_half_life: Duration,
-    /// The cost of being refused by a server, in milliseconds. It stands for the retry,
-    /// which the budget may lack later.
+    /// The cost of being refused by a server, in milliseconds. The refusal uses up a
+    /// retry, which the budget may lack for a later fault.
     pub refused_cost_ms: f64,
-    /// How long a full server gets no requests if it doesn't state a time.
+    /// How long a full server gets no requests at least; it may ask for a longer backoff.
     #[serde(deserialize_with = "deserialize_span")]
     pub full_pause: Duration,
     /// The longest backoff that a server may ask for.
     #[serde(deserialize_with = "deserialize_span")]
     pub longest_rest: Duration,
-    /// Servers with an outlying failure rate are excluded only while at most this fraction
-    /// of their pool is excluded.
+    /// Servers with an outlying failure rate are excluded only while at most this
+    /// fraction of their pool is excluded.
     pub ejected_part: f64,
     /// The retry-after time for callers when no server is available.
     #[serde(deserialize_with = "deserialize_span")]
--- a/crates/flaxtide-policy/src/router/prefill_log.rs
+++ b/crates/flaxtide-policy/src/router/prefill_log.rs
@@ -8,11 +8,11 @@
 use super::call::{PartKey, RouteCall};
 use super::options::RouteOptions;
 
-/// The maximum number of records; one instance sends fewer long prompts than this in the
-/// time for which records are kept.
+/// The maximum number of records; one instance sends fewer prompts with shared parts
+/// worth fetching than this in the time for which records are kept.
 const MAX_RECORDS: usize = 128;
 
-/// Records that a server prefilled a shared prompt part.
+/// A record that a server prefilled a shared prompt part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PrefillRecord {
     /// The server that prefilled the part.
--- a/crates/flaxtide-policy/src/router/prefill_rate.rs
+++ b/crates/flaxtide-policy/src/router/prefill_rate.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Records that a first token arrived `elapsed_ms` after its request was sent. `tokens`
-    /// were prefilled before it, including the request's own.
+    /// Records that a first token arrived `elapsed_ms` after its request was sent.
+    /// `tokens` were prefilled before it, including the request's own.
     pub(crate) fn record_first_token(
         &mut self,
         tokens: f64,
--- a/crates/flaxtide-policy/src/router/pushback.rs
+++ b/crates/flaxtide-policy/src/router/pushback.rs
@@ -16,7 +16,7 @@
 /// callers that wait for the same server from returning at once.
 const RETRY_AFTER_JITTER: f64 = 0.25;
 
-/// What changed by a server's statement.
+/// What a server's statement changed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StatementChange {
     /// The rate that the server accepts from all instances together, or `None` if it
@@ -31,7 +31,7 @@
     pub new_backoff: Option<Duration>,
 }
 
-/// The number of servers that limit their requests.
+/// The numbers of servers that limit the rate or ask for a backoff.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PushbackCount {
     /// Servers that state a rate.
@@ -41,8 +41,9 @@
 }
 
 impl RouteCore {
-    /// Sets the instances that are alive. Must be called periodically: an increased share
-    /// of a rate takes effect only after a delay.
+    /// Sets the instances that are alive, for the shares of rates. Must be called
+    /// periodically: a larger share takes effect after a delay, which is checked in this
+    /// call.
     pub fn set_group(&mut self, group: Arc<InstanceGroup>, now: Duration) {
         let unchanged = self.group.as_ref() == Some(&group);
         for server in self.pools.values_mut().flat_map(|pool| pool.servers.values_mut()) {
@@ -140,7 +141,7 @@
         counted || server.pushback.take(now)
     }
 
-    /// Returns when the first server accepts a request.
+    /// Returns when the first server that hasn't failed the request accepts one.
     fn next_ready(&self, call: &RoutedCall, now: Duration) -> NextReady {
         let Some(state) = self.pools.get(&call.details.pool) else {
             return NextReady::Now;
@@ -212,7 +213,7 @@
     Now,
     /// The first server accepts requests at this time.
     At(Duration),
-    /// The time isn't known.
+    /// No time is known, or no server is left.
     Unknown,
 }
 
--- a/crates/flaxtide-policy/src/router/retry.rs
+++ b/crates/flaxtide-policy/src/router/retry.rs
@@ -20,8 +20,8 @@
 impl RouteCore {
     /// Returns whether a request on a silent server may be aborted there. This is so only
     /// if a retry is granted, which is charged to the budget: without one the request
-    /// would be lost, although the server may still respond. If this returns `true`,
-    /// [`RouteCore::fail`] must be called next.
+    /// would be lost, although the server may still respond. `resumable` is as in
+    /// [`RouteCore::fail`], which must be called next if this returns `true`.
     pub fn may_abort_silent(
         &mut self,
         request: RequestId,
@@ -174,7 +174,8 @@
         }
     }
 
-    /// Dispatches the requests that wait to be retried.
+    /// Dispatches the requests that wait to be retried, and refuses those that no server
+    /// accepts in time.
     pub(super) fn dispatch_retries(&mut self, pool: PoolId, now: Duration) {
         let Some(state) = self.pools.get_mut(&pool) else { return };
         for request in std::mem::take(&mut state.retries) {
--- a/crates/flaxtide-policy/src/router/server.rs
+++ b/crates/flaxtide-policy/src/router/server.rs
@@ -11,7 +11,8 @@
 use super::prefill_rate::PrefillRate;
 use crate::pushback::{DataCentreKey, ServerPushback};
 
-/// The maximum number of prompt parts that are remembered for one server.
+/// About the maximum number of prompt parts that are remembered for one server. Beyond
+/// it, the older half is dropped.
 const MAX_KNOWN_PARTS: usize = 512;
 
 /// A backend server as listed by the platform.
@@ -31,8 +32,8 @@
     pub local: bool,
     /// Whether the server is leaving and gets no new requests.
     pub leaving: bool,
-    /// Whether the server is missing from the current list without having been reported
-    /// as leaving.
+    /// Whether the server is still kept although the newest list lacks it and it hasn't
+    /// been reported as leaving.
     pub lapsed: bool,
 }
 
--- a/crates/flaxtide-policy/src/router/shed.rs
+++ b/crates/flaxtide-policy/src/router/shed.rs
@@ -1,4 +1,5 @@
-//! An estimate of how likely the servers of a pool are to shed load.
+//! An estimate of how likely the servers of a pool are to shed load, that is, to refuse
+//! requests (`RouteFault::Full`).
 
 use std::time::Duration;
 
--- a/crates/flaxtide-policy/src/scaling/demand.rs
+++ b/crates/flaxtide-policy/src/scaling/demand.rs
@@ -31,8 +31,8 @@
         self.within(span, now).max().unwrap_or_default()
     }
 
-    /// Returns the mean number of open requests within a span, but not from before the
-    /// first request.
+    /// Returns the mean number of open requests within a span. The span is shortened to
+    /// begin at about the first recorded request, but not below [`MIN_MEAN_SPAN`].
     pub(super) fn mean(&self, span: Duration, now: Duration) -> f64 {
         let busy = self.first_demand_at().map_or(Duration::ZERO, |since| now - since);
         let (sum, count) = self
@@ -41,7 +41,7 @@
         sum / f64::from(count.max(1))
     }
 
-    /// Returns when the first request was recorded, as far as samples are kept.
+    /// Returns the time of the oldest kept sample with open requests.
     pub(super) fn first_demand_at(&self) -> Option<Duration> {
         self.samples.iter().find(|(_, open)| *open > 0).map(|(at, _)| *at)
     }
--- a/crates/flaxtide-policy/src/scaling/scaler.rs
+++ b/crates/flaxtide-policy/src/scaling/scaler.rs
@@ -15,14 +15,14 @@
 /// The parameters of the scaler.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScalerOptions {
-    /// How many times the mean demand the servers can take. Bursts come without notice,
+    /// The wanted capacity as a multiple of the mean demand. Bursts come without notice,
     /// and requests can't wait until a server has booted.
     pub burst_margin: f64,
-    /// How many times the recent peak demand the servers can take, so that the peak can
-    /// still be served when half of the servers are reclaimed.
+    /// The wanted capacity as a multiple of the peak demand, so that the peak can still
+    /// be served when half of the servers are reclaimed.
     pub peak_margin: f64,
-    /// How many times the current demand must be covered by servers that already serve.
-    /// Regular servers are ordered to reach this.
+    /// The capacity that must already be serving, as a multiple of the recent peak
+    /// demand. Regular servers are ordered to reach it.
     pub need_margin: f64,
     /// The span of the mean demand.
     pub mean_span: Duration,
@@ -32,13 +32,16 @@
     /// How long the initial servers are kept after the first request.
     pub learning_time: Duration,
     /// How long the initial number of servers must have stayed the same before regular
-    /// servers are ordered. The server list may be incomplete at first, and an order for
-    /// the servers listed so far would release the others.
+    /// servers are ordered, or spot servers if some are running initially. The server
+    /// list may be incomplete at first, and an order for the servers listed so far would
+    /// release the others.
     pub settling_time: Duration,
     /// How many times the initial number of servers are kept as spot servers during the
     /// learning time.
     pub startup_margin: f64,
-    /// The minimum time between two orders that reduce the number of spot servers.
+    /// The minimum time between two orders that reduce the number of spot servers. It is
+    /// also the span of the recent peak demand that must be covered by servers already
+    /// serving.
     pub spot_reduction_interval: Duration,
     /// The minimum time between two orders that reduce the number of regular servers.
     pub regular_reduction_interval: Duration,
--- a/crates/flaxtide-policy/src/usage/mod.rs
+++ b/crates/flaxtide-policy/src/usage/mod.rs
@@ -20,7 +20,7 @@
 /// start.
 pub type WindowNumber = u64;
 
-/// A hash of an organisation's name.
+/// A hash of an organisation's name, under which its requests are counted.
 pub type OrganisationKey = u32;
 
 /// The number of requests that started to run, by organisation.
--- a/crates/flaxtide-policy/src/usage/tally.rs
+++ b/crates/flaxtide-policy/src/usage/tally.rs
@@ -8,7 +8,7 @@
 /// An instance that hasn't reported for this long is assumed to have ended.
 const SOURCE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Identifies one start of an instance.
+/// Identifies one incarnation of an instance: the time from a start to its end.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UsageSource {
     /// A hash of the instance's name.
@@ -20,15 +20,15 @@
 /// The usage that all instances have reported.
 #[derive(Debug, Clone, Default)]
 pub struct UsageTally {
-    /// The reports by instance and start.
+    /// The reports by instance and incarnation.
     sources: BTreeMap<UsageSource, SourceRecord>,
     /// The counts that had been reported to the previous holder.
     inherited: BTreeMap<WindowNumber, UsageCounts>,
-    /// The first window that isn't closed.
+    /// The first window that isn't closed. Reports of closed windows are ignored.
     open_from: WindowNumber,
 }
 
-/// The usage that one start of an instance has reported.
+/// The usage that one incarnation of an instance has reported.
 #[derive(Debug, Clone)]
 struct SourceRecord {
     /// A hash of the name of its data centre.
@@ -37,7 +37,7 @@
     last_heard: Duration,
     /// The time since the Unix epoch up to which its reports are complete.
     complete_until: Duration,
-    /// Whether the instance is stopping or has been replaced by a later start.
+    /// Whether the instance is stopping or another incarnation of it has reported since.
     leaving: bool,
     /// Its counts by window.
     windows: BTreeMap<WindowNumber, UsageCounts>,
@@ -80,7 +80,7 @@
         windows: Vec<WindowCounts>,
         now: Duration,
     ) {
-        // This start replaces any earlier one of the same instance.
+        // A report marks all other incarnations of the instance as ended.
         let name = source.name_hash;
         let ended = self.sources.iter_mut().filter(|(other, _)| other.name_hash == name);
         ended.for_each(|(_, record)| record.leaving = true);
@@ -173,7 +173,8 @@
         }
     }
 
-    /// Closes all windows up to and including `window` and drops their counts.
+    /// Closes all windows up to and including `window` and drops their counts, except
+    /// those of the last one.
     pub fn close(&mut self, window: WindowNumber, now: Duration) {
         self.open_from = self.open_from.max(window + 1);
         let open_from = self.open_from;
--- a/crates/flaxtide-policy/tests/router.rs
+++ b/crates/flaxtide-policy/tests/router.rs
@@ -99,7 +99,8 @@
     let options = RouteOptions { retry_slack: 208.0, ..RouteOptions::default() };
     let (mut requests, mut retries) = (0, 0);
     for _ in 0..INSTANCES {
-        // No peer has been heard yet.
+        // No peer has been heard yet, so each instance assumes that 8 share the budget.
+        // If it used an eighth of the allowance, 84 together would exceed it.
         let mut core = RouteCore::new(options.clone());
         let servers: Vec<RoutedServer> = (0..3).map(engine).collect();
         core.set_servers(POOL, &servers, ms(0));
@@ -244,6 +245,7 @@
 #[test]
 fn waiting_requests_are_dispatched_in_the_order_of_tiers() {
     let mut core = core_with(1);
+    // Eight slots, times the option `fill` of 1.5.
     let room = 12;
     for request in 0..room {
         assert!(server_of(&core.arrive(call(request, 100, true), ms(0))).is_some());
@@ -457,6 +459,7 @@
     let mut core = core_with(1);
     let mut now = ms(0);
     for request in 0..10 {
+        // Once a low rate has been measured, the later prompts may be refused.
         assert!(
             server_of(&core.arrive(call(request, 12_000, false), now)).is_some()
                 || request > 0
--- a/crates/flaxtide-policy/tests/scaling.rs
+++ b/crates/flaxtide-policy/tests/scaling.rs
@@ -129,6 +129,7 @@
     simulation.run(40, 240);
     let (regular, spot) = simulation.serving();
     let burst = f64::from(240 / SLOTS) * ScalerOptions::default().burst_margin;
+    // The excess allows for the regular minimum and for rounding in four data centres.
     let least = burst.ceil() as u32;
     assert!((least..=least + 8).contains(&(regular + spot)), "{regular}, {spot}");
     simulation.run(20, 900);
@@ -200,6 +201,8 @@
 
 #[test]
 fn a_new_holder_releases_nothing_while_the_list_arrives() {
+    // The scaler starts anew and sees the list in parts: an order for the 10 servers
+    // listed first would release the other 40.
     let mut simulation = Simulation::new(1);
     for counts in simulation.server_counts.values_mut() {
         counts.spot = 10;
--- a/crates/flaxtide-policy/tests/usage.rs
+++ b/crates/flaxtide-policy/tests/usage.rs
@@ -45,9 +45,10 @@
             *truth.entry(window).or_default().entry(organisation).or_default() += 1;
             let (changed, sequence) = ledgers[index].unconfirmed(1);
             match outcomes[number % outcomes.len()] {
-                // Either the report or its confirmation is lost, so the instance reports
-                // everything again.
+                // The report arrives but its confirmation is lost, so the instance
+                // reports everything again.
                 0 | 1 => reports.push((index, at, changed)),
+                // The report is lost.
                 2 => {}
                 _ => {
                     ledgers[index].confirm(1, sequence);
@@ -144,6 +145,7 @@
         record(&mut tally, (0, at, vec![WindowCounts { window, counts: vec![(1, 1)] }]));
         tally.expire(window, at);
     }
+    // Eight windows are kept besides the current one.
     assert!(ledger.unconfirmed(1).0.len() <= 9);
     assert!(tally.drafts().len() <= 9);
 }
