--- a/crates/flaxtide-entry/src/state.rs
+++ b/crates/flaxtide-entry/src/state.rs
@@ -312,7 +312,7 @@
                     data_centre: fleet_key(&entry.data_centre),
                     local: entry.data_centre == home,
                     leaving: entry.leaving,
-                    lapsed: listed.lapsed(),
+                    row_missing: listed.lapsed(),
                 }
             });
             let servers: Vec<RoutedServer> = servers.collect();
--- a/crates/flaxtide-lab/src/burst.rs
+++ b/crates/flaxtide-lab/src/burst.rs
@@ -160,7 +160,7 @@
             data_centre: 0,
             local: true,
             leaving: false,
-            lapsed: false,
+            row_missing: false,
         };
         let servers: Vec<RoutedServer> = (0..pattern.engines).map(server).collect();
         core.set_servers(POOL, &servers, Duration::ZERO);
--- a/crates/flaxtide-lab/src/world.rs
+++ b/crates/flaxtide-lab/src/world.rs
@@ -371,7 +371,7 @@
         data_centre: 0,
         local: true,
         leaving: false,
-        lapsed: false,
+        row_missing: false,
     }
 }
 
--- a/crates/flaxtide-lab/tests/common/mod.rs
+++ b/crates/flaxtide-lab/tests/common/mod.rs
@@ -43,6 +43,6 @@
         data_centre,
         local,
         leaving: false,
-        lapsed: false,
+        row_missing: false,
     }
 }
--- a/crates/flaxtide-policy/benches/gate.rs
+++ b/crates/flaxtide-policy/benches/gate.rs
@@ -33,7 +33,7 @@
         data_centre: 0,
         local: true,
         leaving: false,
-        lapsed: false,
+        row_missing: false,
     };
     let servers: Vec<RoutedServer> = (0..engines).map(engine).collect();
     core.set_servers(1, &servers, Duration::ZERO);
--- a/crates/flaxtide-policy/src/router/choose.rs
+++ b/crates/flaxtide-policy/src/router/choose.rs
@@ -12,9 +12,10 @@
 use super::server::ServerState;
 use crate::rendezvous::rendezvous_weight;
 
-/// The additional cost of a server that the newest list lacks, in milliseconds. It is
-/// high enough that such a server is chosen only if the others are heavily loaded.
-const LAPSED_COST_MS: f64 = 500.0;
+/// The additional cost of a server whose row is missing from the newest list, in
+/// milliseconds. It is high enough that such a server is chosen only if the others are
+/// heavily loaded.
+const ROW_MISSING_COST_MS: f64 = 500.0;
 
 /// The assumed time of a call to a plain server, in milliseconds.
 const PLAIN_CALL_GUESS_MS: f64 = 60.0;
@@ -374,8 +375,8 @@
         if !server.listing.local {
             cost_ms += self.options.far_cost_ms;
         }
-        if server.listing.lapsed {
-            cost_ms += LAPSED_COST_MS;
+        if server.listing.row_missing {
+            cost_ms += ROW_MISSING_COST_MS;
         }
         let expected_ms = match server.listing.engine {
             Some(_) => {
--- a/crates/flaxtide-policy/src/router/server.rs
+++ b/crates/flaxtide-policy/src/router/server.rs
@@ -32,9 +32,9 @@
     pub local: bool,
     /// Whether the server is leaving and gets no new requests.
     pub leaving: bool,
-    /// Whether the server is still kept although the newest list lacks it and it hasn't
-    /// been reported as leaving.
-    pub lapsed: bool,
+    /// Whether the server is still kept although its row is missing from the newest list
+    /// and it hasn't been reported as leaving.
+    pub row_missing: bool,
 }
 
 impl RoutedServer {
--- a/crates/flaxtide-policy/tests/common/mod.rs
+++ b/crates/flaxtide-policy/tests/common/mod.rs
@@ -28,7 +28,7 @@
         data_centre: 0,
         local: true,
         leaving: false,
-        lapsed: false,
+        row_missing: false,
     }
 }
 
--- a/crates/flaxtide-policy/tests/scaling.rs
+++ b/crates/flaxtide-policy/tests/scaling.rs
@@ -145,6 +145,7 @@
     simulation.reclaim("b");
     simulation.run(8, 600);
     let (regular, spot) = simulation.serving();
+    // The option `need_margin` is 1.25.
     assert!((regular + spot) * SLOTS >= 600 * 5 / 4, "{regular} and {spot}");
     simulation.without_spot.clear();
     simulation.run(30, 600);
@@ -225,7 +226,7 @@
 }
 
 #[test]
-fn an_order_without_an_answer_is_repeated() {
+fn an_order_without_an_answer_is_repeated_whatever_is_serving() {
     let mut simulation = Simulation::new(28);
     simulation.run(12, 0);
     let order = ServerOrder { data_centre: "a".into(), spot: true, count: 5 };
