--- a/crates/flaxtide-lab/src/burst.rs
+++ b/crates/flaxtide-lab/src/burst.rs
@@ -160,7 +160,7 @@
             data_centre: 0,
             local: true,
             leaving: false,
-            lapsed: false,
+            row_missing: false,
         };
         let servers: Vec<RoutedServer> = (0..pattern.engines).map(server).collect();
         core.set_servers(POOL, &servers, Duration::ZERO);
@@ -228,7 +228,7 @@
             level: u8::from(long),
             prompt: PromptShape {
                 tokens: shape.prompt,
-                answer: shape.answer,
+                max_output_tokens: shape.answer,
                 parts: vec![],
             },
             target: shape.target,
--- a/crates/flaxtide-policy/src/router/mod.rs
+++ b/crates/flaxtide-policy/src/router/mod.rs
@@ -1,7 +1,8 @@
-//! The router: which backend server gets a request, and when one is tried again.
+//! The router: chooses the backend server for each request and decides when a request is
+//! retried. A call is a request as the router tracks it, from its arrival to its end.
 //!
-//! A [`RouteCore`] is told what comes in and what becomes of it, each with the time, and
-//! returns [`RouteAction`]s. It does no input or output, so a day can be replayed.
+//! A [`RouteCore`] receives requests and their outcomes, each with a timestamp, and
+//! returns [`RouteAction`]s. It performs no I/O, so recorded traffic can be replayed.
 
 mod budget;
 mod call;
@@ -10,13 +11,13 @@
 mod lane;
 mod load;
 mod options;
-mod pace;
+mod prefill_log;
+mod prefill_rate;
 mod pushback;
-mod read;
 mod retry;
 mod server;
 mod shed;
-mod standstill;
+mod stall;
 mod wait;
 
 use std::collections::{BTreeMap, HashMap};
@@ -31,93 +32,95 @@
 pub use self::choose::{PartFetch, RouteChoice, RouteReason};
 pub use self::load::{LevelTokens, PeerKey, PeerLoad, ServerLoad, URGENCY_LEVELS};
 pub use self::options::RouteOptions;
+pub use self::prefill_log::PrefillRecord;
 pub use self::pushback::{PushbackCount, StatementChange};
-pub use self::read::PrefillRecord;
 pub use self::retry::RetryDecision;
 pub use self::server::{EngineShape, RoutedServer};
 
 use self::budget::RetryWindow;
-use self::call::{CallPlace, RoutedCall};
-use self::lane::LaneSplit;
-use self::pushback::own_part;
-use self::read::ReadLog;
+use self::call::{CallPhase, RoutedCall};
+use self::lane::LaneDemand;
+use self::prefill_log::PrefillLog;
+use self::pushback::own_rate_share;
 use self::server::ServerState;
-use self::shed::ShedOdds;
+use self::shed::ShedProbability;
 use crate::pushback::{InstanceGroup, UnlistedPushback};
 use crate::queue::{PoolQueue, QueueEntry};
 
-/// A request that waits for a server is refused after this part of its target: the rest is
-/// left for its caller's next try.
+/// A request may wait for a server for its target time divided by this number and is then
+/// refused. The rest of the target is left for the caller's next attempt.
 pub const QUEUE_WAIT_DIVISOR: u32 = 2;
 
-/// Something to be done about a request.
+/// An action that the caller of [`RouteCore`] must carry out for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RouteAction {
-    /// Send it to a server.
+    /// Send the request to a server.
     Dispatch {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// Which server, and why.
+        /// The chosen server and the reason for the choice.
         choice: RouteChoice,
-        /// How long the server may be silent before the request goes elsewhere; without
-        /// it, the request stays.
+        /// How long the server may send nothing before the request is retried elsewhere.
+        /// `None` if the request can't be retried.
         silence_timeout: Option<Duration>,
     },
-    /// Refuse it: it hasn't run.
+    /// Refuse the request, which hasn't run anywhere.
     Refuse {
-        /// The request.
+        /// The request to refuse.
         request: RequestId,
-        /// Why.
+        /// The reason that is reported to the caller.
         reason: RefusalCause,
-        /// When to come back.
+        /// The time after which the caller should try again.
         retry_after: Duration,
-        /// When its first token was expected from the best server, if there was one.
+        /// The expected time to the first token at the best server, if there was one.
         expected: Option<Duration>,
     },
 }
 
-/// What the router has come to believe of a server.
+/// A change in whether a server is considered healthy.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HealthChange {
-    /// The server.
+    /// The server whose health changed.
     pub server: ServerId,
-    /// Whether it gets work.
+    /// Whether the server gets requests from now on.
     pub healthy: bool,
-    /// The decayed part of its requests that failed.
+    /// The decayed fraction of its requests that failed, from 0 to 1.
     pub failure_rate: f64,
-    /// How long ago anything came from it.
+    /// The time since anything was last received from the server.
     pub heard_ago: Duration,
 }
 
-/// Why a request is refused.
+/// The reason why the router refuses a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalCause {
     /// No server of the pool can be used.
     NoServer,
-    /// It would be too late for its caller.
+    /// The response would come too late for the caller.
     TooLate,
 }
 
-/// A pool of servers.
+/// The state of one pool of servers.
 #[derive(Debug, Default)]
 struct RoutePool {
-    /// The servers, by their identifiers.
+    /// The servers by identifier.
     servers: BTreeMap<ServerId, ServerState>,
-    /// The requests that wait for a server.
+    /// New requests that wait for a server.
     queue: PoolQueue,
-    /// The requests that wait for another try.
+    /// Requests that wait to be retried on another server.
     retries: Vec<RequestId>,
-    /// What may be spent on further tries.
+    /// The arrivals and retries in the sliding window; they determine how many more
+    /// retries are allowed.
     budget: RetryWindow,
-    /// How likely servers that haven't answered lately turn requests away.
-    shed: ShedOdds,
-    /// How the servers are shared between long and short prompts.
-    split: LaneSplit,
-    /// The mean time from dispatch to the end of an answer, in seconds.
-    span: crate::estimate::DecayedMean,
+    /// The probability that a server which hasn't responded to this instance recently
+    /// refuses a request.
+    shed: ShedProbability,
+    /// The recent demand for long and short prompts.
+    lane_demand: LaneDemand,
+    /// The mean time from dispatch to the end of the response, in seconds.
+    service_time: crate::estimate::DecayedMean,
 }
 
-/// Decides about the requests of one entry instance.
+/// Routes the requests of one entry instance.
 ///
 /// ```
 /// use std::time::Duration;
@@ -127,28 +130,29 @@
 /// ```
 #[derive(Debug)]
 pub struct RouteCore {
-    /// The tunable constants.
+    /// The tunable parameters.
     options: RouteOptions,
-    /// Tells this instance's draws from those of others.
+    /// Seeds the pseudo-random draws of this instance; differs between instances.
     seed: u64,
-    /// The pools.
+    /// The pools by identifier.
     pools: BTreeMap<PoolId, RoutePool>,
-    /// The requests that wait or run.
+    /// All requests that are waiting or running.
     calls: HashMap<RequestId, RoutedCall>,
-    /// How many instances share the retry budget; the most that were seen alive.
+    /// How many instances share the retry budget: the largest number that was seen alive
+    /// at once.
     instances: u32,
-    /// The instances that are seen alive, once that is known.
+    /// The instances that are alive, or `None` until membership is known.
     group: Option<Arc<InstanceGroup>>,
-    /// What servers have said that aren't listed now.
+    /// The pushback state of servers that [`RouteCore::set_servers`] has removed.
     unlisted: UnlistedPushback,
-    /// The shared parts that servers have read lately for this instance.
-    reads: ReadLog,
-    /// What has been decided in the current event.
+    /// The shared prompt parts that servers recently prefilled for this instance.
+    prefills: PrefillLog,
+    /// The actions decided while the current event is handled.
     actions: Vec<RouteAction>,
 }
 
 impl RouteCore {
-    /// Starts a core that knows no server.
+    /// Creates a core that knows no servers.
     #[must_use]
     pub fn new(options: RouteOptions) -> Self {
         let instances = options.assumed_instances;
@@ -160,18 +164,18 @@
             instances,
             group: None,
             unlisted: UnlistedPushback::default(),
-            reads: ReadLog::default(),
+            prefills: PrefillLog::default(),
             actions: vec![],
         }
     }
 
-    /// Sets what tells this instance's draws from those of others. Instances that draw alike
-    /// send their calls to the same servers.
+    /// Sets the seed of this instance's pseudo-random draws. Instances with the same seed
+    /// would prefer the same servers.
     pub fn set_seed(&mut self, seed: u64) {
         self.seed = seed;
     }
 
-    /// Sets the servers of a pool. Servers that stay keep what is known of them.
+    /// Replaces the servers of a pool. Servers that remain keep their recorded state.
     pub fn set_servers(
         &mut self,
         pool: PoolId,
@@ -185,90 +189,101 @@
         self.unlisted.keep(unlisted.map(|(id, server)| (id, server.pushback)));
         for server in servers {
             match state.servers.get_mut(&server.server) {
-                Some(known) => known.facts = server.clone(),
+                Some(known) => known.listing = server.clone(),
                 None => {
-                    let mut fresh = ServerState::new(server.clone(), guess, now);
-                    fresh.pushback = self.unlisted.take(server.server);
-                    let part = |rate| own_part(self.group.as_deref(), server, rate);
-                    fresh.pushback.update_share(part, now);
-                    state.servers.insert(server.server, fresh);
+                    let mut new_server = ServerState::new(server.clone(), guess, now);
+                    new_server.pushback = self.unlisted.take(server.server);
+                    let rate_share =
+                        |rate| own_rate_share(self.group.as_deref(), server, rate);
+                    new_server.pushback.update_share(rate_share, now);
+                    state.servers.insert(server.server, new_server);
                 }
             }
         }
-        self.pump(pool, now);
+        self.dispatch_queued(pool, now);
         self.take_actions()
     }
 
-    /// Takes in how many instances are alive. The retry budget is divided by the most
-    /// that were seen, so that a cut never lets both sides spend all of it.
+    /// Records how many instances are alive, for the retry budget. It is divided by the
+    /// largest number seen, so that after a network partition the two sides together
+    /// can't exceed it.
     pub fn set_instances(&mut self, live: u32) {
         self.instances = self.instances.max(live);
     }
 
-    /// Takes in what a peer has at servers: all of it.
+    /// Replaces everything that is known of a peer's load on the servers.
     pub fn set_peer_loads(&mut self, peer: PeerKey, loads: &[PeerLoad], now: Duration) {
         for pool in self.pools.values_mut() {
             for (id, server) in &mut pool.servers {
                 let load = loads.iter().find(|load| load.server == *id);
-                server.load.hear_peer(peer, load.copied(), now);
+                server.load.set_peer(peer, load.copied(), now);
             }
         }
     }
 
-    /// Takes in what a peer saw servers read.
-    pub fn record_peer_prefills(&mut self, reads: &[(ServerId, PartKey)], now: Duration) {
-        for (server, part) in reads {
+    /// Records which shared prompt parts servers prefilled for a peer.
+    pub fn record_peer_prefills(
+        &mut self,
+        prefills: &[(ServerId, PartKey)],
+        now: Duration,
+    ) {
+        for (server, part) in prefills {
             if let Some(server) = find_server(&mut self.pools, *server) {
-                server.hear_read(*part, now);
+                server.record_peer_prefill(*part, now);
             }
         }
     }
 
-    /// Returns the shared parts that servers have read lately for this instance.
+    /// Returns the shared prompt parts that servers recently prefilled for this instance.
     pub fn recent_prefills(&mut self, now: Duration) -> Vec<PrefillRecord> {
-        self.reads.recent(&self.options, now)
+        self.prefills.recent(&self.options, now)
     }
 
-    /// Takes in that a peer has found servers silent.
+    /// Records that a peer reported servers as silent.
     pub fn record_silence_reports(&mut self, servers: &[ServerId], now: Duration) {
         for pool in self.pools.values_mut() {
             for server in servers {
                 if let Some(server) = pool.servers.get_mut(server) {
-                    server.health.hear_rumour(now, &self.options);
+                    server.health.record_silence_report(now, &self.options);
                 }
             }
         }
     }
 
-    /// Returns which servers this instance has found silent lately.
+    /// Returns the servers that this instance recently found silent.
     #[must_use]
     pub fn silent_servers(&self, now: Duration) -> Vec<ServerId> {
         let servers = self.pools.values().flat_map(|pool| &pool.servers);
         let silent = servers.filter(|(_, server)| {
-            let streams = server.load.streams(&self.calls);
-            server.health.is_doubted(streams, now, &self.options)
+            let streams = server.load.has_streams(&self.calls);
+            server.health.was_silent(streams, now, &self.options)
         });
         silent.map(|(id, _)| *id).collect()
     }
 
-    /// Returns what this instance has at servers.
+    /// Returns the load of this instance on each server where it has requests.
     #[must_use]
     pub fn own_loads(&self, now: Duration) -> Vec<ServerLoad> {
         let servers = self.pools.values().flat_map(|pool| &pool.servers);
         let loads = servers.map(|(id, server)| {
-            server.load.own_summary(*id, &self.calls, server.pace.get(now), now)
+            server.load.own_summary(
+                *id,
+                &self.calls,
+                server.prefill_rate.tokens_per_ms(now),
+                now,
+            )
         });
         loads.filter(|load| load.running() > 0).collect()
     }
 
-    /// Decides about a request that came.
+    /// Handles a new request: dispatches it, queues it or refuses it.
     pub fn arrive(&mut self, call: RouteCall, now: Duration) -> Vec<RouteAction> {
         let pool = call.pool;
         let request = call.request;
         let state = self.pools.entry(pool).or_default();
-        state.budget.arrive(now);
-        state.split.arrive(&call, &self.options, now);
-        if !state.servers.values().any(|server| server.facts.in_service()) {
+        state.budget.record_arrival(now);
+        state.lane_demand.record_arrival(&call, &self.options, now);
+        if !state.servers.values().any(|server| server.listing.in_service()) {
             let retry_after = self.options.no_server_retry;
             let reason = RefusalCause::NoServer;
             return vec![RouteAction::Refuse {
@@ -286,104 +301,107 @@
         };
         state.queue.push(call.tier, call.class, call.organisation, entry, now);
         self.calls.insert(request, RoutedCall::new(call));
-        self.pump(pool, now);
+        self.dispatch_queued(pool, now);
         self.take_actions()
     }
 
-    /// Takes in that anything came from the server of a request.
+    /// Records that response data for a request arrived from its server.
     pub fn record_response_data(&mut self, request: RequestId, now: Duration) {
         let Some(call) = self.calls.get_mut(&request) else { return };
-        let CallPlace::Running { server, since, .. } = call.place else { return };
-        let first = call.hear(now);
-        let Some(state) = self.pools.get_mut(&call.call.pool) else { return };
+        let CallPhase::Running { server, since, .. } = call.phase else { return };
+        let first = call.record_data(now);
+        let Some(state) = self.pools.get_mut(&call.details.pool) else { return };
         let id = server;
         let Some(server) = state.servers.get_mut(&id) else { return };
-        server.health.hear(now);
+        server.health.record_activity(now);
         if first {
-            state.shed.record_answer(&server.health, &self.options, now);
-            server.health.admit(since, now);
-            server.load.read(now);
-            let seen = now.saturating_sub(since + call.stood_still);
-            let seen = seen.as_secs_f64() * 1000.0;
-            server.pace.learn(call.ahead, seen, now);
-            server.remember(&call.call.prompt, now);
-            self.reads.add(&call.call, id, &self.options, now);
+            state.shed.record_response(&server.health, &self.options, now);
+            server.health.record_admission(since, now);
+            server.load.start_next_prefill(now);
+            let elapsed = now.saturating_sub(since + call.stalled_for);
+            let elapsed = elapsed.as_secs_f64() * 1000.0;
+            server
+                .prefill_rate
+                .record_first_token(call.tokens_ahead, elapsed, now);
+            server.record_cached_parts(&call.details.prompt, now);
+            self.prefills.add(&call.details, id, &self.options, now);
         }
     }
 
-    /// Returns how far a request has come at the server where it is.
+    /// Returns the progress of a request at its server, or `None` if it isn't running.
     #[must_use]
     pub fn progress(&self, request: RequestId) -> Option<CallProgress> {
         self.calls.get(&request)?.progress()
     }
 
-    /// Takes in the end of a whole answer.
+    /// Records that the complete response to a request was received.
     pub fn finish(&mut self, request: RequestId, now: Duration) -> Vec<RouteAction> {
         let Some(call) = self.calls.remove(&request) else { return vec![] };
-        let pool = call.call.pool;
-        if let CallPlace::Running { server, since, .. } = call.place
+        let pool = call.details.pool;
+        if let CallPhase::Running { server, since, .. } = call.phase
             && let Some(state) = self.pools.get_mut(&pool)
         {
-            let span = now.saturating_sub(since + call.stood_still);
-            state.span.add(span.as_secs_f64());
+            let span = now.saturating_sub(since + call.stalled_for);
+            state.service_time.add(span.as_secs_f64());
             if let Some(server) = state.servers.get_mut(&server) {
-                server.load.end(request, call.call.prompt.is_long(&self.options));
-                if !call.begun() {
-                    state.shed.record_answer(&server.health, &self.options, now);
-                    server.health.admit(since, now);
+                server.load.end(request, call.details.prompt.is_long(&self.options));
+                if !call.has_data() {
+                    state.shed.record_response(&server.health, &self.options, now);
+                    server.health.record_admission(since, now);
                 }
-                server.health.succeed(now);
+                server.health.record_success(now);
             }
         }
-        self.pump(pool, now);
+        self.dispatch_queued(pool, now);
         self.take_actions()
     }
 
-    /// Takes in that a request ended without an answer of use to the router: its caller
-    /// has gone, or its time is over.
+    /// Removes a request that ended without an outcome to record for its server: the
+    /// caller left or the deadline passed.
     pub fn cancel(&mut self, request: RequestId, now: Duration) -> Vec<RouteAction> {
         let Some(call) = self.calls.remove(&request) else { return vec![] };
-        self.free(&call, now);
+        self.release(&call, now);
         self.take_actions()
     }
 
-    /// Lets time pass: requests that wait may have a server by now, or be too late.
+    /// Advances time: waiting requests are dispatched where a server has become
+    /// available, or refused if they have waited too long.
     pub fn tick(&mut self, now: Duration) -> Vec<RouteAction> {
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
         for pool in pools {
-            self.expire(pool, now);
-            self.pump(pool, now);
+            self.refuse_expired(pool, now);
+            self.dispatch_queued(pool, now);
         }
         self.take_actions()
     }
 
-    /// Returns of which servers it believes something else than at the last review.
+    /// Returns the servers whose health changed since the last call.
     pub fn health_changes(&mut self, now: Duration) -> Vec<HealthChange> {
-        let mut notes = vec![];
+        let mut changes = vec![];
         for pool in self.pools.keys().copied().collect::<Vec<PoolId>>() {
-            let staying = self.staying(pool);
-            let well = self.well(&staying, now);
-            let well: Vec<ServerId> =
-                well.iter().map(|server| server.facts.server).collect();
+            let in_service = self.servers_in_service(pool);
+            let healthy = self.healthy_servers(&in_service, now);
+            let healthy: Vec<ServerId> =
+                healthy.iter().map(|server| server.listing.server).collect();
             let Some(state) = self.pools.get_mut(&pool) else { continue };
             for (id, server) in &mut state.servers {
-                let is_well = well.contains(id);
-                if !server.facts.in_service() || server.believed_well == is_well {
+                let is_healthy = healthy.contains(id);
+                if !server.listing.in_service() || server.reported_healthy == is_healthy {
                     continue;
                 }
-                server.believed_well = is_well;
-                notes.push(HealthChange {
+                server.reported_healthy = is_healthy;
+                changes.push(HealthChange {
                     server: *id,
-                    healthy: is_well,
-                    failure_rate: server.health.failures(),
-                    heard_ago: now.saturating_sub(server.health.heard()),
+                    healthy: is_healthy,
+                    failure_rate: server.health.failure_rate(),
+                    heard_ago: now.saturating_sub(server.health.last_heard()),
                 });
             }
         }
-        notes
+        changes
     }
 
-    /// Tells whether any request waits for a server.
+    /// Returns whether any request is waiting for a server.
     #[must_use]
     pub fn has_waiting_requests(&self) -> bool {
         self.pools
@@ -391,70 +409,73 @@
             .any(|pool| pool.queue.len() > 0 || !pool.retries.is_empty())
     }
 
-    /// Returns how many requests wait or run.
+    /// Returns the number of requests that are waiting or running.
     #[must_use]
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Frees what a request has taken.
-    fn free(&mut self, call: &RoutedCall, now: Duration) {
-        let order = &call.call;
-        let Some(state) = self.pools.get_mut(&order.pool) else { return };
-        match call.place {
-            CallPlace::Running { server, .. } => {
+    /// Releases the slot or the queue entry of a request, and dispatches waiting requests
+    /// to the freed slot.
+    fn release(&mut self, call: &RoutedCall, now: Duration) {
+        let details = &call.details;
+        let Some(state) = self.pools.get_mut(&details.pool) else { return };
+        match call.phase {
+            CallPhase::Running { server, .. } => {
                 if let Some(server) = state.servers.get_mut(&server) {
-                    server.load.end(order.request, order.prompt.is_long(&self.options));
+                    server
+                        .load
+                        .end(details.request, details.prompt.is_long(&self.options));
                 }
             }
-            CallPlace::Waiting => {
+            CallPhase::Waiting => {
                 state.queue.remove(
-                    order.tier,
-                    order.class,
-                    order.organisation,
-                    order.request,
+                    details.tier,
+                    details.class,
+                    details.organisation,
+                    details.request,
                 );
-                state.retries.retain(|request| *request != order.request);
+                state.retries.retain(|request| *request != details.request);
             }
         }
-        self.pump(order.pool, now);
+        self.dispatch_queued(details.pool, now);
     }
 
     /// Sends a request to a server.
     fn dispatch(&mut self, request: RequestId, choice: RouteChoice, now: Duration) {
         let Some(call) = self.calls.get_mut(&request) else { return };
         let server = choice.server;
-        call.place = CallPlace::Running { server, since: now, heard: None };
+        call.phase = CallPhase::Running { server, since: now, first_data_at: None };
         call.sends += 1;
-        call.stood_still = Duration::ZERO;
-        call.counted = false;
+        call.stalled_for = Duration::ZERO;
+        call.rate_counted = false;
         call.uncached = choice.uncached;
-        call.ahead = choice.ahead;
-        let movable = call.call.repeatable && call.runs + 1 < call.call.run_limit;
+        call.tokens_ahead = choice.tokens_ahead;
+        let retryable = call.details.repeatable && call.runs + 1 < call.details.run_limit;
         let expected = choice.expected;
-        let silence_timeout = movable.then(|| {
-            let usual = expected.mul_f64(self.options.patience_factor);
-            usual.max(self.options.shortest_patience)
+        let silence_timeout = retryable.then(|| {
+            let timeout = expected.mul_f64(self.options.patience_factor);
+            timeout.max(self.options.shortest_patience)
         });
-        if let Some(state) = self.pools.get_mut(&call.call.pool)
+        if let Some(state) = self.pools.get_mut(&call.details.pool)
             && let Some(server) = state.servers.get_mut(&server)
         {
             let limited = server.pushback.rate().is_some();
-            call.counted = limited && server.pushback.take(now);
-            let long = call.call.prompt.is_long(&self.options);
+            call.rate_counted = limited && server.pushback.take(now);
+            let long = call.details.prompt.is_long(&self.options);
             server.load.start(request, long, &self.calls, now);
         }
         self.actions
             .push(RouteAction::Dispatch { request, choice, silence_timeout });
     }
 
-    /// Returns what has been decided.
+    /// Returns and clears the decided actions.
     fn take_actions(&mut self) -> Vec<RouteAction> {
         std::mem::take(&mut self.actions)
     }
 }
 
-/// Returns what is known of a server.
+/// Returns the state of a server, whichever pool it is in.
 fn find_server(
     pools: &mut BTreeMap<PoolId, RoutePool>,
     server: ServerId,
--- a/crates/flaxtide-policy/src/router/shed.rs
+++ b/crates/flaxtide-policy/src/router/shed.rs
@@ -1,59 +1,61 @@
-//! How likely it is that servers of a pool turn requests away.
+//! An estimate of how likely the servers of a pool are to shed load, that is, to refuse
+//! requests (`RouteFault::Full`).
 
 use std::time::Duration;
 
 use super::health::ServerHealth;
 use super::options::RouteOptions;
 
-/// How much the newest outcome counts.
-const NEWEST_OUTCOME: f64 = 0.25;
+/// The weight of the newest outcome.
+const OUTCOME_WEIGHT: f64 = 0.25;
 
-/// After so long without an outcome, half of what was learnt is forgotten.
+/// The time without an outcome after which the estimate has fallen by half.
 const HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// How likely a server of a pool that hasn't answered this instance lately turns a request away.
-/// Each instance is turned away by each such server before it knows, so a large fleet would spend
-/// its budget of repeats on that.
+/// The probability that a server which hasn't responded to this instance recently refuses
+/// a request. Each instance finds out about each refusing server separately, so without
+/// this estimate a large fleet would use up its retry budget on refusals.
 #[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct ShedOdds {
-    /// The odds as of the last outcome.
-    odds: f64,
-    /// When that was.
-    at: Duration,
+pub(crate) struct ShedProbability {
+    /// The probability at the time of the last outcome.
+    probability: f64,
+    /// When the last outcome was recorded.
+    updated_at: Duration,
 }
 
-impl ShedOdds {
-    /// Records that a server has turned a request away.
+impl ShedProbability {
+    /// Records that a server refused a request.
     pub(crate) fn record_refusal(&mut self, now: Duration) {
         self.record(1.0, 1.0, now);
     }
 
-    /// Records that a server answers.
-    pub(crate) fn record_answer(
+    /// Records that a server started to respond.
+    pub(crate) fn record_response(
         &mut self,
         health: &ServerHealth,
         options: &RouteOptions,
         now: Duration,
     ) {
-        if self.odds > 0.0 {
-            self.record(0.0, health.strangeness(now, options), now);
+        if self.probability > 0.0 {
+            self.record(0.0, health.uncertainty(now, options), now);
         }
     }
 
-    /// Records an outcome: 1 for a refusal, 0 for an answer. The stranger the server was, the more
-    /// it counts.
-    fn record(&mut self, outcome: f64, strangeness: f64, now: Duration) {
-        let odds = self.get(now);
-        self.odds = odds + (outcome - odds) * NEWEST_OUTCOME * strangeness;
-        self.at = now;
+    /// Records an outcome: 1 for a refusal, 0 for a response. Its weight grows with the
+    /// uncertainty about the server.
+    fn record(&mut self, outcome: f64, uncertainty: f64, now: Duration) {
+        let probability = self.get(now);
+        self.probability =
+            probability + (outcome - probability) * OUTCOME_WEIGHT * uncertainty;
+        self.updated_at = now;
     }
 
-    /// Returns the odds, from 0 to 1.
+    /// Returns the probability, from 0 to 1.
     pub(crate) fn get(&self, now: Duration) -> f64 {
-        if self.odds == 0.0 {
+        if self.probability == 0.0 {
             return 0.0;
         }
-        let age = now.saturating_sub(self.at).as_secs_f64();
-        self.odds * 0.5f64.powf(age / HALF_LIFE.as_secs_f64())
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.probability * 0.5f64.powf(age / HALF_LIFE.as_secs_f64())
     }
 }
--- a/crates/flaxtide-policy/src/usage/ledger.rs
+++ b/crates/flaxtide-policy/src/usage/ledger.rs
@@ -1,47 +1,48 @@
-//! What one instance counts.
+//! The usage counts of one instance.
 
 use std::collections::BTreeMap;
 
-use super::{UsageCounts, UsageKey, WINDOWS_KEPT, WindowCounts, WindowNumber};
+use super::{OrganisationKey, UsageCounts, WINDOWS_KEPT, WindowCounts, WindowNumber};
 
-/// What one instance has counted since its start, by window.
+/// The requests that one instance has counted since its start, by window.
 ///
 /// ```
 /// use flaxtide_policy::UsageLedger;
 /// let mut ledger = UsageLedger::default();
 /// ledger.record(7, 3);
-/// let (news, mark) = ledger.unconfirmed(1);
-/// assert_eq!(news[0].counts, [(7, 1)]);
-/// ledger.confirm(1, mark);
-/// assert!(ledger.unconfirmed(1).0.is_empty(), "told already");
-/// assert_eq!(ledger.unconfirmed(2).0.len(), 1, "a new holder hears all");
+/// let (changed, sequence) = ledger.unconfirmed(1);
+/// assert_eq!(changed[0].counts, [(7, 1)]);
+/// ledger.confirm(1, sequence);
+/// assert!(ledger.unconfirmed(1).0.is_empty(), "already confirmed");
+/// assert_eq!(ledger.unconfirmed(2).0.len(), 1, "a new holder gets everything");
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct UsageLedger {
-    /// The windows.
+    /// The counts by window.
     windows: BTreeMap<WindowNumber, LedgerWindow>,
-    /// How many requests have been counted.
-    mark: u64,
-    /// The fencing number of the holder that was last told, and what it knows.
-    told: (u64, u64),
+    /// The number of requests counted so far. It identifies a state of the ledger.
+    sequence: u64,
+    /// The fencing token of the last holder that confirmed a report, and the sequence
+    /// number up to which it did.
+    confirmed: (u64, u64),
 }
 
-/// One window.
+/// The counts of one window.
 #[derive(Debug, Clone, Default)]
 struct LedgerWindow {
-    /// The counts.
+    /// The number of requests by organisation.
     counts: UsageCounts,
-    /// How many requests had been counted after the last one of this window.
-    mark: u64,
+    /// The value of [`UsageLedger::sequence`] after the last request of this window.
+    sequence: u64,
 }
 
 impl UsageLedger {
-    /// Counts a request of an organisation that began to run in a window.
-    pub fn record(&mut self, organisation: UsageKey, window: WindowNumber) {
-        self.mark += 1;
+    /// Counts a request of an organisation that started to run in a window.
+    pub fn record(&mut self, organisation: OrganisationKey, window: WindowNumber) {
+        self.sequence += 1;
         let known = self.windows.entry(window).or_default();
         *known.counts.entry(organisation).or_default() += 1;
-        known.mark = self.mark;
+        known.sequence = self.sequence;
         let newest = self.windows.last_key_value().map_or(window, |(newest, _)| *newest);
         let oldest = newest.saturating_sub(WINDOWS_KEPT);
         while self
@@ -53,25 +54,25 @@
         }
     }
 
-    /// Returns the windows that the holder with this fencing number doesn't know as they are,
-    /// and a mark with which to confirm that it does.
+    /// Returns the windows that have changed since the last report which the holder with
+    /// this fencing token confirmed, and the sequence number to confirm them with.
     #[must_use]
     pub fn unconfirmed(&self, fence: u64) -> (Vec<WindowCounts>, u64) {
-        let known = if self.told.0 == fence { self.told.1 } else { 0 };
-        let changed = self.windows.iter().filter(|(_, window)| window.mark > known);
-        let news = changed.map(|(number, window)| WindowCounts {
+        let known = if self.confirmed.0 == fence { self.confirmed.1 } else { 0 };
+        let changed = self.windows.iter().filter(|(_, window)| window.sequence > known);
+        let changed = changed.map(|(number, window)| WindowCounts {
             window: *number,
             counts: window.counts.iter().map(|(key, count)| (*key, *count)).collect(),
         });
-        (news.collect(), self.mark)
+        (changed.collect(), self.sequence)
     }
 
-    /// Records that a holder has heard the news up to a mark.
-    pub fn confirm(&mut self, fence: u64, mark: u64) {
-        if self.told.0 == fence {
-            self.told.1 = self.told.1.max(mark);
-        } else if fence > self.told.0 {
-            self.told = (fence, mark);
+    /// Records that a holder has received all windows up to a sequence number.
+    pub fn confirm(&mut self, fence: u64, sequence: u64) {
+        if self.confirmed.0 == fence {
+            self.confirmed.1 = self.confirmed.1.max(sequence);
+        } else if fence > self.confirmed.0 {
+            self.confirmed = (fence, sequence);
         }
     }
 }
