--- a/crates/flaxtide-policy/src/core/admit.rs
+++ b/crates/flaxtide-policy/src/core/admit.rs
@@ -163,7 +163,7 @@
         let entry = QueueEntry {
             request: arrival.request,
             arrived: now,
-            urgency: now + first_token / rule.priority.max(1),
+            due_at: now + first_token / rule.priority.max(1),
             work,
         };
         let expiry = now + give_up;
--- a/crates/flaxtide-policy/src/core/mod.rs
+++ b/crates/flaxtide-policy/src/core/mod.rs
@@ -134,8 +134,8 @@
             PolicyEvent::Peers { live, fallbacks } => {
                 self.set_peers(live, &fallbacks, now);
             }
-            PolicyEvent::RateShare { organisation, part, until } => {
-                self.set_rate_part(organisation, part, until, now);
+            PolicyEvent::RateShare { organisation, share, until } => {
+                self.set_rate_share(organisation, share, until, now);
             }
             PolicyEvent::Tick => {}
         }
@@ -232,10 +232,10 @@
     }
 
     /// Sets this instance's part of an organisation's rate.
-    fn set_rate_part(
+    fn set_rate_share(
         &mut self,
         organisation: OrganisationId,
-        part: f64,
+        share: f64,
         until: Duration,
         now: Duration,
     ) {
@@ -244,8 +244,8 @@
         let limit = self
             .limits
             .entry(organisation)
-            .or_insert_with(|| RateLimit::new(f64::from(rate) * part, now));
-        limit.set_part(part, until);
+            .or_insert_with(|| RateLimit::new(f64::from(rate) * share, now));
+        limit.set_share(share, until);
     }
 
     /// Returns a class's rule, if it has one.
--- a/crates/flaxtide-policy/src/event.rs
+++ b/crates/flaxtide-policy/src/event.rs
@@ -83,7 +83,7 @@
         /// The organisation.
         organisation: OrganisationId,
         /// The part, from 0 to 1.
-        part: f64,
+        share: f64,
         /// Until when it holds.
         until: Duration,
     },
--- a/crates/flaxtide-policy/src/limit.rs
+++ b/crates/flaxtide-policy/src/limit.rs
@@ -12,8 +12,8 @@
     saved: f64,
     /// When `saved` was worked out.
     at: Duration,
-    /// This instance's part of the rate, and until when it holds.
-    part: Option<(f64, Duration)>,
+    /// This instance's share of the rate, and until when it holds.
+    share: Option<(f64, Duration)>,
 }
 
 impl RateLimit {
@@ -22,18 +22,18 @@
         Self {
             saved: (rate * BURST.as_secs_f64()).max(1.0),
             at: now,
-            part: None,
+            share: None,
         }
     }
 
-    /// Sets this instance's part of the rate.
-    pub(crate) fn set_part(&mut self, part: f64, until: Duration) {
-        self.part = Some((part, until));
+    /// Sets this instance's share of the rate.
+    pub(crate) fn set_share(&mut self, share: f64, until: Duration) {
+        self.share = Some((share, until));
     }
 
     /// Lets a request through, or says after how long one will be.
     ///
-    /// `rate` is for all instances; without an unexpired part, each of `live` instances
+    /// `rate` is for all instances; without an unexpired share, each of `live` instances
     /// takes an equal one.
     pub(crate) fn admit(
         &mut self,
@@ -41,11 +41,11 @@
         live: u32,
         now: Duration,
     ) -> Result<(), Duration> {
-        let part = match self.part {
-            Some((part, until)) if now < until => part,
+        let share = match self.share {
+            Some((share, until)) if now < until => share,
             _ => 1.0 / f64::from(live.max(1)),
         };
-        let rate = f64::from(rate) * part;
+        let rate = f64::from(rate) * share;
         let elapsed = now.saturating_sub(self.at).as_secs_f64();
         let burst = (rate * BURST.as_secs_f64()).max(1.0);
         self.saved = (self.saved + rate * elapsed).min(burst);
--- a/crates/flaxtide-policy/src/queue.rs
+++ b/crates/flaxtide-policy/src/queue.rs
@@ -13,7 +13,7 @@
 /// Tokens are counted in this many parts in virtual time, so that it can be an integer.
 const VIRTUAL_SCALE: f64 = 1024.0;
 
-/// Organisations whose turns are this close, in tokens of virtual time, go by urgency: a
+/// Organisations whose turns are this close, in tokens of virtual time, go by due time: a
 /// strict order would make one wait that sends a little more than the others just now.
 const FAIRNESS_WINDOW: u64 = 2000 * VIRTUAL_SCALE as u64;
 
@@ -28,7 +28,7 @@
     /// When it arrived.
     pub(crate) arrived: Duration,
     /// When it is more urgent than others; see [`PoolQueue::next`].
-    pub(crate) urgency: Duration,
+    pub(crate) due_at: Duration,
     /// Its expected work, in tokens.
     pub(crate) work: f64,
 }
@@ -117,7 +117,7 @@
                 break;
             }
             let Some(head) = lane.head(tier, class) else { continue };
-            if best.is_none_or(|best| head.entry.urgency < best.entry.urgency) {
+            if best.is_none_or(|best| head.entry.due_at < best.entry.due_at) {
                 best = Some(head);
             }
         }
@@ -242,7 +242,7 @@
             let entry = *self.flows.get(organisation)?.entries.front()?;
             Some(QueueHead { tier, class, organisation: *organisation, entry })
         });
-        heads.min_by_key(|head| head.entry.urgency)
+        heads.min_by_key(|head| head.entry.due_at)
     }
 
     /// Drops flows that have nothing waiting and owe nothing, once there are many.
--- a/crates/flaxtide-policy/src/router/mod.rs
+++ b/crates/flaxtide-policy/src/router/mod.rs
@@ -281,7 +281,7 @@
         let entry = QueueEntry {
             request,
             arrived: now,
-            urgency: now + call.target,
+            due_at: now + call.target,
             work: call.prompt.work(),
         };
         state.queue.push(call.tier, call.class, call.organisation, entry, now);
--- a/crates/flaxtide/src/fleet.rs
+++ b/crates/flaxtide/src/fleet.rs
@@ -213,7 +213,7 @@
                 let organisation = view.limited_with_key(rate.organisation);
                 let Some(organisation) = organisation else { continue };
                 let part = f64::from(rate.part) / f64::from(u16::MAX);
-                events.push(PolicyEvent::RateShare { organisation, part, until });
+                events.push(PolicyEvent::RateShare { organisation, share: part, until });
             }
             // The shares of slots already count what peers have at servers.
             FleetNotice::PeerLoads(..)
