--- a/crates/flaxtide-policy/benches/lab/baseline.rs
+++ b/crates/flaxtide-policy/benches/lab/baseline.rs
@@ -255,7 +255,7 @@
         request,
         choice,
         priority: tier,
-        patience: None,
+        silence_timeout: None,
         attempt,
     }
 }
--- a/crates/flaxtide-policy/benches/lab/world/mod.rs
+++ b/crates/flaxtide-policy/benches/lab/world/mod.rs
@@ -200,7 +200,13 @@
     fn act(&mut self, index: usize, action: PolicyAction) {
         match action {
             PolicyAction::Wait { .. } => {}
-            PolicyAction::Dispatch { request, choice, priority, patience, .. } => {
+            PolicyAction::Dispatch {
+                request,
+                choice,
+                priority,
+                silence_timeout: patience,
+                ..
+            } => {
                 let patience = patience.map(|span| (self.now, span.as_millis() as u64));
                 self.dispatch(index, request, choice.server, priority, patience);
             }
--- a/crates/flaxtide-policy/src/action.rs
+++ b/crates/flaxtide-policy/src/action.rs
@@ -28,7 +28,8 @@
         priority: TierRank,
         /// How long the server may be silent before the request goes elsewhere; without
         /// it, the request can't go elsewhere.
-        patience: Option<Duration>,
+        #[serde(rename = "patience")]
+        silence_timeout: Option<Duration>,
         /// Which attempt it is, from 1.
         attempt: u8,
     },
--- a/crates/flaxtide-policy/src/core/dispatch.rs
+++ b/crates/flaxtide-policy/src/core/dispatch.rs
@@ -157,29 +157,35 @@
         if let Some(state) = self.pools.get_mut(&pool) {
             *state.running.entry(tier).or_default() += 1;
         }
-        let patience = may_move.then(|| self.patience(pool, class, tier)).flatten();
+        let silence_timeout =
+            may_move.then(|| self.silence_timeout(pool, class, tier)).flatten();
         let priority = tier;
         self.actions.push(PolicyAction::Dispatch {
             request,
             choice,
             priority,
-            patience,
+            silence_timeout,
             attempt,
         });
     }
 
     /// Returns how long a server may be silent before the request goes elsewhere, once it
     /// is known what is usual.
-    fn patience(&self, pool: PoolId, class: ClassId, tier: TierRank) -> Option<Duration> {
+    fn silence_timeout(
+        &self,
+        pool: PoolId,
+        class: ClassId,
+        tier: TierRank,
+    ) -> Option<Duration> {
         let usual = self.pools.get(&pool)?.first_token.get()?;
-        let patience = Duration::from_secs_f64(usual * self.options.patience_factor);
-        let patience = patience.max(self.options.patience_floor);
+        let timeout = Duration::from_secs_f64(usual * self.options.patience_factor);
+        let timeout = timeout.max(self.options.patience_floor);
         if tier == TOP_TIER {
-            return Some(patience);
+            return Some(timeout);
         }
         // A lower tier's request may be silent while higher tiers preempt it.
         let bound = self.class_rule(class)?.starvation_bound;
-        Some(patience.max(bound.min(self.options.preempted_patience)))
+        Some(timeout.max(bound.min(self.options.preempted_patience)))
     }
 
     /// Gives up every waiting request whose time is over.
--- a/crates/flaxtide-policy/tests/invariants.rs
+++ b/crates/flaxtide-policy/tests/invariants.rs
@@ -138,7 +138,7 @@
             PolicyAction::Wait { request, .. } => {
                 assert!(!self.known[request].ended);
             }
-            PolicyAction::Dispatch { request, choice, patience, .. } => {
+            PolicyAction::Dispatch { request, choice, silence_timeout, .. } => {
                 assert!(
                     !self.leaving.contains(&choice.server),
                     "work for a leaving server"
@@ -147,7 +147,7 @@
                 assert!(!known.ended, "{request} was dispatched after its end");
                 assert_eq!(known.at, None, "{request} is at two servers");
                 assert!(known.repeatable || !known.may_have_run, "{request} runs twice");
-                assert!(known.repeatable || patience.is_none());
+                assert!(known.repeatable || silence_timeout.is_none());
                 known.at = Some(choice.server);
             }
             PolicyAction::Refuse { request, retry_after, .. } => {
--- a/crates/flaxtide/src/decide.rs
+++ b/crates/flaxtide/src/decide.rs
@@ -102,7 +102,13 @@
                 let predicted_ms = predicted.as_millis() as u64;
                 log.add(request, now, StepKind::Queued { place, predicted_ms });
             }
-            PolicyAction::Dispatch { request, choice, priority, patience, attempt } => {
+            PolicyAction::Dispatch {
+                request,
+                choice,
+                priority,
+                silence_timeout: patience,
+                attempt,
+            } => {
                 let step = self.describe(&choice, priority, attempt);
                 log.add(request, now, step);
                 if attempt > 1 {
