--- a/crates/flaxtide-policy/src/budget.rs
+++ b/crates/flaxtide-policy/src/budget.rs
@@ -5,7 +5,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct RetryBudget {
     /// What has been saved.
-    saved: f64,
+    tokens: f64,
     /// What each success adds.
     ratio: f64,
     /// The most that can be saved.
@@ -15,20 +15,20 @@
 impl RetryBudget {
     /// Starts with a full budget.
     pub(crate) fn new(ratio: f64, burst: f64) -> Self {
-        Self { saved: burst, ratio, burst }
+        Self { tokens: burst, ratio, burst }
     }
 
     /// Records a success.
-    pub(crate) fn earn(&mut self) {
-        self.saved = (self.saved + self.ratio).min(self.burst);
+    pub(crate) fn deposit(&mut self) {
+        self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
     /// Takes one retry out of the budget, if there is one.
-    pub(crate) fn spend(&mut self) -> bool {
-        if self.saved < 1.0 {
+    pub(crate) fn withdraw(&mut self) -> bool {
+        if self.tokens < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/crates/flaxtide-policy/src/choice.rs
+++ b/crates/flaxtide-policy/src/choice.rs
@@ -29,11 +29,11 @@
     /// The servers.
     pub(crate) members: Vec<ServerId>,
     /// Their places in the table.
-    pub(crate) places: Vec<usize>,
+    pub(crate) indices: Vec<usize>,
     /// The mean reported load, in requests for each slot.
-    pub(crate) typical_load: f64,
+    pub(crate) mean_load: f64,
     /// The median of seconds for each token.
-    pub(crate) typical_pace: f64,
+    pub(crate) median_token_seconds: f64,
 }
 
 /// Chooses a server with a free slot for a request: the one that caches its prefix if it
@@ -49,7 +49,7 @@
     random: &mut ChaCha8Rng,
 ) -> Option<ServerChoice> {
     let eligible: Vec<&BackendServer> = servers
-        .at(&pool.places)
+        .at(&pool.indices)
         .filter(|server| server.has_slot(query.tier, query.now, options.idle_part))
         .filter(|server| !query.excluded.contains(&server.server))
         .collect();
@@ -60,9 +60,9 @@
     if let Some(choice) = choose_by_prefix(query, pool, &eligible, options, &cost) {
         return Some(choice);
     }
-    let drawn = draw(&eligible, options.sampled_servers, random);
+    let sampled = sample(&eligible, options.sampled_servers, random);
     let mut ranked: Vec<(f64, ServerId)> =
-        drawn.iter().map(|server| (cost(server), server.server)).collect();
+        sampled.iter().map(|server| (cost(server), server.server)).collect();
     ranked.sort_by(|one, other| one.0.total_cmp(&other.0));
     let (load, server) = *ranked.first()?;
     let rule = if eligible.len() == 1 { ChoiceRule::Only } else { ChoiceRule::Sampled };
@@ -93,7 +93,7 @@
         .max_by_key(|server| numbered_weight(prefix, u64::from(**server)))?;
     let server = eligible.iter().find(|server| server.server == owner)?;
     let load = cost(server);
-    if load > pool.typical_load * options.affinity_bound + 1.0 / f64::from(server.slots) {
+    if load > pool.mean_load * options.affinity_bound + 1.0 / f64::from(server.slots) {
         return None;
     }
     let rule = ChoiceRule::Affinity;
@@ -113,16 +113,18 @@
     options: &PolicyOptions,
     now: Duration,
 ) -> f64 {
-    let load = server.load(now, options.report_half_life, pool.typical_load);
-    let slowness = match server.pace() {
-        Some(pace) if pool.typical_pace > 0.0 => (pace / pool.typical_pace).max(1.0),
+    let load = server.load(now, options.report_half_life, pool.mean_load);
+    let slowness = match server.token_seconds() {
+        Some(seconds) if pool.median_token_seconds > 0.0 => {
+            (seconds / pool.median_token_seconds).max(1.0)
+        }
         _ => 1.0,
     };
     (load + 1.0 / f64::from(server.slots.max(1))) * slowness
 }
 
 /// Draws up to `count` different servers.
-fn draw<'a>(
+fn sample<'a>(
     servers: &[&'a BackendServer],
     count: usize,
     random: &mut ChaCha8Rng,
@@ -130,12 +132,12 @@
     if servers.len() <= count {
         return servers.to_vec();
     }
-    let mut drawn: Vec<usize> = vec![];
-    while drawn.len() < count {
+    let mut sampled: Vec<usize> = vec![];
+    while sampled.len() < count {
         let index = random.random_range(0..servers.len());
-        if !drawn.contains(&index) {
-            drawn.push(index);
+        if !sampled.contains(&index) {
+            sampled.push(index);
         }
     }
-    drawn.into_iter().map(|index| servers[index]).collect()
+    sampled.into_iter().map(|index| servers[index]).collect()
 }
--- a/crates/flaxtide-policy/src/claim.rs
+++ b/crates/flaxtide-policy/src/claim.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 /// How often an attempt writes or reads before it gives up.
-const ATTEMPT_STEPS: u8 = 3;
+const RETRY_LIMIT: u8 = 3;
 
 /// What the table holds for one idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -102,9 +102,9 @@
     /// What comes next.
     state: AttemptState,
     /// How many writes and reads are left.
-    steps_left: u8,
+    retries_left: u8,
     /// Whether a write without an answer may still take effect.
-    write_open: bool,
+    write_pending: bool,
 }
 
 /// The state of an attempt.
@@ -117,18 +117,18 @@
     /// The table holds this attempt's row, with this version.
     Held(u64),
     /// The attempt is over.
-    Over(OverReason),
+    Ended(EndReason),
 }
 
 /// Why an attempt is over.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum OverReason {
+enum EndReason {
     /// It couldn't claim, and its write may be open.
     Abandoned,
     /// It couldn't claim, and has written nothing.
     Refused,
     /// Another attempt holds the row.
-    Deferred,
+    HeldByOther,
     /// The outcome is recorded.
     Replayed(String),
     /// The key was used with another body.
@@ -143,8 +143,8 @@
             attempt,
             body_hash,
             state: AttemptState::Writing(None),
-            steps_left: ATTEMPT_STEPS,
-            write_open: false,
+            retries_left: RETRY_LIMIT,
+            write_pending: false,
         }
     }
 
@@ -174,14 +174,14 @@
             AttemptState::Writing(expected) => ClaimStep::Write { expected: *expected },
             AttemptState::Reading => ClaimStep::ReadBack,
             AttemptState::Held(_) => ClaimStep::Send,
-            AttemptState::Over(reason) => match reason {
-                OverReason::Abandoned => ClaimStep::Abandon,
-                OverReason::Refused => ClaimStep::Refuse,
-                OverReason::Deferred => ClaimStep::HeldByOther,
-                OverReason::Replayed(outcome) => {
+            AttemptState::Ended(reason) => match reason {
+                EndReason::Abandoned => ClaimStep::Abandon,
+                EndReason::Refused => ClaimStep::Refuse,
+                EndReason::HeldByOther => ClaimStep::HeldByOther,
+                EndReason::Replayed(outcome) => {
                     ClaimStep::Replay { outcome: outcome.clone() }
                 }
-                OverReason::Mismatched => ClaimStep::Mismatch,
+                EndReason::Mismatched => ClaimStep::Mismatch,
             },
         }
     }
@@ -194,15 +194,15 @@
         let wrote = matches!(self.state, AttemptState::Writing(_));
         match reply {
             TableReply::Written { version } => self.state = AttemptState::Held(version),
-            TableReply::Found(Some((row, version))) => self.found(row, version),
-            TableReply::Found(None) => self.again(AttemptState::Writing(None)),
+            TableReply::Found(Some((row, version))) => self.apply_row(row, version),
+            TableReply::Found(None) => self.retry(AttemptState::Writing(None)),
             TableReply::NotDone => {
                 let state = self.state.clone();
-                self.again(state);
+                self.retry(state);
             }
             TableReply::NoAnswer => {
-                self.write_open |= wrote;
-                self.again(AttemptState::Reading);
+                self.write_pending |= wrote;
+                self.retry(AttemptState::Reading);
             }
         }
     }
@@ -210,39 +210,39 @@
     /// Gives up before the request is sent, because its time is over or the instance
     /// stops. An attempt that is over stays as it ended.
     pub fn abandon(&mut self) {
-        if matches!(self.state, AttemptState::Over(_)) {
+        if matches!(self.state, AttemptState::Ended(_)) {
             return;
         }
-        let open = self.write_open || matches!(self.state, AttemptState::Held(_));
-        let reason = if open { OverReason::Abandoned } else { OverReason::Refused };
-        self.state = AttemptState::Over(reason);
+        let open = self.write_pending || matches!(self.state, AttemptState::Held(_));
+        let reason = if open { EndReason::Abandoned } else { EndReason::Refused };
+        self.state = AttemptState::Ended(reason);
     }
 
     /// Decides by the row that the table holds.
-    fn found(&mut self, row: ClaimRow, version: u64) {
+    fn apply_row(&mut self, row: ClaimRow, version: u64) {
         if row.attempt == self.attempt && row.phase == RowPhase::Held {
             self.state = AttemptState::Held(version);
             return;
         }
         if row.phase == RowPhase::Released {
-            self.again(AttemptState::Writing(Some(version)));
+            self.retry(AttemptState::Writing(Some(version)));
             return;
         }
         let reason = match row.phase {
-            _ if row.body_hash != self.body_hash => OverReason::Mismatched,
-            RowPhase::Done { outcome } => OverReason::Replayed(outcome),
-            RowPhase::Held | RowPhase::Released => OverReason::Deferred,
+            _ if row.body_hash != self.body_hash => EndReason::Mismatched,
+            RowPhase::Done { outcome } => EndReason::Replayed(outcome),
+            RowPhase::Held | RowPhase::Released => EndReason::HeldByOther,
         };
-        self.state = AttemptState::Over(reason);
+        self.state = AttemptState::Ended(reason);
     }
 
     /// Goes on to another write or read, if there are any left.
-    fn again(&mut self, next: AttemptState) {
-        if self.steps_left == 0 {
+    fn retry(&mut self, next: AttemptState) {
+        if self.retries_left == 0 {
             self.abandon();
             return;
         }
-        self.steps_left -= 1;
+        self.retries_left -= 1;
         self.state = next;
     }
 }
--- a/crates/flaxtide-policy/src/core/admit.rs
+++ b/crates/flaxtide-policy/src/core/admit.rs
@@ -8,26 +8,26 @@
 use rand::Rng;
 
 use super::DecisionCore;
-use super::record::{CallPlace, CallRecord};
+use super::record::{CallRecord, CallState};
 use crate::action::PolicyAction;
 use crate::event::CallArrival;
-use crate::limit::RateLimit;
+use crate::limit::OrganisationLimit;
 use crate::queue::QueueEntry;
 
 /// The soonest that a refused caller is asked to come back.
-const SHORTEST_RETRY: Duration = Duration::from_millis(100);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// The latest that a refused caller is asked to come back.
-const LONGEST_RETRY: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// Returning callers are spread over this part of the time that they are told.
-const RETRY_SPREAD: f64 = 0.25;
+const RETRY_JITTER: f64 = 0.25;
 
 /// The service time of a request before any has been seen, in seconds.
-const FIRST_SPAN: f64 = 1.0;
+const DEFAULT_SERVICE_SECONDS: f64 = 1.0;
 
 /// How many tokens of prompt cost as much as one of the answer.
-const PROMPT_TOKENS_PER_TOKEN: f64 = 16.0;
+const PROMPT_TOKENS_PER_OUTPUT_TOKEN: f64 = 16.0;
 
 impl DecisionCore {
     /// Decides about a request that comes.
@@ -44,7 +44,7 @@
         let (tier, class) = (self.tier_of(&arrival), arrival.class);
         let organisation = arrival.organisation;
         self.enqueue(arrival, now);
-        self.pump(pool, now);
+        self.dispatch_pool(pool, now);
         if self.calls.get(&request).is_some_and(|call| call.running().is_none()) {
             let state = &self.pools[&pool];
             let ahead = state.queue.ahead(tier, class, organisation);
@@ -62,15 +62,15 @@
         now: Duration,
     ) -> Result<(), (FailureReason, Duration)> {
         let Some(rule) = self.class_rule(arrival.class) else {
-            return Err((FailureReason::UnknownTarget, SHORTEST_RETRY));
+            return Err((FailureReason::UnknownTarget, MIN_RETRY_AFTER));
         };
         let tier = rule.tier;
         let give_up = arrival.give_up.unwrap_or(rule.give_up);
         self.refresh(arrival.pool, now);
         self.check_servers(arrival.pool, give_up, now)?;
         self.check_overload(arrival, tier, give_up)?;
-        self.check_limit(arrival, now)?;
-        self.check_space(arrival.pool, tier)
+        self.check_rate_limit(arrival, now)?;
+        self.check_queue_space(arrival.pool, tier)
     }
 
     /// Checks that a server of the pool is in service, or will be soon enough.
@@ -81,7 +81,10 @@
         now: Duration,
     ) -> Result<(), (FailureReason, Duration)> {
         let soonest = now + give_up;
-        if self.staying(pool).any(|server| server.in_service(soonest)) {
+        if self
+            .non_leaving_servers(pool)
+            .any(|server| server.in_service(soonest))
+        {
             return Ok(());
         }
         Err((FailureReason::NoServer, Duration::from_secs(1)))
@@ -95,22 +98,22 @@
         give_up: Duration,
     ) -> Result<(), (FailureReason, Duration)> {
         let (pool, class) = (arrival.pool, arrival.class);
-        if self.estimates.span(class).is_none() {
+        if self.estimates.service_seconds(class).is_none() {
             // Nothing is known of the class yet: a guess is no reason to refuse.
             return Ok(());
         }
         let wait = self.predicted_wait(pool, tier, class, arrival.organisation);
         let wait = wait * self.options.admission_trust;
-        let first_token = self.typical_first_token(pool);
-        let spare = give_up.as_secs_f64() - first_token;
-        if wait <= 0.0 || wait <= spare {
+        let first_token = self.mean_first_token(pool);
+        let slack = give_up.as_secs_f64() - first_token;
+        if wait <= 0.0 || wait <= slack {
             return Ok(());
         }
-        Err((FailureReason::Overloaded, self.retry_after(wait - spare.max(0.0))))
+        Err((FailureReason::Overloaded, self.retry_after(wait - slack.max(0.0))))
     }
 
     /// Checks the organisation's limit.
-    fn check_limit(
+    fn check_rate_limit(
         &mut self,
         arrival: &CallArrival,
         now: Duration,
@@ -120,12 +123,11 @@
         let Some(rate) = rule.and_then(|rule| rule.requests_per_second) else {
             return Ok(());
         };
-        *self.usage.entry(organisation).or_default() += 1;
-        let live = self.live;
-        let limit = self
-            .limits
-            .entry(organisation)
-            .or_insert_with(|| RateLimit::new(f64::from(rate) / f64::from(live), now));
+        *self.arrival_counts.entry(organisation).or_default() += 1;
+        let live = self.live_instances;
+        let limit = self.rate_limits.entry(organisation).or_insert_with(|| {
+            OrganisationLimit::new(f64::from(rate) / f64::from(live), now)
+        });
         limit.admit(rate, live, now).map_err(|wait| {
             let retry_after = self.retry_after(wait.as_secs_f64());
             (FailureReason::LimitReached, retry_after)
@@ -133,7 +135,7 @@
     }
 
     /// Checks that the queue has space, and makes some at the cost of a lower tier.
-    fn check_space(
+    fn check_queue_space(
         &mut self,
         pool: PoolId,
         tier: TierRank,
@@ -142,8 +144,8 @@
         if state.queue.len() < self.options.queue_limit {
             return Ok(());
         }
-        let drain = self.drain_span(pool);
-        let Some(evicted) = state.queue.lowest_below(tier) else {
+        let drain = self.drain_seconds(pool);
+        let Some(evicted) = state.queue.eviction_candidate(tier) else {
             return Err((FailureReason::QueueFull, self.retry_after(drain)));
         };
         let retry_after = self.retry_after(drain);
@@ -158,8 +160,8 @@
         let Some(rule) = self.rules.classes.get(&arrival.class) else { return };
         let first_token = arrival.first_token.unwrap_or(rule.first_token);
         let give_up = arrival.give_up.unwrap_or(rule.give_up);
-        let work = self.estimates.length(arrival.class, arrival.organisation)
-            + f64::from(arrival.prompt_tokens) / PROMPT_TOKENS_PER_TOKEN;
+        let work = self.estimates.output_tokens(arrival.class, arrival.organisation)
+            + f64::from(arrival.prompt_tokens) / PROMPT_TOKENS_PER_OUTPUT_TOKEN;
         let entry = QueueEntry {
             request: arrival.request,
             arrived: now,
@@ -177,7 +179,7 @@
             tier,
             arrived: now,
             expiry,
-            place: CallPlace::Queued,
+            state: CallState::Queued,
             attempts: 0,
             excluded: vec![],
             may_have_run: false,
@@ -201,33 +203,37 @@
         let mut work = 0.0;
         for (other, count) in state.queue.ahead(tier, class, organisation) {
             ahead += count as f64;
-            work += count as f64 * self.span_of(other);
+            work += count as f64 * self.service_seconds(other);
         }
-        let span = if ahead > 0.0 { work / ahead } else { self.span_of(class) };
-        (ahead + 1.0 - free).max(0.0) * span / capacity
+        let seconds =
+            if ahead > 0.0 { work / ahead } else { self.service_seconds(class) };
+        (ahead + 1.0 - free).max(0.0) * seconds / capacity
     }
 
     /// Returns the expected service time of a class, in seconds.
-    fn span_of(&self, class: ClassId) -> f64 {
-        self.estimates.span(class).unwrap_or(FIRST_SPAN)
+    fn service_seconds(&self, class: ClassId) -> f64 {
+        self.estimates
+            .service_seconds(class)
+            .unwrap_or(DEFAULT_SERVICE_SECONDS)
     }
 
     /// Returns how long a whole queue takes to drain, in seconds.
-    pub(super) fn drain_span(&self, pool: PoolId) -> f64 {
+    pub(super) fn drain_seconds(&self, pool: PoolId) -> f64 {
         let Some(state) = self.pools.get(&pool) else { return 1.0 };
         let all = state.queue.ahead(TierRank::MAX, u16::MAX, u16::MAX);
-        let work: f64 =
-            all.map(|(class, count)| count as f64 * self.span_of(class)).sum();
+        let work: f64 = all
+            .map(|(class, count)| count as f64 * self.service_seconds(class))
+            .sum();
         work / f64::from(state.capacity.max(1))
     }
 
     /// Turns a time after which there will be room into what the caller is told: bounded,
     /// and spread so that those refused together don't come back together.
     pub(super) fn retry_after(&mut self, seconds: f64) -> Duration {
-        let spread = 1.0 + RETRY_SPREAD * self.random.random::<f64>();
-        let span = Duration::from_secs_f64((seconds * spread).clamp(0.0, 3600.0));
-        let span = span.clamp(SHORTEST_RETRY, LONGEST_RETRY);
-        Duration::from_millis(span.as_millis() as u64)
+        let spread = 1.0 + RETRY_JITTER * self.random.random::<f64>();
+        let delay = Duration::from_secs_f64((seconds * spread).clamp(0.0, 3600.0));
+        let delay = delay.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+        Duration::from_millis(delay.as_millis() as u64)
     }
 
     /// Refuses a request that no server has seen.
--- a/crates/flaxtide-policy/src/core/dispatch.rs
+++ b/crates/flaxtide-policy/src/core/dispatch.rs
@@ -5,7 +5,7 @@
 use flaxtide_core::{ClassId, FailureReason, PoolId, RequestId, TierRank};
 
 use super::DecisionCore;
-use super::record::{CallPlace, RunningCall};
+use super::record::{CallState, RunningCall};
 use crate::action::{PolicyAction, ServerChoice};
 use crate::choice::{ChoiceQuery, choose_server};
 use crate::queue::QueueHead;
@@ -15,46 +15,46 @@
 
 impl DecisionCore {
     /// Dispatches from every pool while there are slots.
-    pub(super) fn pump_all(&mut self, now: Duration) {
+    pub(super) fn dispatch_all(&mut self, now: Duration) {
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
         for pool in pools {
-            self.pump(pool, now);
+            self.dispatch_pool(pool, now);
         }
     }
 
     /// Dispatches from a pool while there are slots.
-    pub(super) fn pump(&mut self, pool: PoolId, now: Duration) {
+    pub(super) fn dispatch_pool(&mut self, pool: PoolId, now: Duration) {
         self.refresh(pool, now);
-        self.pump_retries(pool, now);
-        while self.pump_starved(pool, now) || self.pump_next(pool, now) {}
+        self.dispatch_retries(pool, now);
+        while self.dispatch_starved(pool, now) || self.dispatch_next(pool, now) {}
     }
 
     /// Dispatches what failed at one server to another.
-    fn pump_retries(&mut self, pool: PoolId, now: Duration) {
+    fn dispatch_retries(&mut self, pool: PoolId, now: Duration) {
         let Some(state) = self.pools.get_mut(&pool) else { return };
         if state.retries.is_empty() {
             return;
         }
         let waiting = std::mem::take(&mut state.retries);
-        let mut left = vec![];
+        let mut remaining = vec![];
         for request in waiting {
             let Some(call) = self.calls.get(&request) else { continue };
             let tier = call.tier;
             match self.choose(pool, request, tier, now) {
                 Some(choice) => self.dispatch(request, choice, tier, now),
-                None => left.push(request),
+                None => remaining.push(request),
             }
         }
         if let Some(state) = self.pools.get_mut(&pool) {
-            state.retries = left;
+            state.retries = remaining;
         }
     }
 
     /// Gives a turn to a class past its starvation bound, if one is due: at most one in
     /// so many turns. For this turn the class counts as of the top tier.
-    fn pump_starved(&mut self, pool: PoolId, now: Duration) -> bool {
+    fn dispatch_starved(&mut self, pool: PoolId, now: Duration) -> bool {
         let Some(state) = self.pools.get(&pool) else { return false };
-        if state.turns < self.options.starvation_turns {
+        if state.turns_since_starved < self.options.starvation_turns {
             return false;
         }
         let bound = |class| {
@@ -62,29 +62,29 @@
             rule.map_or(Duration::MAX, |rule| rule.starvation_bound)
         };
         let Some(head) = state.queue.starved(now, bound) else { return false };
-        if !self.pump_head(pool, &head, TOP_TIER, now) {
+        if !self.dispatch_head(pool, &head, TOP_TIER, now) {
             return false;
         }
         if let Some(state) = self.pools.get_mut(&pool) {
-            state.turns = 0;
+            state.turns_since_starved = 0;
         }
         true
     }
 
     /// Gives the next turn in order.
-    fn pump_next(&mut self, pool: PoolId, now: Duration) -> bool {
+    fn dispatch_next(&mut self, pool: PoolId, now: Duration) -> bool {
         let Some(state) = self.pools.get(&pool) else { return false };
         let Some(head) = state.queue.next() else { return false };
-        if self.would_miss(pool, &head, now) {
+        if self.would_miss_deadline(pool, &head, now) {
             self.remove_waiting(head.entry.request);
-            self.refuse_late(head.entry.request, pool);
+            self.refuse_expired(head.entry.request, pool);
             return true;
         }
-        self.pump_head(pool, &head, head.tier, now)
+        self.dispatch_head(pool, &head, head.tier, now)
     }
 
     /// Dispatches the head of a queue, if a server has a slot for it.
-    fn pump_head(
+    fn dispatch_head(
         &mut self,
         pool: PoolId,
         head: &QueueHead,
@@ -97,19 +97,19 @@
         let weight = organisation.map_or(1, |rule| rule.priority);
         if let Some(state) = self.pools.get_mut(&pool) {
             state.queue.pop(head, weight, now);
-            state.turns = state.turns.saturating_add(1);
+            state.turns_since_starved = state.turns_since_starved.saturating_add(1);
         }
         self.dispatch(request, choice, tier, now);
         true
     }
 
     /// Tells whether a request that has waited would be answered too late to be of use.
-    fn would_miss(&self, pool: PoolId, head: &QueueHead, now: Duration) -> bool {
+    fn would_miss_deadline(&self, pool: PoolId, head: &QueueHead, now: Duration) -> bool {
         if now == head.entry.arrived {
             return false;
         }
         let Some(call) = self.calls.get(&head.entry.request) else { return false };
-        let first_token = Duration::from_secs_f64(self.typical_first_token(pool));
+        let first_token = Duration::from_secs_f64(self.mean_first_token(pool));
         now + first_token > call.expiry
     }
 
@@ -143,22 +143,28 @@
     ) {
         let Some(call) = self.calls.get_mut(&request) else { return };
         self.expiries.remove(&(call.expiry, request));
-        let since = now;
+        let dispatched_at = now;
         let server = choice.server;
-        call.place =
-            CallPlace::Running(RunningCall { server, tier, since, first_token: None });
+        call.state = CallState::Running(RunningCall {
+            server,
+            tier,
+            dispatched_at,
+            first_token: None,
+        });
         call.attempts += 1;
         let attempt = call.attempts;
-        let may_move = call.arrival.repeatable && attempt < self.options.attempt_limit;
+        let may_fail_over =
+            call.arrival.repeatable && attempt < self.options.attempt_limit;
         let (pool, class) = (call.arrival.pool, call.arrival.class);
         if let Some(server) = self.servers.get_mut(server) {
-            server.start(tier, now);
+            server.record_dispatch(tier, now);
         }
         if let Some(state) = self.pools.get_mut(&pool) {
             *state.running.entry(tier).or_default() += 1;
         }
-        let silence_timeout =
-            may_move.then(|| self.silence_timeout(pool, class, tier)).flatten();
+        let silence_timeout = may_fail_over
+            .then(|| self.silence_timeout(pool, class, tier))
+            .flatten();
         let priority = tier;
         self.actions.push(PolicyAction::Dispatch {
             request,
@@ -177,8 +183,8 @@
         class: ClassId,
         tier: TierRank,
     ) -> Option<Duration> {
-        let usual = self.pools.get(&pool)?.first_token.get()?;
-        let timeout = Duration::from_secs_f64(usual * self.options.patience_factor);
+        let mean = self.pools.get(&pool)?.first_token.get()?;
+        let timeout = Duration::from_secs_f64(mean * self.options.patience_factor);
         let timeout = timeout.max(self.options.patience_floor);
         if tier == TOP_TIER {
             return Some(timeout);
@@ -201,17 +207,17 @@
             let (pool, may_have_run) = (call.arrival.pool, call.may_have_run);
             self.remove_waiting(request);
             if may_have_run {
-                let retry_after = self.backlog_retry(pool);
+                let retry_after = self.backlog_retry_after(pool);
                 self.actions.push(PolicyAction::GiveUp { request, retry_after });
             } else {
-                self.refuse_late(request, pool);
+                self.refuse_expired(request, pool);
             }
         }
     }
 
     /// Refuses a request that waited too long.
-    fn refuse_late(&mut self, request: RequestId, pool: PoolId) {
-        let retry_after = self.backlog_retry(pool);
+    fn refuse_expired(&mut self, request: RequestId, pool: PoolId) {
+        let retry_after = self.backlog_retry_after(pool);
         self.refuse(request, FailureReason::DeadlinePassed, retry_after);
     }
 
@@ -220,14 +226,14 @@
         let Some(call) = self.calls.remove(&request) else { return };
         self.expiries.remove(&(call.expiry, request));
         let Some(state) = self.pools.get_mut(&call.arrival.pool) else { return };
-        match call.place {
-            CallPlace::Queued => {
+        match call.state {
+            CallState::Queued => {
                 let (class, organisation) =
                     (call.arrival.class, call.arrival.organisation);
                 state.queue.remove(call.tier, class, organisation, request);
             }
-            CallPlace::Retrying => state.retries.retain(|other| *other != request),
-            CallPlace::Running(_) => {}
+            CallState::Retrying => state.retries.retain(|other| *other != request),
+            CallState::Running(_) => {}
         }
     }
 }
--- a/crates/flaxtide-policy/src/core/mod.rs
+++ b/crates/flaxtide-policy/src/core/mod.rs
@@ -19,13 +19,13 @@
 use crate::budget::RetryBudget;
 use crate::estimate::WorkEstimates;
 use crate::event::PolicyEvent;
-use crate::limit::RateLimit;
+use crate::limit::OrganisationLimit;
 use crate::options::PolicyOptions;
 use crate::rule::{ClassRule, RuleSet};
 use crate::server::{BackendServer, ServerTable};
 
 /// How often every pool is looked at, whatever happens.
-const PUMP_PERIOD: Duration = Duration::from_millis(50);
+const DISPATCH_PERIOD: Duration = Duration::from_millis(50);
 
 /// Decides about every request of one entry instance.
 ///
@@ -50,19 +50,19 @@
     /// When each waiting request is given up.
     expiries: BTreeSet<(Duration, RequestId)>,
     /// The limits of organisations.
-    limits: HashMap<OrganisationId, RateLimit>,
+    rate_limits: HashMap<OrganisationId, OrganisationLimit>,
     /// How many requests of each limited organisation came.
-    usage: BTreeMap<OrganisationId, u32>,
+    arrival_counts: BTreeMap<OrganisationId, u32>,
     /// Estimates of answer lengths and service times.
     estimates: WorkEstimates,
     /// What may be spent on retries.
-    budget: RetryBudget,
+    retry_budget: RetryBudget,
     /// When every pool was last looked at.
-    pumped: Duration,
+    last_dispatch: Duration,
     /// The source of randomness.
     random: ChaCha8Rng,
     /// How many instances of the data centre are alive, this one included.
-    live: u32,
+    live_instances: u32,
     /// What has been decided in the current event.
     actions: Vec<PolicyAction>,
 }
@@ -82,7 +82,7 @@
     /// Starts a core without any rules.
     #[must_use]
     pub fn new(options: PolicyOptions, seed: u64) -> Self {
-        let budget = RetryBudget::new(options.retry_ratio, options.retry_burst);
+        let retry_budget = RetryBudget::new(options.retry_ratio, options.retry_burst);
         Self {
             options,
             rules: RuleSet::default(),
@@ -90,13 +90,13 @@
             pools: BTreeMap::new(),
             calls: HashMap::new(),
             expiries: BTreeSet::new(),
-            limits: HashMap::new(),
-            usage: BTreeMap::new(),
+            rate_limits: HashMap::new(),
+            arrival_counts: BTreeMap::new(),
             estimates: WorkEstimates::default(),
-            budget,
+            retry_budget,
             random: ChaCha8Rng::seed_from_u64(seed),
-            pumped: Duration::ZERO,
-            live: 1,
+            last_dispatch: Duration::ZERO,
+            live_instances: 1,
             actions: vec![],
         }
     }
@@ -120,7 +120,7 @@
             }
             PolicyEvent::Report(report) => {
                 if let Some(server) = self.servers.get_mut(report.server) {
-                    server.report(report);
+                    server.record_report(report);
                 }
             }
             PolicyEvent::ServerLeaving { server, leaving } => {
@@ -139,16 +139,16 @@
             }
             PolicyEvent::Tick => {}
         }
-        self.pump_due(now);
+        self.dispatch_if_due(now);
         std::mem::take(&mut self.actions)
     }
 
     /// Dispatches what time alone makes possible, such as a retry whose server is back:
     /// with every event, but not too often. Ticks may be starved by other events.
-    fn pump_due(&mut self, now: Duration) {
-        if now >= self.pumped + PUMP_PERIOD {
-            self.pumped = now;
-            self.pump_all(now);
+    fn dispatch_if_due(&mut self, now: Duration) {
+        if now >= self.last_dispatch + DISPATCH_PERIOD {
+            self.last_dispatch = now;
+            self.dispatch_all(now);
         }
     }
 
@@ -188,24 +188,24 @@
         self.servers.set_rules(&rules.servers);
         for state in self.pools.values_mut() {
             state.servers.members.clear();
-            state.servers.places.clear();
+            state.servers.indices.clear();
         }
-        for (place, server) in self.servers.iter() {
+        for (index, server) in self.servers.iter() {
             for pool in &server.pools {
                 let pool = &mut self.pools.entry(*pool).or_default().servers;
                 pool.members.push(server.server);
-                pool.places.push(place);
+                pool.indices.push(index);
             }
         }
         self.rules = rules;
         self.refresh_all(now);
-        self.pump_all(now);
+        self.dispatch_all(now);
     }
 
     /// Returns how many requests of each limited organisation came since the last call,
     /// refused ones included.
     pub fn take_usage(&mut self) -> BTreeMap<OrganisationId, u32> {
-        std::mem::take(&mut self.usage)
+        std::mem::take(&mut self.arrival_counts)
     }
 
     /// Takes in whether a server is leaving.
@@ -216,19 +216,19 @@
         }
         server.leaving = leaving;
         self.refresh_all(now);
-        self.pump_all(now);
+        self.dispatch_all(now);
     }
 
     /// Sets how many instances are alive, and the shares that hold without news.
     fn set_peers(&mut self, live: u32, fallbacks: &[(ServerId, u32)], now: Duration) {
-        self.live = live.max(1);
+        self.live_instances = live.max(1);
         for (server, slots) in fallbacks {
             if let Some(server) = self.servers.get_mut(*server) {
-                server.fallback = *slots;
+                server.fallback_share = *slots;
             }
         }
         self.refresh_all(now);
-        self.pump_all(now);
+        self.dispatch_all(now);
     }
 
     /// Sets this instance's part of an organisation's rate.
@@ -242,9 +242,9 @@
         let Some(rule) = self.rules.organisations.get(&organisation) else { return };
         let Some(rate) = rule.requests_per_second else { return };
         let limit = self
-            .limits
+            .rate_limits
             .entry(organisation)
-            .or_insert_with(|| RateLimit::new(f64::from(rate) * share, now));
+            .or_insert_with(|| OrganisationLimit::new(f64::from(rate) * share, now));
         limit.set_share(share, until);
     }
 
--- a/crates/flaxtide-policy/src/core/outcome.rs
+++ b/crates/flaxtide-policy/src/core/outcome.rs
@@ -5,23 +5,23 @@
 use flaxtide_core::{FailureReason, PoolId, RequestId};
 
 use super::DecisionCore;
-use super::record::{CallPlace, CallRecord, RunningCall};
+use super::record::{CallRecord, CallState, RunningCall};
 use crate::action::PolicyAction;
 use crate::event::ServerFault;
 
 /// A server that stalls counts as this many times slower than its pool.
-const STALL_SLOWNESS: f64 = 5.0;
+const STALL_SLOWDOWN: f64 = 5.0;
 
 impl DecisionCore {
     /// Takes in the first token of an answer.
     pub(super) fn first_token(&mut self, request: RequestId, now: Duration) {
         let Some(call) = self.calls.get_mut(&request) else { return };
-        let CallPlace::Running(running) = &mut call.place else { return };
+        let CallState::Running(running) = &mut call.state else { return };
         running.first_token = Some(now);
-        let (since, server) = (running.since, running.server);
+        let (dispatched_at, server) = (running.dispatched_at, running.server);
         let pool = call.arrival.pool;
         if let Some(state) = self.pools.get_mut(&pool) {
-            state.first_token.add(now.saturating_sub(since).as_secs_f64());
+            state.first_token.add(now.saturating_sub(dispatched_at).as_secs_f64());
         }
         if let Some(server) = self.servers.get_mut(server) {
             server.resume();
@@ -37,7 +37,7 @@
             return;
         }
         if let Some(server) = self.servers.get_mut(running.server) {
-            server.add_pace(span.as_secs_f64() / f64::from(tokens));
+            server.add_token_seconds(span.as_secs_f64() / f64::from(tokens));
         }
     }
 
@@ -46,10 +46,10 @@
         let running = self.calls.get(&request).and_then(CallRecord::running);
         let Some(running) = running else { return };
         let Some(call) = self.calls.remove(&request) else { return };
-        let span = now.saturating_sub(running.since);
+        let span = now.saturating_sub(running.dispatched_at);
         let arrival = &call.arrival;
         self.estimates.add(arrival.class, arrival.organisation, tokens, span);
-        self.budget.earn();
+        self.retry_budget.deposit();
         self.free_slot(&call, running, now);
     }
 
@@ -66,7 +66,7 @@
             self.calls.insert(request, call);
             return;
         };
-        self.punish(running, fault, now);
+        self.record_fault(running, fault, now);
         let ran = matches!(fault, ServerFault::Broken | ServerFault::Stalled);
         call.may_have_run |= ran;
         self.exclude(&mut call, running);
@@ -93,7 +93,7 @@
     }
 
     /// Lets a server that failed rest, or lowers its standing.
-    fn punish(&mut self, running: RunningCall, fault: ServerFault, now: Duration) {
+    fn record_fault(&mut self, running: RunningCall, fault: ServerFault, now: Duration) {
         let pause = self.options.failure_pause;
         let Some(server) = self.servers.get_mut(running.server) else { return };
         match fault {
@@ -102,8 +102,8 @@
             // Lower tiers stall when they are preempted; that isn't the server's fault.
             ServerFault::Stalled if running.tier > 0 => {}
             ServerFault::Stalled => {
-                let pace = server.pace().unwrap_or(1.0);
-                server.add_pace(pace * STALL_SLOWNESS);
+                let seconds = server.token_seconds().unwrap_or(1.0);
+                server.add_token_seconds(seconds * STALL_SLOWDOWN);
             }
         }
     }
@@ -112,8 +112,8 @@
     /// has: then another try at the first is better than none.
     fn exclude(&self, call: &mut CallRecord, running: RunningCall) {
         call.excluded.push(running.server);
-        let mut staying = self.staying(call.arrival.pool);
-        if staying.all(|server| call.excluded.contains(&server.server)) {
+        let mut non_leaving_servers = self.non_leaving_servers(call.arrival.pool);
+        if non_leaving_servers.all(|server| call.excluded.contains(&server.server)) {
             call.excluded.clear();
         }
     }
@@ -127,7 +127,7 @@
             // Nothing has been spent on it, so nothing is taken from the budget.
             return true;
         }
-        call.arrival.repeatable && self.budget.spend()
+        call.arrival.repeatable && self.retry_budget.withdraw()
     }
 
     /// Puts a failed request back to be tried at another server.
@@ -138,7 +138,7 @@
             let span = call.expiry.saturating_sub(call.arrived);
             call.expiry = now + span;
         }
-        call.place = CallPlace::Retrying;
+        call.state = CallState::Retrying;
         self.expiries.insert((call.expiry, request));
         if let Some(state) = self.pools.get_mut(&call.arrival.pool) {
             state.retries.push(request);
@@ -149,7 +149,7 @@
     /// Ends a request that isn't tried again.
     fn end_failed(&mut self, call: &CallRecord) {
         let request = call.arrival.request;
-        let retry_after = self.backlog_retry(call.arrival.pool);
+        let retry_after = self.backlog_retry_after(call.arrival.pool);
         if call.may_have_run {
             self.actions.push(PolicyAction::GiveUp { request, retry_after });
         } else {
@@ -160,7 +160,7 @@
     /// Frees the slot of a request and gives it to the next.
     fn free_slot(&mut self, call: &CallRecord, running: RunningCall, now: Duration) {
         if let Some(server) = self.servers.get_mut(running.server) {
-            server.end(running.tier);
+            server.record_end(running.tier);
         }
         let pool = call.arrival.pool;
         if let Some(state) = self.pools.get_mut(&pool)
@@ -168,21 +168,21 @@
         {
             *count = count.saturating_sub(1);
         }
-        self.pump_around(pool, running, now);
+        self.dispatch_freed(pool, running, now);
     }
 
     /// Dispatches from every pool that the freed server serves.
-    fn pump_around(&mut self, pool: PoolId, running: RunningCall, now: Duration) {
+    fn dispatch_freed(&mut self, pool: PoolId, running: RunningCall, now: Duration) {
         let server = self.servers.get(running.server);
         let pools = server.map_or_else(|| vec![pool], |server| server.pools.clone());
         for pool in pools {
-            self.pump(pool, now);
+            self.dispatch_pool(pool, now);
         }
     }
 
     /// Returns when a caller may come back to a pool, from the backlog of its queue.
-    pub(super) fn backlog_retry(&mut self, pool: PoolId) -> Duration {
-        let backlog = self.drain_span(pool);
+    pub(super) fn backlog_retry_after(&mut self, pool: PoolId) -> Duration {
+        let backlog = self.drain_seconds(pool);
         self.retry_after(backlog)
     }
 }
--- a/crates/flaxtide-policy/src/core/pool.rs
+++ b/crates/flaxtide-policy/src/core/pool.rs
@@ -34,16 +34,16 @@
     /// This instance's requests at servers, by tier.
     pub(crate) running: BTreeMap<TierRank, u32>,
     /// How many turns there have been since a starved class had one.
-    pub(crate) turns: u32,
+    pub(crate) turns_since_starved: u32,
     /// When what is typical was last worked out.
-    refreshed: Option<Duration>,
+    refreshed_at: Option<Duration>,
 }
 
 impl PoolState {
     /// Returns how the pool stands.
     pub(crate) fn summary(&self) -> PoolSummary {
         PoolSummary {
-            waiting: self.queue.by_tier(),
+            waiting: self.queue.count_by_tier(),
             running: self.running.clone(),
             capacity: self.capacity,
         }
@@ -61,30 +61,33 @@
         options: &PolicyOptions,
         now: Duration,
     ) {
-        self.refreshed = Some(now);
-        let mut paces = vec![];
+        self.refreshed_at = Some(now);
+        let mut token_times = vec![];
         let mut loads = vec![];
         self.capacity = 0;
-        for server in servers.at(&self.servers.places) {
+        for server in servers.at(&self.servers.indices) {
             if !server.in_service(now) {
                 continue;
             }
-            paces.extend(server.pace().map(|pace| (pace, server.server)));
+            token_times
+                .extend(server.token_seconds().map(|seconds| (seconds, server.server)));
             loads.extend(server.reported_load());
-            if !server.probation {
+            if !server.on_probation {
                 // Shares follow demand within a few periods, so a small one that is left
                 // from quieter times says little of what can be served soon.
-                let usable = server.usable(TOP_TIER, now, options.idle_part);
-                self.capacity += usable.max(server.fallback);
+                let usable = server.usable_slots(TOP_TIER, now, options.idle_part);
+                self.capacity += usable.max(server.fallback_share);
             }
         }
-        self.servers.typical_load = match loads.len() {
+        self.servers.mean_load = match loads.len() {
             0 => 0.0,
             count => loads.iter().sum::<f64>() / count as f64,
         };
-        paces.sort_by(|one, other| one.0.total_cmp(&other.0));
-        self.servers.typical_pace = paces.get(paces.len() / 2).map_or(0.0, |pace| pace.0);
-        self.set_probation(servers, options, &paces);
+        token_times.sort_by(|one, other| one.0.total_cmp(&other.0));
+        self.servers.median_token_seconds = token_times
+            .get(token_times.len() / 2)
+            .map_or(0.0, |seconds| seconds.0);
+        self.set_probation(servers, options, &token_times);
     }
 
     /// Puts the slowest servers on probation, but not too many.
@@ -92,13 +95,14 @@
         &self,
         servers: &mut ServerTable,
         options: &PolicyOptions,
-        paces: &[(f64, ServerId)],
+        token_times: &[(f64, ServerId)],
     ) {
-        let limit = self.servers.typical_pace * options.probation_factor;
-        let most = (self.servers.members.len() as f64 * options.probation_part) as usize;
-        for (rank, (pace, id)) in paces.iter().rev().enumerate() {
+        let limit = self.servers.median_token_seconds * options.probation_factor;
+        let max_count =
+            (self.servers.members.len() as f64 * options.probation_part) as usize;
+        for (rank, (seconds, id)) in token_times.iter().rev().enumerate() {
             if let Some(server) = servers.get_mut(*id) {
-                server.probation = rank < most && *pace > limit;
+                server.on_probation = rank < max_count && *seconds > limit;
             }
         }
     }
@@ -108,16 +112,19 @@
     /// Works out what is typical of a pool, unless that was done a moment ago.
     pub(super) fn refresh(&mut self, pool: PoolId, now: Duration) {
         let Some(state) = self.pools.get_mut(&pool) else { return };
-        if state.refreshed.is_some_and(|at| now < at + REFRESH_PERIOD) {
+        if state.refreshed_at.is_some_and(|at| now < at + REFRESH_PERIOD) {
             return;
         }
         state.refresh(&mut self.servers, &self.options, now);
     }
 
     /// Returns the servers of a pool that aren't leaving.
-    pub(super) fn staying(&self, pool: PoolId) -> impl Iterator<Item = &BackendServer> {
-        let places = self.pools.get(&pool).map(|state| state.servers.places.as_slice());
-        let servers = self.servers.at(places.unwrap_or_default());
+    pub(super) fn non_leaving_servers(
+        &self,
+        pool: PoolId,
+    ) -> impl Iterator<Item = &BackendServer> {
+        let indices = self.pools.get(&pool).map(|state| state.servers.indices.as_slice());
+        let servers = self.servers.at(indices.unwrap_or_default());
         servers.filter(|server| !server.leaving)
     }
 
@@ -129,7 +136,7 @@
     }
 
     /// Returns the servers' typical time to a first token in a pool, in seconds.
-    pub(super) fn typical_first_token(&self, pool: PoolId) -> f64 {
+    pub(super) fn mean_first_token(&self, pool: PoolId) -> f64 {
         self.pools
             .get(&pool)
             .and_then(|state| state.first_token.get())
--- a/crates/flaxtide-policy/src/core/record.rs
+++ b/crates/flaxtide-policy/src/core/record.rs
@@ -18,7 +18,7 @@
     /// When it is given up if it still waits.
     pub(crate) expiry: Duration,
     /// Where it is.
-    pub(crate) place: CallPlace,
+    pub(crate) state: CallState,
     /// How often it has been dispatched.
     pub(crate) attempts: u8,
     /// The servers that have failed it.
@@ -29,7 +29,7 @@
 
 /// Where a request is.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum CallPlace {
+pub(crate) enum CallState {
     /// In its pool's queue.
     Queued,
     /// Among its pool's retries.
@@ -46,7 +46,7 @@
     /// The tier whose slot it uses.
     pub(crate) tier: TierRank,
     /// When it was dispatched.
-    pub(crate) since: Duration,
+    pub(crate) dispatched_at: Duration,
     /// When the first token came.
     pub(crate) first_token: Option<Duration>,
 }
@@ -54,9 +54,9 @@
 impl CallRecord {
     /// Returns where the request runs, if it does.
     pub(crate) fn running(&self) -> Option<RunningCall> {
-        match self.place {
-            CallPlace::Running(running) => Some(running),
-            CallPlace::Queued | CallPlace::Retrying => None,
+        match self.state {
+            CallState::Running(running) => Some(running),
+            CallState::Queued | CallState::Retrying => None,
         }
     }
 }
--- a/crates/flaxtide-policy/src/estimate.rs
+++ b/crates/flaxtide-policy/src/estimate.rs
@@ -6,13 +6,13 @@
 use flaxtide_core::{ClassId, OrganisationId};
 
 /// How much the newest sample moves a running mean.
-const MEAN_WEIGHT: f64 = 0.05;
+const NEWEST_WEIGHT: f64 = 0.05;
 
 /// How many samples a mean takes equally before it decays.
-const WARM_SAMPLES: f64 = 1.0 / MEAN_WEIGHT;
+const MAX_SAMPLES: f64 = 1.0 / NEWEST_WEIGHT;
 
 /// The expected answer length before any answer of a class has ended, in tokens.
-const FIRST_LENGTH: f64 = 128.0;
+const DEFAULT_OUTPUT_TOKENS: f64 = 128.0;
 
 /// A decayed mean.
 #[derive(Debug, Clone, Copy, Default)]
@@ -26,7 +26,7 @@
 impl DecayedMean {
     /// Takes in a sample.
     pub(crate) fn add(&mut self, sample: f64) {
-        self.samples = (self.samples + 1.0).min(WARM_SAMPLES);
+        self.samples = (self.samples + 1.0).min(MAX_SAMPLES);
         self.mean += (sample - self.mean) / self.samples;
     }
 
@@ -40,11 +40,11 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct WorkEstimates {
     /// Tokens of an answer, by class and organisation.
-    lengths: HashMap<(ClassId, OrganisationId), DecayedMean>,
+    output_tokens: HashMap<(ClassId, OrganisationId), DecayedMean>,
     /// Tokens of an answer, by class.
-    class_lengths: HashMap<ClassId, DecayedMean>,
+    class_output_tokens: HashMap<ClassId, DecayedMean>,
     /// Seconds from dispatch to the end of the answer, by class.
-    spans: HashMap<ClassId, DecayedMean>,
+    service_seconds: HashMap<ClassId, DecayedMean>,
 }
 
 impl WorkEstimates {
@@ -57,21 +57,31 @@
         span: Duration,
     ) {
         let tokens = f64::from(tokens);
-        self.lengths.entry((class, organisation)).or_default().add(tokens);
-        self.class_lengths.entry(class).or_default().add(tokens);
-        self.spans.entry(class).or_default().add(span.as_secs_f64());
+        self.output_tokens
+            .entry((class, organisation))
+            .or_default()
+            .add(tokens);
+        self.class_output_tokens.entry(class).or_default().add(tokens);
+        self.service_seconds.entry(class).or_default().add(span.as_secs_f64());
     }
 
     /// Returns the expected answer length, in tokens.
-    pub(crate) fn length(&self, class: ClassId, organisation: OrganisationId) -> f64 {
-        let own = self.lengths.get(&(class, organisation)).and_then(DecayedMean::get);
-        let shared = || self.class_lengths.get(&class).and_then(DecayedMean::get);
-        own.or_else(shared).unwrap_or(FIRST_LENGTH)
+    pub(crate) fn output_tokens(
+        &self,
+        class: ClassId,
+        organisation: OrganisationId,
+    ) -> f64 {
+        let own = self
+            .output_tokens
+            .get(&(class, organisation))
+            .and_then(DecayedMean::get);
+        let shared = || self.class_output_tokens.get(&class).and_then(DecayedMean::get);
+        own.or_else(shared).unwrap_or(DEFAULT_OUTPUT_TOKENS)
     }
 
     /// Returns the expected time from dispatch to the end, if a request of the class has
     /// ended.
-    pub(crate) fn span(&self, class: ClassId) -> Option<f64> {
-        self.spans.get(&class).and_then(DecayedMean::get)
+    pub(crate) fn service_seconds(&self, class: ClassId) -> Option<f64> {
+        self.service_seconds.get(&class).and_then(DecayedMean::get)
     }
 }
--- a/crates/flaxtide-policy/src/lease.rs
+++ b/crates/flaxtide-policy/src/lease.rs
@@ -78,25 +78,25 @@
 #[derive(Debug, Clone)]
 pub struct LeaseWatch {
     /// Who looks.
-    own: String,
+    holder: String,
     /// How long things take.
     timing: LeaseTiming,
     /// Since when it has looked.
     started: Duration,
     /// Each fencing number of its own is above this.
-    floor: u64,
+    min_fence: u64,
     /// The row as last seen, with its version, and since when it has been so.
-    seen: Option<(LeaseRow, u64, Duration)>,
+    last_row: Option<(LeaseRow, u64, Duration)>,
     /// When the row was last read or written.
-    looked: Option<Duration>,
+    last_access: Option<Duration>,
     /// The lease, while this instance holds it.
     held: Option<HeldLease>,
     /// Until when it may have held the lease last.
     held_until: Duration,
     /// A write of which it isn't known whether it has taken effect.
-    unknown: Option<UnknownWrite>,
+    unconfirmed: Option<UnconfirmedWrite>,
     /// What the holder is to change in the row.
-    change: Option<LeaseChange>,
+    pending_change: Option<LeaseChange>,
 }
 
 /// A lease that is held.
@@ -107,25 +107,25 @@
     /// The version of the row.
     version: u64,
     /// When it was got.
-    since: Duration,
+    acquired_at: Duration,
     /// From when it was last renewed: before that was asked for.
-    from: Duration,
+    renewed_at: Duration,
 }
 
 /// A write without an answer.
 #[derive(Debug, Clone, Copy)]
-struct UnknownWrite {
+struct UnconfirmedWrite {
     /// The fencing number in it.
     fence: u64,
     /// When it was first asked for.
-    asked: Duration,
+    requested_at: Duration,
 }
 
 /// A change that a holder makes with its next write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseChange {
     /// A higher fencing number.
-    Renumber,
+    AdvanceFence,
     /// The end of the lease.
     Release,
 }
@@ -133,18 +133,18 @@
 impl LeaseWatch {
     /// Starts without knowing anything.
     #[must_use]
-    pub fn new(own: String, timing: LeaseTiming, now: Duration) -> Self {
+    pub fn new(holder: String, timing: LeaseTiming, now: Duration) -> Self {
         Self {
-            own,
+            holder,
             timing,
             started: now,
-            floor: 0,
-            seen: None,
-            looked: None,
+            min_fence: 0,
+            last_row: None,
+            last_access: None,
             held: None,
             held_until: Duration::ZERO,
-            unknown: None,
-            change: None,
+            unconfirmed: None,
+            pending_change: None,
         }
     }
 
@@ -152,25 +152,25 @@
     /// by a holder that a store which came back from a copy has forgotten. A lease under a lower
     /// number is lost.
     pub fn raise_min_fence(&mut self, used: u64) {
-        self.floor = self.floor.max(used);
+        self.min_fence = self.min_fence.max(used);
         if self.held.is_some_and(|held| held.fence <= used) {
             self.held = None;
         }
-        self.unknown = self.unknown.filter(|write| write.fence > used);
+        self.unconfirmed = self.unconfirmed.filter(|write| write.fence > used);
     }
 
     /// Has the holder take a higher fencing number, so that what it has sent under the present
     /// one is refused if it arrives later.
     pub fn advance_fence(&mut self) {
-        if self.held.is_some() && self.change.is_none() {
-            self.change = Some(LeaseChange::Renumber);
+        if self.held.is_some() && self.pending_change.is_none() {
+            self.pending_change = Some(LeaseChange::AdvanceFence);
         }
     }
 
     /// Has the holder write the row at once.
     pub fn renew(&mut self) {
         if self.held.is_some() {
-            self.looked = None;
+            self.last_access = None;
         }
     }
 
@@ -178,31 +178,34 @@
     /// the row says.
     pub fn record_lost(&mut self) {
         self.held = None;
-        self.seen = None;
-        self.unknown = None;
-        self.change = self.change.filter(|change| *change == LeaseChange::Release);
+        self.last_row = None;
+        self.unconfirmed = None;
+        self.pending_change =
+            self.pending_change.filter(|change| *change == LeaseChange::Release);
     }
 
     /// Returns whether the lease holds, and gets another number.
     #[must_use]
     pub fn is_advancing_fence(&self, now: Duration) -> bool {
-        self.change == Some(LeaseChange::Renumber) && self.current(now).is_some()
+        self.pending_change == Some(LeaseChange::AdvanceFence)
+            && self.current_lease(now).is_some()
     }
 
     /// Gives the lease up, and stands for it no more.
     pub fn release(&mut self) {
-        self.change = Some(LeaseChange::Release);
+        self.pending_change = Some(LeaseChange::Release);
     }
 
     /// Returns whether nothing is left to be done after a release.
     #[must_use]
     pub fn is_released(&self, now: Duration) -> bool {
-        self.change == Some(LeaseChange::Release) && self.current(now).is_none()
+        self.pending_change == Some(LeaseChange::Release)
+            && self.current_lease(now).is_none()
     }
 
     /// Returns the lease, if it holds.
-    fn current(&self, now: Duration) -> Option<HeldLease> {
-        self.held.filter(|held| now < held.from + self.timing.term)
+    fn current_lease(&self, now: Duration) -> Option<HeldLease> {
+        self.held.filter(|held| now < held.renewed_at + self.timing.term)
     }
 
     /// Returns what to do next.
@@ -211,12 +214,12 @@
         if self.is_released(now) {
             return LeaseStep::Wait;
         }
-        if let Some(held) = self.current(now) {
-            return self.step_of_holder(held, now);
+        if let Some(held) = self.current_lease(now) {
+            return self.holder_step(held, now);
         }
-        let Some(looked) = self.looked else { return LeaseStep::Read };
-        if now == looked && self.is_free(now) {
-            return self.take();
+        let Some(last_access) = self.last_access else { return LeaseStep::Read };
+        if now == last_access && self.is_free(now) {
+            return self.acquire_step();
         }
         if self.is_due(now, self.timing.poll_period) {
             return LeaseStep::Read;
@@ -225,27 +228,29 @@
     }
 
     /// Returns what a holder is to do next.
-    fn step_of_holder(&self, held: HeldLease, now: Duration) -> LeaseStep {
-        if self.unknown.is_some() {
-            if self.looked != Some(now) {
+    fn holder_step(&self, held: HeldLease, now: Duration) -> LeaseStep {
+        if self.unconfirmed.is_some() {
+            if self.last_access != Some(now) {
                 let due = self.is_due(now, self.timing.check_period);
                 return if due { LeaseStep::Read } else { LeaseStep::Wait };
             }
-        } else if self.change.is_none() && !self.is_due(now, self.timing.poll_period) {
+        } else if self.pending_change.is_none()
+            && !self.is_due(now, self.timing.poll_period)
+        {
             return LeaseStep::Wait;
         }
-        let renumbered = self.change == Some(LeaseChange::Renumber);
+        let advances = self.pending_change == Some(LeaseChange::AdvanceFence);
         let row = LeaseRow {
-            holder: self.own.clone(),
-            fence: held.fence + u64::from(renumbered),
-            released: self.change == Some(LeaseChange::Release),
+            holder: self.holder.clone(),
+            fence: held.fence + u64::from(advances),
+            released: self.pending_change == Some(LeaseChange::Release),
         };
         LeaseStep::Write { expected: Some(held.version), row }
     }
 
     /// Returns whether so long has passed since the last look.
     fn is_due(&self, now: Duration, period: Duration) -> bool {
-        self.looked.is_none_or(|looked| now >= looked + period)
+        self.last_access.is_none_or(|last_access| now >= last_access + period)
     }
 
     /// Returns whether the lease may be taken, as of the last look.
@@ -254,18 +259,18 @@
         // give the lease up. The holder before it isn't to follow: this instance, or its last life.
         let last = self.started.max(self.held_until);
         let settled = now >= last + self.timing.term;
-        let Some((row, _, since)) = &self.seen else {
+        let Some((row, _, since)) = &self.last_row else {
             // Nobody has a number yet.
-            return self.floor == 0 || settled;
+            return self.min_fence == 0 || settled;
         };
         (row.released && settled) || now >= *since + self.timing.term
     }
 
     /// Returns the step that takes the lease.
-    fn take(&self) -> LeaseStep {
-        let expected = self.seen.as_ref().map(|(_, version, _)| *version);
+    fn acquire_step(&self) -> LeaseStep {
+        let expected = self.last_row.as_ref().map(|(_, version, _)| *version);
         let row = LeaseRow {
-            holder: self.own.clone(),
+            holder: self.holder.clone(),
             fence: self.next_fence(),
             released: false,
         };
@@ -274,36 +279,36 @@
 
     /// Returns a fencing number above all that are known to have been used.
     fn next_fence(&self) -> u64 {
-        let last = self.seen.as_ref().map_or(0, |(row, _, _)| row.fence);
-        last.max(self.floor) + 1
+        let last = self.last_row.as_ref().map_or(0, |(row, _, _)| row.fence);
+        last.max(self.min_fence) + 1
     }
 
     /// Records the row as it is in the table.
     pub fn record_read(&mut self, row: Option<(LeaseRow, u64)>, now: Duration) {
-        self.looked = Some(now);
+        self.last_access = Some(now);
         let Some((row, version)) = row else {
             self.held = None;
-            self.seen = None;
+            self.last_row = None;
             return;
         };
         let unchanged = match self.held {
             Some(held) => held.version == version,
-            None => self.seen.as_ref().is_some_and(|(_, last, _)| *last == version),
+            None => self.last_row.as_ref().is_some_and(|(_, last, _)| *last == version),
         };
         if !unchanged {
             // A write that had no answer has taken effect, or never will.
-            let write = self.unknown.take();
+            let write = self.unconfirmed.take();
             let written = write.filter(|write| {
-                row.holder == self.own && row.fence == write.fence && !row.released
+                row.holder == self.holder && row.fence == write.fence && !row.released
             });
-            match written.filter(|write| now < write.asked + self.timing.term) {
-                Some(write) => self.hold(write.fence, version, write.asked),
+            match written.filter(|write| now < write.requested_at + self.timing.term) {
+                Some(write) => self.set_held(write.fence, version, write.requested_at),
                 None => self.held = None,
             }
         }
-        let same = self.seen.as_ref().is_some_and(|(_, last, _)| *last == version);
+        let same = self.last_row.as_ref().is_some_and(|(_, last, _)| *last == version);
         if !same {
-            self.seen = Some((row, version, now));
+            self.last_row = Some((row, version, now));
         }
     }
 
@@ -313,40 +318,41 @@
         &mut self,
         row: &LeaseRow,
         version: Option<u64>,
-        asked: Duration,
+        requested_at: Duration,
     ) {
-        self.looked = Some(asked);
+        self.last_access = Some(requested_at);
         let Some(version) = version else {
             // Whether it took effect shows at the next look. Until then it counts from the
             // first of such writes.
-            let first = self.unknown.map_or(asked, |write| write.asked);
-            self.unknown = Some(UnknownWrite { fence: row.fence, asked: first });
+            let first = self.unconfirmed.map_or(requested_at, |write| write.requested_at);
+            self.unconfirmed =
+                Some(UnconfirmedWrite { fence: row.fence, requested_at: first });
             if self.held.is_none() {
-                self.looked = None;
+                self.last_access = None;
             }
             return;
         };
-        self.unknown = None;
+        self.unconfirmed = None;
         if row.released {
             self.held = None;
             return;
         }
-        self.hold(row.fence, version, asked);
+        self.set_held(row.fence, version, requested_at);
         // The last writer may take it again a term later.
-        self.seen = Some((row.clone(), version, asked));
+        self.last_row = Some((row.clone(), version, requested_at));
     }
 
     /// Holds the lease from a time on.
-    fn hold(&mut self, fence: u64, version: u64, from: Duration) {
-        if self.change == Some(LeaseChange::Renumber)
+    fn set_held(&mut self, fence: u64, version: u64, renewed_at: Duration) {
+        if self.pending_change == Some(LeaseChange::AdvanceFence)
             && self.held.is_some_and(|held| held.fence < fence)
         {
-            self.change = None;
+            self.pending_change = None;
         }
-        let since = self.held.map_or(from, |held| held.since);
-        self.held = Some(HeldLease { fence, version, since, from });
-        self.held_until = from + self.timing.term;
-        self.floor = self.floor.max(fence);
+        let acquired_at = self.held.map_or(renewed_at, |held| held.acquired_at);
+        self.held = Some(HeldLease { fence, version, acquired_at, renewed_at });
+        self.held_until = renewed_at + self.timing.term;
+        self.min_fence = self.min_fence.max(fence);
     }
 
     /// Returns the fencing number with which an order may be sent now, if any.
@@ -357,16 +363,16 @@
     #[must_use]
     pub fn fence(&self, now: Duration, server_checks: bool) -> Option<u64> {
         // While it gets another number, neither may be used.
-        if self.change.is_some() {
+        if self.pending_change.is_some() {
             return None;
         }
         let held = self.held?;
-        let end = held.from + self.timing.term;
+        let end = held.renewed_at + self.timing.term;
         let delivery = self.timing.longest_delivery;
         let (begin, end) = if server_checks {
-            (held.since, end)
+            (held.acquired_at, end)
         } else {
-            (held.since + delivery, end.saturating_sub(delivery))
+            (held.acquired_at + delivery, end.saturating_sub(delivery))
         };
         (now >= begin && now < end).then_some(held.fence)
     }
--- a/crates/flaxtide-policy/src/limit.rs
+++ b/crates/flaxtide-policy/src/limit.rs
@@ -7,21 +7,21 @@
 
 /// A token bucket for one organisation at one instance.
 #[derive(Debug, Clone)]
-pub(crate) struct RateLimit {
+pub(crate) struct OrganisationLimit {
     /// How many requests may start now.
-    saved: f64,
+    tokens: f64,
     /// When `saved` was worked out.
-    at: Duration,
+    updated_at: Duration,
     /// This instance's share of the rate, and until when it holds.
     share: Option<(f64, Duration)>,
 }
 
-impl RateLimit {
+impl OrganisationLimit {
     /// Starts a limit with a full bucket for the given rate a second.
     pub(crate) fn new(rate: f64, now: Duration) -> Self {
         Self {
-            saved: (rate * BURST.as_secs_f64()).max(1.0),
-            at: now,
+            tokens: (rate * BURST.as_secs_f64()).max(1.0),
+            updated_at: now,
             share: None,
         }
     }
@@ -46,15 +46,15 @@
             _ => 1.0 / f64::from(live.max(1)),
         };
         let rate = f64::from(rate) * share;
-        let elapsed = now.saturating_sub(self.at).as_secs_f64();
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         let burst = (rate * BURST.as_secs_f64()).max(1.0);
-        self.saved = (self.saved + rate * elapsed).min(burst);
-        self.at = now;
-        if self.saved >= 1.0 {
-            self.saved -= 1.0;
+        self.tokens = (self.tokens + rate * elapsed).min(burst);
+        self.updated_at = now;
+        if self.tokens >= 1.0 {
+            self.tokens -= 1.0;
             return Ok(());
         }
-        let wait = (1.0 - self.saved) / rate.max(1e-3);
+        let wait = (1.0 - self.tokens) / rate.max(1e-3);
         Err(Duration::from_secs_f64(wait.min(60.0)))
     }
 }
--- a/crates/flaxtide-policy/src/pushback/bucket.rs
+++ b/crates/flaxtide-policy/src/pushback/bucket.rs
@@ -13,19 +13,19 @@
     /// Requests that may be sent now.
     tokens: f64,
     /// When that was worked out.
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl TokenBucket {
     /// Makes an empty bucket.
     pub(crate) fn new(rate: f64, now: Duration) -> Self {
-        Self { rate, tokens: 0.0, at: now }
+        Self { rate, tokens: 0.0, updated_at: now }
     }
 
     /// Sets the rate from now on.
     pub(crate) fn set_rate(&mut self, rate: f64, now: Duration) {
         self.tokens = self.tokens(now);
-        self.at = now;
+        self.updated_at = now;
         self.rate = rate;
         self.tokens = self.tokens.min(self.capacity());
     }
@@ -50,16 +50,16 @@
         let tokens = self.tokens(now);
         let ready = tokens >= 1.0;
         self.tokens = if ready { tokens - 1.0 } else { tokens };
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
         ready
     }
 
     /// Returns how many requests may be sent.
     fn tokens(&self, now: Duration) -> f64 {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         // A full token may come out a little short of one.
         const ROUNDING: f64 = 1e-9;
-        (self.tokens + passed * self.rate + ROUNDING).min(self.capacity())
+        (self.tokens + elapsed * self.rate + ROUNDING).min(self.capacity())
     }
 
     /// Returns the most tokens that are saved up.
--- a/crates/flaxtide-policy/src/pushback/group.rs
+++ b/crates/flaxtide-policy/src/pushback/group.rs
@@ -18,10 +18,10 @@
 
 /// So many instances have a part of a rate of less than one request a second: if one of them
 /// has no demand or ends, others have. Each further request a second adds one.
-const LEAST_OWNERS: usize = 2;
+const MIN_OWNERS: usize = 2;
 
 /// A server that takes nothing is asked so seldom whether it does again, in requests a second.
-const LEAST_RATE: f64 = 0.05;
+const MIN_RATE: f64 = 0.05;
 
 /// An instance that is known by its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -69,17 +69,17 @@
         if !self.shares_servers_of(rank, data_centre) {
             return 0.0;
         }
-        let rate = rate.per_second().max(LEAST_RATE);
-        let wanted = (rate as usize).saturating_add(LEAST_OWNERS);
-        let count = wanted.min(self.members.len());
+        let rate = rate.per_second().max(MIN_RATE);
+        let owners = (rate as usize).saturating_add(MIN_OWNERS);
+        let count = owners.min(self.members.len());
         let order = |member: &GroupMember| {
             // Those beside the server go first: a cut parts them from it last.
             let far = member.data_centre != data_centre;
             (far, Reverse(numbered_weight(rank, u64::from(member.instance))))
         };
         let own = order(&self.own);
-        let before = self.members.iter().filter(|member| order(member) < own).count();
-        if before < count { rate / count as f64 } else { 0.0 }
+        let preceding = self.members.iter().filter(|member| order(member) < own).count();
+        if preceding < count { rate / count as f64 } else { 0.0 }
     }
 
     /// Returns whether the members share the rates of the servers of a data centre. Where they are
@@ -94,7 +94,9 @@
         if self.other_data_centres.contains(&data_centre) {
             return false;
         }
-        let weight = |place: DataCentreKey| (numbered_weight(rank, place.into()), place);
+        let weight = |candidate: DataCentreKey| {
+            (numbered_weight(rank, candidate.into()), candidate)
+        };
         let own = weight(self.own.data_centre);
         self.other_data_centres.iter().all(|other| weight(*other) < own)
     }
--- a/crates/flaxtide-policy/src/pushback/report.rs
+++ b/crates/flaxtide-policy/src/pushback/report.rs
@@ -10,10 +10,10 @@
 
 /// How long it is remembered what a server said: longer than the time after which instances
 /// that still hear it say so again.
-const LIFE: Duration = Duration::from_secs(120);
+const RETENTION: Duration = Duration::from_secs(120);
 
 /// The most servers of which it is remembered.
-const MOST_SERVERS: usize = 4096;
+const MAX_SERVERS: usize = 4096;
 
 /// What one start of a server has said, as an instance tells its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,52 +55,54 @@
 #[derive(Debug, Default)]
 pub struct PushbackLog {
     /// What each server said last.
-    words: HashMap<IncarnationKey, ServerWord>,
+    statements: HashMap<IncarnationKey, LastStatement>,
 }
 
 /// What a server said last.
 #[derive(Debug, Clone, Copy)]
-struct ServerWord {
+struct LastStatement {
     /// The rate that it takes from all instances.
     rate: Option<RequestRate>,
     /// When an instance heard it.
-    heard: Duration,
+    heard_at: Duration,
     /// Whether it has ever said that it is leaving.
     leaving: bool,
     /// When a report last told something newer.
-    learnt: Duration,
+    updated_at: Duration,
 }
 
 impl PushbackLog {
     /// Returns whether nothing is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.words.is_empty()
+        self.statements.is_empty()
     }
 
     /// Adds a report. Returns what it does to what is known.
     pub fn apply(&mut self, report: &PushbackReport, now: Duration) -> ReportEffect {
         let PushbackReport { rate, leaving, .. } = *report;
         let heard = report.heard_at(now);
-        let Some(word) = self.words.get_mut(&report.server) else {
-            self.make_place(now);
-            self.words
-                .insert(report.server, ServerWord { rate, heard, leaving, learnt: now });
+        let Some(last) = self.statements.get_mut(&report.server) else {
+            self.evict_if_full(now);
+            self.statements.insert(
+                report.server,
+                LastStatement { rate, heard_at: heard, leaving, updated_at: now },
+            );
             return ReportEffect::Changed;
         };
         // Leaving is for good, so it needs no time.
-        let leaves = leaving && !word.leaving;
-        if leaves || heard > word.heard {
-            word.learnt = now;
+        let starts_leaving = leaving && !last.leaving;
+        if starts_leaving || heard > last.heard_at {
+            last.updated_at = now;
         }
-        word.leaving |= leaving;
-        let outdated = rate != word.rate && heard <= word.heard;
-        let changes = rate != word.rate && !outdated;
+        last.leaving |= leaving;
+        let outdated = rate != last.rate && heard <= last.heard_at;
+        let changes = rate != last.rate && !outdated;
         if !outdated {
-            word.rate = rate;
-            word.heard = heard.max(word.heard);
+            last.rate = rate;
+            last.heard_at = heard.max(last.heard_at);
         }
-        match (leaves || changes, outdated) {
+        match (starts_leaving || changes, outdated) {
             (true, _) => ReportEffect::Changed,
             (false, true) => ReportEffect::Outdated,
             (false, false) => ReportEffect::Known,
@@ -114,35 +116,35 @@
         server: IncarnationKey,
         now: Duration,
     ) -> Option<PushbackReport> {
-        let word = self.words.get(&server)?;
-        let age = now.saturating_sub(word.heard).as_millis();
+        let last = self.statements.get(&server)?;
+        let age = now.saturating_sub(last.heard_at).as_millis();
         let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
-        let ServerWord { rate, leaving, .. } = *word;
+        let LastStatement { rate, leaving, .. } = *last;
         Some(PushbackReport { server, rate, age_ms, leaving })
     }
 
     /// Returns the reports of all servers that state a rate or leave, up to so many.
     #[must_use]
-    pub fn reports(&self, most: usize, now: Duration) -> Vec<PushbackReport> {
-        let recent = |word: &ServerWord| now < word.learnt + LIFE;
+    pub fn reports(&self, max: usize, now: Duration) -> Vec<PushbackReport> {
+        let recent = |last: &LastStatement| now < last.updated_at + RETENTION;
         let said = self
-            .words
+            .statements
             .iter()
-            .filter(|(_, word)| (word.rate.is_some() || word.leaving) && recent(word));
+            .filter(|(_, last)| (last.rate.is_some() || last.leaving) && recent(last));
         let reports = said.filter_map(|(server, _)| self.report_of(*server, now));
-        reports.take(most).collect()
+        reports.take(max).collect()
     }
 
     /// Forgets what is old, and the oldest if there is no place for one more.
-    fn make_place(&mut self, now: Duration) {
-        if self.words.len() < MOST_SERVERS {
+    fn evict_if_full(&mut self, now: Duration) {
+        if self.statements.len() < MAX_SERVERS {
             return;
         }
-        self.words.retain(|_, word| now < word.learnt + LIFE);
-        let oldest = self.words.iter().min_by_key(|(_, word)| word.learnt);
+        self.statements.retain(|_, last| now < last.updated_at + RETENTION);
+        let oldest = self.statements.iter().min_by_key(|(_, last)| last.updated_at);
         let oldest = oldest.map(|(server, _)| *server);
-        if let Some(server) = oldest.filter(|_| self.words.len() >= MOST_SERVERS) {
-            self.words.remove(&server);
+        if let Some(server) = oldest.filter(|_| self.statements.len() >= MAX_SERVERS) {
+            self.statements.remove(&server);
         }
     }
 }
--- a/crates/flaxtide-policy/src/pushback/schedule.rs
+++ b/crates/flaxtide-policy/src/pushback/schedule.rs
@@ -8,12 +8,12 @@
 use super::statement::StatedRate;
 
 /// How often peers are told again of a rate that a server goes on stating.
-const RENEWAL: Duration = Duration::from_secs(30);
+const RENEWAL_PERIOD: Duration = Duration::from_secs(30);
 
 /// How long after the end of a rate it is told once more. A report of the rate that was on its way
 /// then counts as later than its end where it comes late, and an instance that sends nothing to the
 /// server would go on believing it.
-const CONFIRMATION: Duration = Duration::from_secs(3);
+const CONFIRMATION_DELAY: Duration = Duration::from_secs(3);
 
 /// When peers are told of what servers state.
 ///
@@ -36,9 +36,9 @@
 #[derive(Debug, Clone, Copy)]
 struct NextReport {
     /// What peers have been told.
-    told: StatedRate,
+    sent: StatedRate,
     /// When it is due; nothing if it isn't told again.
-    due: Option<Duration>,
+    due_at: Option<Duration>,
 }
 
 impl ReportSchedule {
@@ -47,7 +47,7 @@
     pub fn is_due(&self, server: ServerId, stated: StatedRate, now: Duration) -> bool {
         match (self.next.get(&server), stated) {
             (Some(next), _) => {
-                next.told == stated && next.due.is_some_and(|due| now >= due)
+                next.sent == stated && next.due_at.is_some_and(|due_at| now >= due_at)
             }
             // A rate that peers told of, not this instance.
             (None, StatedRate::Limited(_)) => true,
@@ -57,17 +57,18 @@
 
     /// Records that peers are told what a server states, as news or as it was due.
     pub fn record_sent(&mut self, server: ServerId, stated: StatedRate, now: Duration) {
-        let again = self.next.get(&server).is_some_and(|next| next.told == stated);
-        let due = match stated {
-            StatedRate::Limited(_) => Some(now + RENEWAL),
-            _ => (!again).then_some(now + CONFIRMATION),
+        let repeated = self.next.get(&server).is_some_and(|next| next.sent == stated);
+        let due_at = match stated {
+            StatedRate::Limited(_) => Some(now + RENEWAL_PERIOD),
+            _ => (!repeated).then_some(now + CONFIRMATION_DELAY),
         };
-        self.next.insert(server, NextReport { told: stated, due });
+        self.next.insert(server, NextReport { sent: stated, due_at });
     }
 
     /// Forgets servers of which nothing has been due for long.
     pub fn expire(&mut self, now: Duration) {
-        self.next
-            .retain(|_, next| next.due.is_some_and(|due| now < due + RENEWAL));
+        self.next.retain(|_, next| {
+            next.due_at.is_some_and(|due_at| now < due_at + RENEWAL_PERIOD)
+        });
     }
 }
--- a/crates/flaxtide-policy/src/pushback/server.rs
+++ b/crates/flaxtide-policy/src/pushback/server.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use super::limit::RateLimit;
+use super::limit::ServerRateLimit;
 use super::report::ReportEffect;
 use super::statement::{RequestRate, StatedRate};
 
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ServerPushback {
     /// The rate that it takes from all instances, if it says so.
-    limit: Option<RateLimit>,
+    limit: Option<ServerRateLimit>,
     /// When that, or that there is none, was last heard from the server by any instance.
     rate_heard_at: Duration,
     /// Until when it wants nothing from this instance.
@@ -26,7 +26,7 @@
 
     /// Returns this instance's part of it, in requests a second.
     pub(crate) fn share(&self) -> Option<f64> {
-        self.limit.as_ref().map(RateLimit::part)
+        self.limit.as_ref().map(ServerRateLimit::share)
     }
 
     /// Records what an answer to a request says that was sent at `sent`. An answer that the
@@ -35,7 +35,7 @@
     pub(crate) fn apply_statement(
         &mut self,
         stated: StatedRate,
-        part: impl FnOnce(RequestRate) -> f64,
+        share: impl FnOnce(RequestRate) -> f64,
         sent: Duration,
         now: Duration,
     ) -> bool {
@@ -44,11 +44,11 @@
             StatedRate::Unlimited => None,
             StatedRate::Limited(rate) => Some(rate),
         };
-        if sent <= self.rate_heard_at && raises(self.rate(), rate) {
+        if sent <= self.rate_heard_at && is_increase(self.rate(), rate) {
             return false;
         }
         self.rate_heard_at = now;
-        self.set_rate(rate, part, now)
+        self.set_rate(rate, share, now)
     }
 
     /// Records that a peer heard the server state a rate, or none, at `heard`. Returns what that
@@ -56,7 +56,7 @@
     pub(crate) fn apply_report(
         &mut self,
         rate: Option<RequestRate>,
-        part: impl FnOnce(RequestRate) -> f64,
+        share: impl FnOnce(RequestRate) -> f64,
         heard: Duration,
         now: Duration,
     ) -> ReportEffect {
@@ -64,7 +64,7 @@
             return ReportEffect::Outdated;
         }
         self.rate_heard_at = self.rate_heard_at.max(heard);
-        if self.set_rate(rate, part, now) {
+        if self.set_rate(rate, share, now) {
             ReportEffect::Changed
         } else {
             ReportEffect::Known
@@ -80,7 +80,7 @@
     fn set_rate(
         &mut self,
         rate: Option<RequestRate>,
-        part: impl FnOnce(RequestRate) -> f64,
+        share: impl FnOnce(RequestRate) -> f64,
         now: Duration,
     ) -> bool {
         if rate == self.rate() {
@@ -88,8 +88,10 @@
         }
         match (&mut self.limit, rate) {
             (limit, None) => *limit = None,
-            (Some(limit), Some(rate)) => limit.set(rate, part(rate), now),
-            (limit, Some(rate)) => *limit = Some(RateLimit::new(rate, part(rate), now)),
+            (Some(limit), Some(rate)) => limit.set(rate, share(rate), now),
+            (limit, Some(rate)) => {
+                *limit = Some(ServerRateLimit::new(rate, share(rate), now))
+            }
         }
         true
     }
@@ -98,26 +100,26 @@
     /// answers meanwhile shortens that. Returns whether that is news.
     pub(crate) fn back_off(&mut self, span: Duration, now: Duration) -> bool {
         let until = now + span;
-        let news = until > self.backoff_until;
+        let extended = until > self.backoff_until;
         self.backoff_until = self.backoff_until.max(until);
-        news
+        extended
     }
 
     /// Works out anew what this instance's part of the rate is.
     pub(crate) fn update_share(
         &mut self,
-        part: impl FnOnce(RequestRate) -> f64,
+        share: impl FnOnce(RequestRate) -> f64,
         now: Duration,
     ) {
         if let Some(limit) = &mut self.limit {
-            limit.set(limit.rate, part(limit.rate), now);
+            limit.set(limit.rate, share(limit.rate), now);
         }
     }
 
     /// Takes a larger part of the rate once it is due.
     pub(crate) fn tick(&mut self, now: Duration) {
         if let Some(limit) = &mut self.limit {
-            limit.grow(now);
+            limit.apply_increase(now);
         }
     }
 
@@ -145,7 +147,7 @@
 }
 
 /// Returns whether a rate is higher than another.
-fn raises(from: Option<RequestRate>, to: Option<RequestRate>) -> bool {
+fn is_increase(from: Option<RequestRate>, to: Option<RequestRate>) -> bool {
     match (from, to) {
         (None, _) => false,
         (Some(_), None) => true,
--- a/crates/flaxtide-policy/src/pushback/unlisted.rs
+++ b/crates/flaxtide-policy/src/pushback/unlisted.rs
@@ -8,7 +8,7 @@
 use super::server::ServerPushback;
 
 /// Of how many servers it is kept.
-const MOST_SERVERS: usize = 1024;
+const MAX_SERVERS: usize = 1024;
 
 /// What servers have said that the platform doesn't list just now, the oldest first.
 #[derive(Debug, Default)]
@@ -24,14 +24,14 @@
         servers: impl Iterator<Item = (ServerId, ServerPushback)>,
     ) {
         self.servers.extend(servers);
-        let surplus = self.servers.len().saturating_sub(MOST_SERVERS);
+        let surplus = self.servers.len().saturating_sub(MAX_SERVERS);
         self.servers.drain(..surplus);
     }
 
     /// Returns what a server has said that is listed again, or is new.
     pub(crate) fn take(&mut self, server: ServerId) -> ServerPushback {
-        let place = self.servers.iter().position(|(id, _)| *id == server);
-        let kept = place.and_then(|place| self.servers.remove(place));
+        let index = self.servers.iter().position(|(id, _)| *id == server);
+        let kept = index.and_then(|index| self.servers.remove(index));
         kept.map(|(_, pushback)| pushback).unwrap_or_default()
     }
 }
--- a/crates/flaxtide-policy/src/quarantine/log.rs
+++ b/crates/flaxtide-policy/src/quarantine/log.rs
@@ -7,7 +7,7 @@
 
 use super::fingerprint::Fingerprint;
 use super::report::{CrashReport, IncarnationKey};
-use super::suspect::{Suspect, Weight};
+use super::suspect::{Suspect, SuspicionScore};
 use crate::router::CallProgress;
 
 /// A request is sent to no other server once so many have ended under it for which nothing
@@ -16,18 +16,18 @@
 const CRASH_LIMIT: usize = 3;
 
 /// Under so many servers no chance puts an innocent request, whatever else ran there.
-const CRASH_LIMIT_IN_COMPANY: usize = 5;
+const CERTAIN_CRASH_LIMIT: usize = 5;
 
 /// How long a request is remembered after it was last seen: longer than callers wait
 /// between two tries of the same request.
-const LIFE: Duration = Duration::from_secs(600);
+const RETENTION: Duration = Duration::from_secs(600);
 
 /// How often instances tell each other that a request in quarantine still comes. A small
 /// part of its life, so that it ends at about the same time everywhere.
-const RENEWAL: Duration = Duration::from_secs(60);
+const RENEWAL_PERIOD: Duration = Duration::from_secs(60);
 
 /// The most requests that are remembered: 0.3 MB, and more than run on twenty engines.
-const MOST_SUSPECTS: usize = 1024;
+const MAX_SUSPECTS: usize = 1024;
 
 /// Which servers ended under which requests.
 ///
@@ -47,7 +47,7 @@
     /// The requests that ran on servers that ended.
     suspects: HashMap<Fingerprint, Suspect>,
     /// Which of them ran on each server.
-    company: HashMap<IncarnationKey, Vec<Fingerprint>>,
+    suspects_by_server: HashMap<IncarnationKey, Vec<Fingerprint>>,
 }
 
 impl CrashLog {
@@ -75,16 +75,16 @@
 
     /// Adds what a peer reports. Returns whether that is news.
     pub fn apply(&mut self, report: &CrashReport, now: Duration) -> bool {
-        if u128::from(report.idle_ms) >= LIFE.as_millis() {
+        if u128::from(report.idle_ms) >= RETENTION.as_millis() {
             return false;
         }
         let suspect = self.suspects.entry(report.fingerprint).or_default();
         let is_new = suspect.add(report, now);
-        let company = self.company.entry(report.server).or_default();
-        if !company.contains(&report.fingerprint) {
-            company.push(report.fingerprint);
+        let fingerprints = self.suspects_by_server.entry(report.server).or_default();
+        if !fingerprints.contains(&report.fingerprint) {
+            fingerprints.push(report.fingerprint);
         }
-        self.shrink();
+        self.evict_weakest();
         is_new
     }
 
@@ -102,10 +102,10 @@
     /// they haven't been told for long.
     pub fn renew(&mut self, fingerprint: Fingerprint, now: Duration) -> Vec<CrashReport> {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return vec![] };
-        if now < suspect.seen() + RENEWAL {
+        if now < suspect.last_seen() + RENEWAL_PERIOD {
             return vec![];
         }
-        suspect.see(now);
+        suspect.touch(now);
         suspect.reports(fingerprint, now).collect()
     }
 
@@ -113,23 +113,29 @@
     #[must_use]
     pub fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
         let Some(suspect) = self.suspects.get(&fingerprint) else { return false };
-        let weight = suspect.weight();
-        if weight.0 < CRASH_LIMIT {
+        let score = suspect.score();
+        if score.0 < CRASH_LIMIT {
             return false;
         }
-        let moments =
-            |explained: &dyn Fn(IncarnationKey) -> bool| suspect.moments(explained);
-        moments(&|_| false) >= CRASH_LIMIT_IN_COMPANY
-            || moments(&|server| self.explains(server, weight)) >= CRASH_LIMIT
+        let independent_crashes = |explained: &dyn Fn(IncarnationKey) -> bool| {
+            suspect.independent_crashes(explained)
+        };
+        independent_crashes(&|_| false) >= CERTAIN_CRASH_LIMIT
+            || independent_crashes(&|server| self.has_stronger_suspect(server, score))
+                >= CRASH_LIMIT
     }
 
     /// Returns whether more speaks against another request that ran on a server: that one
     /// accounts for the server's end then. Without this, each request that ran beside three
     /// that crash servers would be taken for one of them.
-    fn explains(&self, server: IncarnationKey, weight: Weight) -> bool {
-        let company = self.company.get(&server).into_iter().flatten();
-        let mut suspects = company.filter_map(|other| self.suspects.get(other));
-        suspects.any(|other| other.weight() > weight)
+    fn has_stronger_suspect(
+        &self,
+        server: IncarnationKey,
+        score: SuspicionScore,
+    ) -> bool {
+        let fingerprints = self.suspects_by_server.get(&server).into_iter().flatten();
+        let mut suspects = fingerprints.filter_map(|other| self.suspects.get(other));
+        suspects.any(|other| other.score() > score)
     }
 
     /// Returns whether nothing is known.
@@ -154,15 +160,15 @@
     /// Returns everything that is known, at most so many reports, those of the requests that
     /// most speaks against first.
     #[must_use]
-    pub fn reports(&self, most: usize, now: Duration) -> Vec<CrashReport> {
+    pub fn reports(&self, max: usize, now: Duration) -> Vec<CrashReport> {
         let mut suspects: Vec<(&Fingerprint, &Suspect)> = self.suspects.iter().collect();
         suspects.sort_by_key(|(_, suspect)| {
-            std::cmp::Reverse((suspect.weight(), suspect.seen()))
+            std::cmp::Reverse((suspect.score(), suspect.last_seen()))
         });
         let reports = suspects
             .into_iter()
             .flat_map(|(fingerprint, suspect)| suspect.reports(*fingerprint, now));
-        reports.take(most).collect()
+        reports.take(max).collect()
     }
 
     /// Returns what is known of one request.
@@ -178,10 +184,10 @@
     /// Returns a number that is the same for logs that hold the same.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        let marks = self.suspects.iter().flat_map(|(fingerprint, suspect)| {
-            suspect.marks().map(|mark| (*fingerprint, mark))
+        let crash_marks = self.suspects.iter().flat_map(|(fingerprint, suspect)| {
+            suspect.crash_marks().map(|mark| (*fingerprint, mark))
         });
-        marks.fold(0, |digest, (fingerprint, (server, cleared))| {
+        crash_marks.fold(0, |digest, (fingerprint, (server, cleared))| {
             let mut bytes = [0; 21];
             bytes[..16].copy_from_slice(&fingerprint.to_le_bytes());
             bytes[16..20].copy_from_slice(&server.to_le_bytes());
@@ -195,33 +201,36 @@
         let old = self
             .suspects
             .iter()
-            .filter(|(_, suspect)| now >= suspect.seen() + LIFE);
+            .filter(|(_, suspect)| now >= suspect.last_seen() + RETENTION);
         let old: Vec<Fingerprint> = old.map(|(fingerprint, _)| *fingerprint).collect();
         for fingerprint in old {
-            self.forget(fingerprint);
+            self.remove(fingerprint);
         }
     }
 
     /// Forgets the request that least speaks against if there are too many: a caller whose every
     /// request crashes a server doesn't drive out those in quarantine.
-    fn shrink(&mut self) {
-        if self.suspects.len() <= MOST_SUSPECTS {
+    fn evict_weakest(&mut self) {
+        if self.suspects.len() <= MAX_SUSPECTS {
             return;
         }
-        let least = self.suspects.iter().min_by_key(|(_, it)| (it.weight(), it.seen()));
+        let least = self
+            .suspects
+            .iter()
+            .min_by_key(|(_, it)| (it.score(), it.last_seen()));
         if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
-            self.forget(fingerprint);
+            self.remove(fingerprint);
         }
     }
 
     /// Forgets a request.
-    fn forget(&mut self, fingerprint: Fingerprint) {
+    fn remove(&mut self, fingerprint: Fingerprint) {
         let Some(suspect) = self.suspects.remove(&fingerprint) else { return };
         for server in suspect.servers() {
-            if let Some(company) = self.company.get_mut(&server) {
-                company.retain(|other| *other != fingerprint);
-                if company.is_empty() {
-                    self.company.remove(&server);
+            if let Some(fingerprints) = self.suspects_by_server.get_mut(&server) {
+                fingerprints.retain(|other| *other != fingerprint);
+                if fingerprints.is_empty() {
+                    self.suspects_by_server.remove(&server);
                 }
             }
         }
--- a/crates/flaxtide-policy/src/queue.rs
+++ b/crates/flaxtide-policy/src/queue.rs
@@ -18,7 +18,7 @@
 const FAIRNESS_WINDOW: u64 = 2000 * VIRTUAL_SCALE as u64;
 
 /// At most so many organisations are compared for one turn.
-const COMPARED_FLOWS: usize = 16;
+const MAX_COMPARED_FLOWS: usize = 16;
 
 /// A waiting request.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -37,16 +37,16 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PoolQueue {
     /// The classes with their waiting requests.
-    lanes: BTreeMap<(TierRank, ClassId), ClassLane>,
+    classes: BTreeMap<(TierRank, ClassId), ClassQueue>,
     /// How many requests wait.
     len: usize,
 }
 
 /// The waiting requests of one class.
 #[derive(Debug, Clone, Default)]
-struct ClassLane {
+struct ClassQueue {
     /// The organisations with waiting requests, by the virtual time of their turn.
-    turns: BTreeSet<(u64, OrganisationId)>,
+    by_start_tag: BTreeSet<(u64, OrganisationId)>,
     /// The waiting requests of each organisation, and its virtual time.
     flows: BTreeMap<OrganisationId, Flow>,
     /// The virtual time of the last turn.
@@ -54,7 +54,7 @@
     /// How many requests wait.
     len: usize,
     /// When the class last had a turn, or its first request since came.
-    last_turn: Duration,
+    last_served: Duration,
 }
 
 /// The waiting requests of one organisation in one class.
@@ -63,7 +63,7 @@
     /// The requests, oldest first.
     entries: VecDeque<QueueEntry>,
     /// The virtual time at which it may have its next turn.
-    start: u64,
+    start_tag: u64,
 }
 
 /// The place of the next request in a queue.
@@ -94,16 +94,16 @@
         entry: QueueEntry,
         now: Duration,
     ) {
-        let lane = self.lanes.entry((tier, class)).or_default();
-        if lane.len == 0 {
-            lane.last_turn = now;
+        let queue = self.classes.entry((tier, class)).or_default();
+        if queue.len == 0 {
+            queue.last_served = now;
         }
-        lane.len += 1;
+        queue.len += 1;
         self.len += 1;
-        let flow = lane.flows.entry(organisation).or_default();
+        let flow = queue.flows.entry(organisation).or_default();
         if flow.entries.is_empty() {
-            flow.start = flow.start.max(lane.virtual_time);
-            lane.turns.insert((flow.start, organisation));
+            flow.start_tag = flow.start_tag.max(queue.virtual_time);
+            queue.by_start_tag.insert((flow.start_tag, organisation));
         }
         flow.entries.push_back(entry);
     }
@@ -112,11 +112,11 @@
     /// class whose head is most urgent.
     pub(crate) fn next(&self) -> Option<QueueHead> {
         let mut best: Option<QueueHead> = None;
-        for (&(tier, class), lane) in &self.lanes {
+        for (&(tier, class), queue) in &self.classes {
             if best.is_some_and(|best| best.tier < tier) {
                 break;
             }
-            let Some(head) = lane.head(tier, class) else { continue };
+            let Some(head) = queue.head(tier, class) else { continue };
             if best.is_none_or(|best| head.entry.due_at < best.entry.due_at) {
                 best = Some(head);
             }
@@ -131,33 +131,36 @@
         now: Duration,
         bound: impl Fn(ClassId) -> Duration,
     ) -> Option<QueueHead> {
-        let top = self.next()?.tier;
-        let late = |class: ClassId, lane: &ClassLane| {
-            now.saturating_sub(lane.last_turn).checked_sub(bound(class))
+        let top_tier = self.next()?.tier;
+        let overdue = |class: ClassId, queue: &ClassQueue| {
+            now.saturating_sub(queue.last_served).checked_sub(bound(class))
         };
-        let lanes = self.lanes.iter().filter(|((tier, _), _)| *tier > top);
-        let (&(tier, class), lane) = lanes
-            .filter(|((_, class), lane)| lane.len > 0 && late(*class, lane).is_some())
-            .max_by_key(|((_, class), lane)| late(*class, lane))?;
-        lane.head(tier, class)
+        let classes = self.classes.iter().filter(|((tier, _), _)| *tier > top_tier);
+        let (&(tier, class), queue) = classes
+            .filter(|((_, class), queue)| {
+                queue.len > 0 && overdue(*class, queue).is_some()
+            })
+            .max_by_key(|((_, class), queue)| overdue(*class, queue))?;
+        queue.head(tier, class)
     }
 
     /// Takes out a head that [`next`](Self::next) or [`starved`](Self::starved) returned,
     /// and charges its organisation by `weight`.
     pub(crate) fn pop(&mut self, head: &QueueHead, weight: u32, now: Duration) {
-        let Some(lane) = self.lanes.get_mut(&(head.tier, head.class)) else { return };
-        let Some(flow) = lane.flows.get_mut(&head.organisation) else { return };
-        lane.turns.remove(&(flow.start, head.organisation));
-        lane.virtual_time = lane.virtual_time.max(flow.start);
+        let Some(queue) = self.classes.get_mut(&(head.tier, head.class)) else { return };
+        let Some(flow) = queue.flows.get_mut(&head.organisation) else { return };
+        queue.by_start_tag.remove(&(flow.start_tag, head.organisation));
+        queue.virtual_time = queue.virtual_time.max(flow.start_tag);
         flow.entries.pop_front();
-        flow.start += (head.entry.work * VIRTUAL_SCALE) as u64 / u64::from(weight.max(1));
+        flow.start_tag +=
+            (head.entry.work * VIRTUAL_SCALE) as u64 / u64::from(weight.max(1));
         if !flow.entries.is_empty() {
-            lane.turns.insert((flow.start, head.organisation));
+            queue.by_start_tag.insert((flow.start_tag, head.organisation));
         }
-        lane.len -= 1;
-        lane.last_turn = now;
+        queue.len -= 1;
+        queue.last_served = now;
         self.len -= 1;
-        lane.forget_idle();
+        queue.drop_idle_flows();
     }
 
     /// Takes out a request that isn't to be served, wherever it stands.
@@ -168,33 +171,33 @@
         organisation: OrganisationId,
         request: RequestId,
     ) -> bool {
-        let Some(lane) = self.lanes.get_mut(&(tier, class)) else { return false };
-        let Some(flow) = lane.flows.get_mut(&organisation) else { return false };
-        let Some(place) = flow.entries.iter().position(|entry| entry.request == request)
+        let Some(queue) = self.classes.get_mut(&(tier, class)) else { return false };
+        let Some(flow) = queue.flows.get_mut(&organisation) else { return false };
+        let Some(index) = flow.entries.iter().position(|entry| entry.request == request)
         else {
             return false;
         };
-        flow.entries.remove(place);
+        flow.entries.remove(index);
         if flow.entries.is_empty() {
-            lane.turns.remove(&(flow.start, organisation));
+            queue.by_start_tag.remove(&(flow.start_tag, organisation));
         }
-        lane.len -= 1;
+        queue.len -= 1;
         self.len -= 1;
         true
     }
 
     /// Returns the youngest request of the lowest tier below `tier`.
-    pub(crate) fn lowest_below(&self, tier: TierRank) -> Option<RequestId> {
+    pub(crate) fn eviction_candidate(&self, tier: TierRank) -> Option<RequestId> {
         let lowest = self
-            .lanes
+            .classes
             .iter()
-            .filter(|((rank, _), lane)| *rank > tier && lane.len > 0)
+            .filter(|((rank, _), queue)| *rank > tier && queue.len > 0)
             .map(|((rank, _), _)| *rank)
             .max()?;
-        let lanes = self.lanes.iter().filter(|((rank, _), _)| *rank == lowest);
-        let flows = lanes.flat_map(|(_, lane)| lane.flows.values());
-        let youngest = flows.filter_map(|flow| flow.entries.back());
-        youngest
+        let classes = self.classes.iter().filter(|((rank, _), _)| *rank == lowest);
+        let flows = classes.flat_map(|(_, queue)| queue.flows.values());
+        let newest = flows.filter_map(|flow| flow.entries.back());
+        newest
             .max_by_key(|entry| (entry.arrived, entry.request))
             .map(|entry| entry.request)
     }
@@ -207,37 +210,37 @@
         class: ClassId,
         organisation: OrganisationId,
     ) -> impl Iterator<Item = (ClassId, usize)> + '_ {
-        let lanes = self.lanes.range(..=(tier, ClassId::MAX));
-        lanes
-            .filter(|(_, lane)| lane.len > 0)
-            .map(move |(&(_, other), lane)| {
+        let classes = self.classes.range(..=(tier, ClassId::MAX));
+        classes
+            .filter(|(_, queue)| queue.len > 0)
+            .map(move |(&(_, other), queue)| {
                 if other != class {
-                    return (other, lane.len);
+                    return (other, queue.len);
                 }
                 // Organisations take turns, so a short flow isn't held up by a long one.
                 let own =
-                    lane.flows.get(&organisation).map_or(0, |flow| flow.entries.len());
-                (other, lane.len.min((own + 1) * lane.turns.len()))
+                    queue.flows.get(&organisation).map_or(0, |flow| flow.entries.len());
+                (other, queue.len.min((own + 1) * queue.by_start_tag.len()))
             })
     }
 
     /// Returns how many requests wait in each tier.
-    pub(crate) fn by_tier(&self) -> BTreeMap<TierRank, usize> {
+    pub(crate) fn count_by_tier(&self) -> BTreeMap<TierRank, usize> {
         let mut counts = BTreeMap::new();
-        for ((tier, _), lane) in &self.lanes {
-            *counts.entry(*tier).or_default() += lane.len;
+        for ((tier, _), queue) in &self.classes {
+            *counts.entry(*tier).or_default() += queue.len;
         }
         counts
     }
 }
 
-impl ClassLane {
+impl ClassQueue {
     /// Returns the next request of the class.
     fn head(&self, tier: TierRank, class: ClassId) -> Option<QueueHead> {
-        let (earliest, _) = *self.turns.first()?;
-        let window = earliest + FAIRNESS_WINDOW;
-        let near = self.turns.iter().take(COMPARED_FLOWS);
-        let near = near.take_while(|(start, _)| *start <= window);
+        let (earliest, _) = *self.by_start_tag.first()?;
+        let window_end = earliest + FAIRNESS_WINDOW;
+        let near = self.by_start_tag.iter().take(MAX_COMPARED_FLOWS);
+        let near = near.take_while(|(tag, _)| *tag <= window_end);
         let heads = near.filter_map(|(_, organisation)| {
             let entry = *self.flows.get(organisation)?.entries.front()?;
             Some(QueueHead { tier, class, organisation: *organisation, entry })
@@ -246,13 +249,13 @@
     }
 
     /// Drops flows that have nothing waiting and owe nothing, once there are many.
-    fn forget_idle(&mut self) {
-        const MANY: usize = 64;
-        if self.flows.len() <= MANY.max(2 * self.turns.len()) {
+    fn drop_idle_flows(&mut self) {
+        const MIN_KEPT_FLOWS: usize = 64;
+        if self.flows.len() <= MIN_KEPT_FLOWS.max(2 * self.by_start_tag.len()) {
             return;
         }
         let time = self.virtual_time;
         self.flows
-            .retain(|_, flow| !flow.entries.is_empty() || flow.start > time);
+            .retain(|_, flow| !flow.entries.is_empty() || flow.start_tag > time);
     }
 }
--- a/crates/flaxtide-policy/src/server.rs
+++ b/crates/flaxtide-policy/src/server.rs
@@ -21,25 +21,25 @@
     /// This instance's share of the slots, and until when it holds.
     share: Option<(u32, Duration)>,
     /// The share when none holds.
-    pub(crate) fallback: u32,
+    pub(crate) fallback_share: u32,
     /// Requests of this instance at the server, by tier.
-    running: [u32; TIERS],
+    running: [u32; TRACKED_TIERS],
     /// When each of this instance's dispatches since the last report was made.
-    recent: Vec<Duration>,
+    recent_dispatches: Vec<Duration>,
     /// The last load report.
     report: Option<LoadReport>,
     /// Seconds for each token, as this instance sees it.
-    pace: DecayedMean,
+    token_seconds: DecayedMean,
     /// Whether the server is leaving.
     pub(crate) leaving: bool,
     /// Until when it gets no work after a failure.
     paused_until: Duration,
     /// Whether it is much slower than its pool.
-    pub(crate) probation: bool,
+    pub(crate) on_probation: bool,
 }
 
 /// An older report says nothing of idle slots.
-const REPORT_LIFE: Duration = Duration::from_secs(5);
+const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
 
 /// The backend servers of a data centre, in the order of their numbers.
 ///
@@ -54,20 +54,20 @@
 impl ServerTable {
     /// Returns a server.
     pub(crate) fn get(&self, server: ServerId) -> Option<&BackendServer> {
-        self.place(server).ok().map(|place| &self.servers[place])
+        self.index_of(server).ok().map(|index| &self.servers[index])
     }
 
     /// Returns a server to be changed.
     pub(crate) fn get_mut(&mut self, server: ServerId) -> Option<&mut BackendServer> {
-        self.place(server).ok().map(|place| &mut self.servers[place])
+        self.index_of(server).ok().map(|index| &mut self.servers[index])
     }
 
     /// Returns the servers at some places.
     pub(crate) fn at<'a>(
         &'a self,
-        places: &'a [usize],
+        indices: &'a [usize],
     ) -> impl Iterator<Item = &'a BackendServer> {
-        places.iter().filter_map(|place| self.servers.get(*place))
+        indices.iter().filter_map(|index| self.servers.get(*index))
     }
 
     /// Returns all servers, with their places.
@@ -79,18 +79,18 @@
     pub(crate) fn set_rules(&mut self, rules: &BTreeMap<ServerId, ServerRule>) {
         self.servers.retain(|server| rules.contains_key(&server.server));
         for (id, rule) in rules {
-            match self.place(*id) {
-                Ok(place) => {
-                    self.servers[place].pools.clone_from(&rule.pools);
-                    self.servers[place].slots = rule.slots;
+            match self.index_of(*id) {
+                Ok(index) => {
+                    self.servers[index].pools.clone_from(&rule.pools);
+                    self.servers[index].slots = rule.slots;
                 }
-                Err(place) => self.servers.insert(place, BackendServer::new(*id, rule)),
+                Err(index) => self.servers.insert(index, BackendServer::new(*id, rule)),
             }
         }
     }
 
     /// Returns the place of a server, or where it would be.
-    fn place(&self, server: ServerId) -> Result<usize, usize> {
+    fn index_of(&self, server: ServerId) -> Result<usize, usize> {
         self.servers.binary_search_by_key(&server, |entry| entry.server)
     }
 }
@@ -99,7 +99,7 @@
 const TOP_TIER: TierRank = 0;
 
 /// The most tiers that are told apart; lower ones count as the last.
-const TIERS: usize = 8;
+const TRACKED_TIERS: usize = 8;
 
 impl BackendServer {
     /// Starts to know a server.
@@ -109,14 +109,14 @@
             pools: rule.pools.clone(),
             slots: rule.slots,
             share: None,
-            fallback: rule.slots,
-            running: [0; TIERS],
-            recent: vec![],
+            fallback_share: rule.slots,
+            running: [0; TRACKED_TIERS],
+            recent_dispatches: vec![],
             report: None,
-            pace: DecayedMean::default(),
+            token_seconds: DecayedMean::default(),
             leaving: false,
             paused_until: Duration::ZERO,
-            probation: false,
+            on_probation: false,
         }
     }
 
@@ -129,7 +129,7 @@
     pub(crate) fn share(&self, now: Duration) -> u32 {
         match self.share {
             Some((slots, until)) if now < until => slots,
-            _ => self.fallback,
+            _ => self.fallback_share,
         }
     }
 
@@ -146,10 +146,10 @@
         if !self.in_service(now) {
             return false;
         }
-        if self.probation {
+        if self.on_probation {
             return self.running() == 0;
         }
-        let share = self.usable(tier, now, idle_part);
+        let share = self.usable_slots(tier, now, idle_part);
         if tier == TOP_TIER && self.running() == 0 {
             // An instance that was idle has no share until its watcher hears of its
             // demand; the first request of the top tier doesn't wait for that.
@@ -161,24 +161,29 @@
     /// Returns how many slots this instance may use: its share; where no share holds, as
     /// its watcher isn't heard, its equal part and some of what the last report shows idle.
     /// Only some of it, as others see the same report.
-    pub(crate) fn usable(&self, tier: TierRank, now: Duration, idle_part: f64) -> u32 {
+    pub(crate) fn usable_slots(
+        &self,
+        tier: TierRank,
+        now: Duration,
+        idle_part: f64,
+    ) -> u32 {
         if let Some((slots, until)) = self.share
             && now < until
         {
             return slots;
         }
-        let Some(report) = self.report else { return self.fallback };
-        if now > report.at + REPORT_LIFE {
-            return self.fallback;
+        let Some(report) = self.report else { return self.fallback_share };
+        if now > report.at + MAX_REPORT_AGE {
+            return self.fallback_share;
         }
         // The top tier takes slots from lower ones, where the server tells them apart.
         let reported = match report.urgent {
             Some(urgent) if tier == TOP_TIER => urgent,
             _ => report.running + report.waiting,
         };
-        let busy = reported + self.recent.len() as u32;
+        let busy = reported + self.recent_dispatches.len() as u32;
         let idle = f64::from(self.slots.saturating_sub(busy));
-        self.fallback + (idle * idle_part) as u32
+        self.fallback_share + (idle * idle_part) as u32
     }
 
     /// Returns how many of this instance's requests are at the server.
@@ -192,37 +197,37 @@
     }
 
     /// Records a dispatch.
-    pub(crate) fn start(&mut self, tier: TierRank, now: Duration) {
+    pub(crate) fn record_dispatch(&mut self, tier: TierRank, now: Duration) {
         self.running[tier_index(tier)] += 1;
-        self.recent.push(now);
+        self.recent_dispatches.push(now);
     }
 
     /// Records the end of a dispatch, however it ended.
-    pub(crate) fn end(&mut self, tier: TierRank) {
+    pub(crate) fn record_end(&mut self, tier: TierRank) {
         let count = &mut self.running[tier_index(tier)];
         *count = count.saturating_sub(1);
     }
 
     /// Takes in a load report, unless a newer one has been.
-    pub(crate) fn report(&mut self, report: LoadReport) {
+    pub(crate) fn record_report(&mut self, report: LoadReport) {
         if self.report.is_some_and(|last| last.at >= report.at) {
             return;
         }
-        self.recent.retain(|at| *at > report.at);
-        if self.pace.get().is_none() && !report.step.is_zero() {
-            self.pace.add(report.step.as_secs_f64());
+        self.recent_dispatches.retain(|at| *at > report.at);
+        if self.token_seconds.get().is_none() && !report.step.is_zero() {
+            self.token_seconds.add(report.step.as_secs_f64());
         }
         self.report = Some(report);
     }
 
     /// Takes in the pace of tokens seen by this instance.
-    pub(crate) fn add_pace(&mut self, seconds_per_token: f64) {
-        self.pace.add(seconds_per_token);
+    pub(crate) fn add_token_seconds(&mut self, seconds_per_token: f64) {
+        self.token_seconds.add(seconds_per_token);
     }
 
     /// Returns the seconds for each token, if any has been seen.
-    pub(crate) fn pace(&self) -> Option<f64> {
-        self.pace.get()
+    pub(crate) fn token_seconds(&self) -> Option<f64> {
+        self.token_seconds.get()
     }
 
     /// Gives the server no work until the given time.
@@ -237,18 +242,18 @@
 
     /// Returns the load in requests for each slot: the last report, aged towards
     /// `typical`, with this instance's dispatches since.
-    pub(crate) fn load(&self, now: Duration, half_life: Duration, typical: f64) -> f64 {
+    pub(crate) fn load(&self, now: Duration, half_life: Duration, mean_load: f64) -> f64 {
         let slots = f64::from(self.slots.max(1));
         let own = f64::from(self.running());
         let Some(report) = self.report else {
-            return (own / slots).max(typical);
+            return (own / slots).max(mean_load);
         };
         let age = now.saturating_sub(report.at).as_secs_f64() / half_life.as_secs_f64();
-        let trust = 0.5f64.powf(age);
+        let weight = 0.5f64.powf(age);
         let reported = f64::from(report.running + report.waiting) / slots;
-        let aged = trust * reported + (1.0 - trust) * typical;
-        let since = self.recent.len() as f64 / slots;
-        (aged + since).max(own / slots)
+        let aged = weight * reported + (1.0 - weight) * mean_load;
+        let unreported = self.recent_dispatches.len() as f64 / slots;
+        (aged + unreported).max(own / slots)
     }
 
     /// Returns the reported load in requests for each slot, if there is a report.
@@ -260,5 +265,5 @@
 
 /// Returns the index that counts a tier.
 fn tier_index(tier: TierRank) -> usize {
-    usize::from(tier).min(TIERS - 1)
+    usize::from(tier).min(TRACKED_TIERS - 1)
 }
--- a/crates/flaxtide-policy/src/share.rs
+++ b/crates/flaxtide-policy/src/share.rs
@@ -31,27 +31,27 @@
     demands: &[SlotDemand],
 ) -> Vec<u32> {
     let tiers = demands.iter().map(|demand| demand.tiers.len()).max().unwrap_or(0);
-    let mut parts = vec![0.0; members.len()];
-    let mut left = f64::from(slots);
+    let mut exact_shares = vec![0.0; members.len()];
+    let mut remaining = f64::from(slots);
     for tier in 0..tiers {
-        let wanted: Vec<f64> = demands
+        let demanded: Vec<f64> = demands
             .iter()
             .map(|demand| demand.tiers.get(tier).copied().unwrap_or(0.0))
             .collect();
-        let total: f64 = wanted.iter().sum();
+        let total: f64 = demanded.iter().sum();
         if total <= 0.0 {
             continue;
         }
-        let given = total.min(left);
-        for (part, wanted) in parts.iter_mut().zip(&wanted) {
-            *part += given * wanted / total;
+        let granted = total.min(remaining);
+        for (share, demanded) in exact_shares.iter_mut().zip(&demanded) {
+            *share += granted * demanded / total;
         }
-        left -= given;
+        remaining -= granted;
     }
-    for part in &mut parts {
-        *part += left / members.len() as f64;
+    for share in &mut exact_shares {
+        *share += remaining / members.len() as f64;
     }
-    round_parts(slots, key, members, &parts)
+    round_shares(slots, key, members, &exact_shares)
 }
 
 /// Returns the share of the member at `index` when nothing is known of the demands.
@@ -69,25 +69,26 @@
     members: &[impl AsRef<str>],
     index: usize,
 ) -> u32 {
-    let parts = vec![f64::from(slots) / members.len() as f64; members.len()];
-    round_parts(slots, key, members, &parts)[index]
+    let exact_shares = vec![f64::from(slots) / members.len() as f64; members.len()];
+    round_shares(slots, key, members, &exact_shares)[index]
 }
 
 /// Rounds parts to whole slots that add up to `slots`: each gets its floor, and the rest
 /// goes to the largest fractions, ties by rendezvous order.
-fn round_parts(
+fn round_shares(
     slots: u32,
     key: u64,
     members: &[impl AsRef<str>],
-    parts: &[f64],
+    exact_shares: &[f64],
 ) -> Vec<u32> {
     /// Fractions are compared in steps this fine, so that sums of floats don't decide.
     const FRACTION_STEPS: f64 = 1e6;
-    let mut shares: Vec<u32> = parts.iter().map(|part| (part + 1e-9) as u32).collect();
+    let mut shares: Vec<u32> =
+        exact_shares.iter().map(|share| (share + 1e-9) as u32).collect();
     let rest = slots.saturating_sub(shares.iter().sum());
     let mut order = rendezvous_order(key, members);
     order.sort_by_key(|index| {
-        let fraction = parts[*index] - f64::from(shares[*index]);
+        let fraction = exact_shares[*index] - f64::from(shares[*index]);
         std::cmp::Reverse((fraction * FRACTION_STEPS).round() as i64)
     });
     for index in order.iter().cycle().take(rest as usize) {
