--- a/crates/flaxtide-entry/src/duty/thread.rs
+++ b/crates/flaxtide-entry/src/duty/thread.rs
@@ -166,7 +166,7 @@
         };
         self.count("lease", "read");
         self.era = self.era.max(read.era);
-        self.watch.raise_min_fence(self.era << ERA_BITS);
+        self.watch.record_used_fence(self.era << ERA_BITS);
         let lease = read.row.as_ref().map(|(row, version)| (row.lease.clone(), *version));
         if let Some((row, _)) = &read.row {
             self.row_era = row.era;
--- a/crates/flaxtide-policy/src/lease.rs
+++ b/crates/flaxtide-policy/src/lease.rs
@@ -1,25 +1,27 @@
-//! A lease with a fencing number (Kleppmann, "How to do distributed locking", 2016), over
-//! one row of the platform's table.
+//! A lease with fencing tokens (Kleppmann, "How to do distributed locking", 2016), kept
+//! in one row of the platform's table.
 //!
-//! Only time spans of one's own clock count. A holder counts its lease from before it asked
-//! for it; everyone else takes it over only after having seen the same version of the row
-//! for a whole term. So the old lease is over before the new one begins. A holder that stops
-//! says so in the row, and the lease is free at once.
+//! Clocks of instances are never compared: each instance measures time spans on its own
+//! clock. A holder counts its term from before it sent the write that acquired or renewed
+//! the lease. Any other instance takes the lease over only after it has seen the same
+//! version of the row for a whole term. So the old lease has expired before the new one
+//! begins. A holder that stops marks the row as released, and the lease can be taken at
+//! once.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How long a lease holds, and how it is kept.
+/// The term of a lease and the periods at which it is read and renewed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTiming {
     /// How long a lease holds without being renewed.
     pub term: Duration,
-    /// How often a lease is renewed, and looked at by those who don't hold it.
+    /// How often the holder renews the lease, and other instances read its row.
     pub poll_period: Duration,
-    /// How soon the row is read again after a write without an answer.
+    /// How soon the row is read again after a write whose result is unknown.
     pub check_period: Duration,
-    /// An order takes at most so long to reach a server, or doesn't.
+    /// An order that hasn't reached its server after this time never will.
     pub longest_delivery: Duration,
 }
 
@@ -34,35 +36,36 @@
     }
 }
 
-/// What the table holds for a lease.
+/// The row of a lease in the platform's table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Who holds it: a name and an epoch, so that a restarted instance is another.
+    /// The holder's name and epoch; a restarted instance has another epoch, so it is
+    /// another holder.
     pub holder: String,
-    /// The fencing number; each holder has a higher one than the one before.
+    /// The fencing token; each holder uses a higher one than the holder before it.
     pub fence: u64,
-    /// Whether the holder has given it up.
+    /// Whether the holder has released the lease.
     #[serde(default)]
     pub released: bool,
 }
 
-/// What to do about a lease.
+/// What an instance should do next about a lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseStep {
     /// Nothing for now.
     Wait,
     /// Read the row.
     Read,
-    /// Write the row if the table's row has this version; nothing means no row.
+    /// Write the row if the version in the table is as expected.
     Write {
-        /// The version that must be found.
+        /// The version that the table must hold; `None` if it must hold no row.
         expected: Option<u64>,
-        /// The row.
+        /// The row to write.
         row: LeaseRow,
     },
 }
 
-/// One instance's view of a lease.
+/// One instance's view of a lease: decides when to read, acquire, renew and release it.
 ///
 /// ```
 /// use std::time::Duration;
@@ -77,68 +80,70 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct LeaseWatch {
-    /// Who looks.
+    /// The name and epoch of this instance, as written into the row.
     holder: String,
-    /// How long things take.
+    /// The term and periods of the lease.
     timing: LeaseTiming,
-    /// Since when it has looked.
+    /// When this instance started to watch the lease.
     started: Duration,
-    /// Each fencing number of its own is above this.
-    min_fence: u64,
-    /// The row as last seen, with its version, and since when it has been so.
+    /// The highest fencing token that may have been used; new ones are higher.
+    highest_fence: u64,
+    /// The row as last read or written, its version, and when that version was first
+    /// seen.
     last_row: Option<(LeaseRow, u64, Duration)>,
-    /// When the row was last read or written.
+    /// When the row was last read or written; `None` if it should be accessed at once.
     last_access: Option<Duration>,
-    /// The lease, while this instance holds it.
+    /// The lease, if this instance acquired it and hasn't lost it since. It may have
+    /// expired.
     held: Option<HeldLease>,
-    /// Until when it may have held the lease last.
+    /// When the last lease of this instance expires or expired.
     held_until: Duration,
-    /// A write of which it isn't known whether it has taken effect.
+    /// A write whose result is unknown.
     unconfirmed: Option<UnconfirmedWrite>,
-    /// What the holder is to change in the row.
+    /// What the holder's next write should change besides renewing the lease.
     pending_change: Option<LeaseChange>,
 }
 
-/// A lease that is held.
+/// A lease that was acquired by this instance.
 #[derive(Debug, Clone, Copy)]
 struct HeldLease {
-    /// The fencing number.
+    /// The fencing token.
     fence: u64,
     /// The version of the row.
     version: u64,
-    /// When it was got.
+    /// When the lease was acquired.
     acquired_at: Duration,
-    /// From when it was last renewed: before that was asked for.
+    /// When the write that last renewed the lease was sent; the term counts from then.
     renewed_at: Duration,
 }
 
-/// A write without an answer.
+/// A write whose result is unknown.
 #[derive(Debug, Clone, Copy)]
 struct UnconfirmedWrite {
-    /// The fencing number in it.
+    /// The fencing token that it writes.
     fence: u64,
-    /// When it was first asked for.
+    /// When the first of such writes was sent.
     requested_at: Duration,
 }
 
 /// A change that a holder makes with its next write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseChange {
-    /// A higher fencing number.
+    /// Take a higher fencing token.
     AdvanceFence,
-    /// The end of the lease.
+    /// Release the lease.
     Release,
 }
 
 impl LeaseWatch {
-    /// Starts without knowing anything.
+    /// Creates a watch that hasn't read the row yet.
     #[must_use]
     pub fn new(holder: String, timing: LeaseTiming, now: Duration) -> Self {
         Self {
             holder,
             timing,
             started: now,
-            min_fence: 0,
+            highest_fence: 0,
             last_row: None,
             last_access: None,
             held: None,
@@ -148,34 +153,35 @@
         }
     }
 
-    /// Keeps each fencing number of this instance above a number that may have been used, as
-    /// by a holder that a store which came back from a copy has forgotten. A lease under a lower
-    /// number is lost.
-    pub fn raise_min_fence(&mut self, used: u64) {
-        self.min_fence = self.min_fence.max(used);
+    /// Records that fencing tokens up to `used` may have been used, for example by a
+    /// holder that a table restored from a backup doesn't know. A lease with such a token
+    /// is lost.
+    pub fn record_used_fence(&mut self, used: u64) {
+        self.highest_fence = self.highest_fence.max(used);
         if self.held.is_some_and(|held| held.fence <= used) {
             self.held = None;
         }
         self.unconfirmed = self.unconfirmed.filter(|write| write.fence > used);
     }
 
-    /// Has the holder take a higher fencing number, so that what it has sent under the present
-    /// one is refused if it arrives later.
+    /// Makes the holder take a higher fencing token, so that servers refuse what it sent
+    /// with the current one and what arrives late.
     pub fn advance_fence(&mut self) {
         if self.held.is_some() && self.pending_change.is_none() {
             self.pending_change = Some(LeaseChange::AdvanceFence);
         }
     }
 
-    /// Has the holder write the row at once.
+    /// Makes the holder renew the lease at its next step, without waiting for the poll
+    /// period.
     pub fn renew(&mut self) {
         if self.held.is_some() {
             self.last_access = None;
         }
     }
 
-    /// Records that somebody else has used a higher fencing number: the lease is lost, whatever
-    /// the row says.
+    /// Records that another instance has used a higher fencing token. The lease is lost,
+    /// whatever the row says.
     pub fn record_lost(&mut self) {
         self.held = None;
         self.last_row = None;
@@ -184,26 +190,27 @@
             self.pending_change.filter(|change| *change == LeaseChange::Release);
     }
 
-    /// Returns whether the lease holds, and gets another number.
+    /// Returns whether the lease holds but its holder is taking a higher fencing token.
     #[must_use]
     pub fn is_advancing_fence(&self, now: Duration) -> bool {
         self.pending_change == Some(LeaseChange::AdvanceFence)
             && self.current_lease(now).is_some()
     }
 
-    /// Gives the lease up, and stands for it no more.
+    /// Releases the lease, if held, and stops this instance from acquiring it again.
     pub fn release(&mut self) {
         self.pending_change = Some(LeaseChange::Release);
     }
 
-    /// Returns whether nothing is left to be done after a release.
+    /// Returns whether [`release`](Self::release) was called and the lease isn't held any
+    /// more.
     #[must_use]
     pub fn is_released(&self, now: Duration) -> bool {
         self.pending_change == Some(LeaseChange::Release)
             && self.current_lease(now).is_none()
     }
 
-    /// Returns the lease, if it holds.
+    /// Returns the lease, if it hasn't expired.
     fn current_lease(&self, now: Duration) -> Option<HeldLease> {
         self.held.filter(|held| now < held.renewed_at + self.timing.term)
     }
@@ -227,7 +234,7 @@
         LeaseStep::Wait
     }
 
-    /// Returns what a holder is to do next.
+    /// Returns what the holder should do next.
     fn holder_step(&self, held: HeldLease, now: Duration) -> LeaseStep {
         if self.unconfirmed.is_some() {
             if self.last_access != Some(now) {
@@ -248,25 +255,26 @@
         LeaseStep::Write { expected: Some(held.version), row }
     }
 
-    /// Returns whether so long has passed since the last look.
+    /// Returns whether the row was last accessed at least `period` ago.
     fn is_due(&self, now: Duration, period: Duration) -> bool {
         self.last_access.is_none_or(|last_access| now >= last_access + period)
     }
 
-    /// Returns whether the lease may be taken, as of the last look.
+    /// Returns whether the lease can be acquired, according to the last read.
     fn is_free(&self, now: Duration) -> bool {
-        // A store that came back from a copy may not know the present holder, and that holder may
-        // give the lease up. The holder before it isn't to follow: this instance, or its last life.
+        // A table restored from a backup may not know the current holder, and that holder
+        // may release the lease. The holder before it, which may be this instance or its
+        // previous incarnation, must not take the lease back within a term.
         let last = self.started.max(self.held_until);
         let settled = now >= last + self.timing.term;
         let Some((row, _, since)) = &self.last_row else {
-            // Nobody has a number yet.
-            return self.min_fence == 0 || settled;
+            // No holder is known to have used a fencing token yet.
+            return self.highest_fence == 0 || settled;
         };
         (row.released && settled) || now >= *since + self.timing.term
     }
 
-    /// Returns the step that takes the lease.
+    /// Returns the write that acquires the lease.
     fn acquire_step(&self) -> LeaseStep {
         let expected = self.last_row.as_ref().map(|(_, version, _)| *version);
         let row = LeaseRow {
@@ -277,13 +285,13 @@
         LeaseStep::Write { expected, row }
     }
 
-    /// Returns a fencing number above all that are known to have been used.
+    /// Returns a fencing token that is higher than all that may have been used.
     fn next_fence(&self) -> u64 {
         let last = self.last_row.as_ref().map_or(0, |(row, _, _)| row.fence);
-        last.max(self.min_fence) + 1
+        last.max(self.highest_fence) + 1
     }
 
-    /// Records the row as it is in the table.
+    /// Records the result of a read: the row and its version, if there is one.
     pub fn record_read(&mut self, row: Option<(LeaseRow, u64)>, now: Duration) {
         self.last_access = Some(now);
         let Some((row, version)) = row else {
@@ -296,7 +304,7 @@
             None => self.last_row.as_ref().is_some_and(|(_, last, _)| *last == version),
         };
         if !unchanged {
-            // A write that had no answer has taken effect, or never will.
+            // An unconfirmed write has taken effect by now, or can't any more.
             let write = self.unconfirmed.take();
             let written = write.filter(|write| {
                 row.holder == self.holder && row.fence == write.fence && !row.released
@@ -312,8 +320,8 @@
         }
     }
 
-    /// Records whether the write of a row that was asked for at `asked` made a new version;
-    /// nothing if the table's row was another, or no answer came.
+    /// Records the result of a write that was sent at `requested_at`: the new version of
+    /// the row, or `None` if the condition failed or no reply came.
     pub fn record_write(
         &mut self,
         row: &LeaseRow,
@@ -322,8 +330,9 @@
     ) {
         self.last_access = Some(requested_at);
         let Some(version) = version else {
-            // Whether it took effect shows at the next look. Until then it counts from the
-            // first of such writes.
+            // The next read shows whether the write took effect. If it did, the term
+            // counts from the first of the unconfirmed writes, as any of them may be the
+            // one.
             let first = self.unconfirmed.map_or(requested_at, |write| write.requested_at);
             self.unconfirmed =
                 Some(UnconfirmedWrite { fence: row.fence, requested_at: first });
@@ -338,11 +347,11 @@
             return;
         }
         self.set_held(row.fence, version, requested_at);
-        // The last writer may take it again a term later.
+        // After a term without changes this instance, too, may acquire the lease again.
         self.last_row = Some((row.clone(), version, requested_at));
     }
 
-    /// Holds the lease from a time on.
+    /// Records that the lease is held, with its term counted from `renewed_at`.
     fn set_held(&mut self, fence: u64, version: u64, renewed_at: Duration) {
         if self.pending_change == Some(LeaseChange::AdvanceFence)
             && self.held.is_some_and(|held| held.fence < fence)
@@ -352,17 +361,17 @@
         let acquired_at = self.held.map_or(renewed_at, |held| held.acquired_at);
         self.held = Some(HeldLease { fence, version, acquired_at, renewed_at });
         self.held_until = renewed_at + self.timing.term;
-        self.min_fence = self.min_fence.max(fence);
+        self.highest_fence = self.highest_fence.max(fence);
     }
 
-    /// Returns the fencing number with which an order may be sent now, if any.
+    /// Returns the fencing token with which an order may be sent now; `None` if none may.
     ///
-    /// A server that checks fencing numbers may get orders while the lease holds. One that
-    /// doesn't gets them only while they are sure to arrive within the lease, and after all
-    /// orders of the holder before have arrived or got lost.
+    /// A server that checks fencing tokens may get orders while the lease holds. Others
+    /// get orders only while these are sure to arrive before the lease expires, and once
+    /// all orders of the previous holder have arrived or been lost.
     #[must_use]
     pub fn fence(&self, now: Duration, server_checks: bool) -> Option<u64> {
-        // While it gets another number, neither may be used.
+        // While the token is being replaced, neither the old nor the new one may be used.
         if self.pending_change.is_some() {
             return None;
         }
--- a/crates/flaxtide-policy/tests/lease_model.rs
+++ b/crates/flaxtide-policy/tests/lease_model.rs
@@ -113,7 +113,7 @@
     fn turn(&mut self, index: usize, answered: bool, carried_out: bool) {
         let now = self.now;
         if self.watches[index].step(now) == LeaseStep::Read {
-            self.watches[index].raise_min_fence(self.era << ERA_BITS);
+            self.watches[index].record_used_fence(self.era << ERA_BITS);
             let row = self.row.clone();
             self.watches[index].record_read(row, now);
         }
