--- a/crates/flaxtide-policy/src/claim.rs
+++ b/crates/flaxtide-policy/src/claim.rs
@@ -1,21 +1,22 @@
 //! The claim protocol: a request with an idempotency key runs at most once.
 //!
 //! A [`ClaimAttempt`] is a pure state machine around one row of the platform's table. It
-//! says what to do next, is told how the table replied, and lets the request be sent only
-//! once the table is known to hold its row. Nobody takes a held row over by a time-out:
-//! its holder may be frozen between the write and the send.
+//! returns the next step, takes the table's replies, and allows the request to be sent
+//! only once the table is known to hold its row. A held row never expires to another
+//! attempt: its holder may be frozen between the write and the send.
 //!
 //! An attempt that can't find out whether its row was written gives up for good and
-//! releases the row: a row in the phase [`RowPhase::Released`] is written even where there
-//! was none, so that a write which is still under way can't take effect later.
+//! releases the row. It writes a row in phase [`RowPhase::Released`] even if there was
+//! none, so that a write that is still in flight can't take effect later.
 
 use flaxtide_core::AttemptId;
 use serde::{Deserialize, Serialize};
 
-/// How often an attempt writes or reads before it gives up.
+/// The number of further writes and reads after the first write before an attempt gives
+/// up.
 const RETRY_LIMIT: u8 = 3;
 
-/// What the table holds for one idempotency key.
+/// The row of one idempotency key in the platform's table.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimRow {
     /// The attempt that wrote the row.
@@ -26,61 +27,62 @@
     pub phase: RowPhase,
 }
 
-/// How far the attempt that a row names has come.
+/// How far the attempt named in a row has come.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RowPhase {
-    /// It may send the request, or has sent it.
+    /// The attempt may send the request, or has sent it.
     Held,
-    /// It never sent the request and never will.
+    /// The attempt hasn't sent the request and never will.
     Released,
-    /// It has its outcome.
+    /// The request has run, and its outcome is recorded.
     Done {
-        /// The recorded answer.
+        /// The recorded response.
         outcome: String,
     },
 }
 
-/// What an attempt does next.
+/// What an attempt should do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// Write the row if the table's row has this version; nothing means no row.
+    /// Write the row if the version in the table is as expected.
     Write {
-        /// The version that must be found.
+        /// The version that the table must hold; `None` if it must hold no row.
         expected: Option<u64>,
     },
     /// Read the row back.
     ReadBack,
-    /// Send the request: this attempt alone may.
+    /// Send the request; no other attempt may.
     Send,
     /// Refuse the request as not run, and release the row in the background.
     Abandon,
-    /// Refuse the request as not run; there is nothing to release.
+    /// Refuse the request as not run; there is no row to release.
     Refuse,
-    /// Another attempt holds the row: the request may have run.
+    /// Another attempt holds the row: the request may have run, or may be running.
     HeldByOther,
-    /// Give the recorded answer.
+    /// Return the recorded response.
     Replay {
-        /// The recorded answer.
+        /// The recorded response.
         outcome: String,
     },
-    /// The key was used with another body.
+    /// Refuse the request: its key was used with another body.
     Mismatch,
 }
 
-/// How the table replied to a write or a read.
+/// The table's reply to a write or a read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TableReply {
-    /// The row was written, with this version.
+    /// The row was written.
     Written {
-        /// The version.
+        /// The new version of the row.
         version: u64,
     },
-    /// The table's row, with its version; from a write whose condition failed, or a read.
+    /// The table's current row and version, returned by a read or by a write whose
+    /// condition failed.
     Found(Option<(ClaimRow, u64)>),
-    /// The table refused before doing anything.
+    /// The table rejected the call and did nothing.
     NotDone,
-    /// No answer: the write may or may not take effect, now or later.
+    /// No reply: a write may have taken effect, may do so later, or never.
     NoAnswer,
 }
 
@@ -95,48 +97,48 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ClaimAttempt {
-    /// The attempt's id.
+    /// The id of the attempt.
     attempt: AttemptId,
     /// The hash of the request's body.
     body_hash: u64,
-    /// What comes next.
+    /// The current state.
     state: AttemptState,
-    /// How many writes and reads are left.
+    /// How many further writes and reads are allowed.
     retries_left: u8,
-    /// Whether a write without an answer may still take effect.
+    /// Whether a write without a reply may still take effect.
     write_pending: bool,
 }
 
 /// The state of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum AttemptState {
-    /// The row is to be written.
+    /// The row should be written, over this version or where there is no row.
     Writing(Option<u64>),
-    /// The row is to be read back.
+    /// The row should be read back.
     Reading,
     /// The table holds this attempt's row, with this version.
     Held(u64),
-    /// The attempt is over.
+    /// The attempt has ended.
     Ended(EndReason),
 }
 
-/// Why an attempt is over.
+/// Why an attempt ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum EndReason {
-    /// It couldn't claim, and its write may be open.
+    /// The claim failed, and the attempt's row may be in the table or get there.
     Abandoned,
-    /// It couldn't claim, and has written nothing.
+    /// The claim failed, and no write of the attempt can be in the table.
     Refused,
     /// Another attempt holds the row.
     HeldByOther,
-    /// The outcome is recorded.
+    /// The outcome of another attempt is recorded.
     Replayed(String),
     /// The key was used with another body.
     Mismatched,
 }
 
 impl ClaimAttempt {
-    /// Starts an attempt.
+    /// Creates an attempt that starts with a write.
     #[must_use]
     pub fn new(attempt: AttemptId, body_hash: u64) -> Self {
         Self {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Returns the row that the attempt writes.
+    /// Returns the row that the attempt writes for a phase.
     #[must_use]
     pub fn row(&self, phase: RowPhase) -> ClaimRow {
         ClaimRow {
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Takes in how the table replied to the last step.
+    /// Applies the table's reply to the last write or read.
     pub fn reply(&mut self, reply: TableReply) {
         if !matches!(self.state, AttemptState::Writing(_) | AttemptState::Reading) {
             return;
@@ -207,8 +209,8 @@
         }
     }
 
-    /// Gives up before the request is sent, because its time is over or the instance
-    /// stops. An attempt that is over stays as it ended.
+    /// Gives up before the request is sent, because its deadline has passed or the
+    /// instance stops. Has no effect on an attempt that has ended.
     pub fn abandon(&mut self) {
         if matches!(self.state, AttemptState::Ended(_)) {
             return;
@@ -218,7 +220,7 @@
         self.state = AttemptState::Ended(reason);
     }
 
-    /// Decides by the row that the table holds.
+    /// Decides the next state from the row that the table holds.
     fn apply_row(&mut self, row: ClaimRow, version: u64) {
         if row.attempt == self.attempt && row.phase == RowPhase::Held {
             self.state = AttemptState::Held(version);
@@ -236,7 +238,7 @@
         self.state = AttemptState::Ended(reason);
     }
 
-    /// Goes on to another write or read, if there are any left.
+    /// Goes on to another write or read, or gives up if none is left.
     fn retry(&mut self, next: AttemptState) {
         if self.retries_left == 0 {
             self.abandon();
@@ -247,10 +249,9 @@
     }
 }
 
-/// The settlement of an attempt's row: moving it to its last phase, however often the
-/// table fails to answer.
+/// Moves an attempt's row to its final phase, with as many writes as that takes.
 ///
-/// A release writes a row even where there is none. An outcome is only written over the
+/// A release writes a row even if there is none. An outcome is only written over the
 /// attempt's own row.
 ///
 /// ```
@@ -263,16 +264,17 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ClaimSettlement {
-    /// The row in its last phase.
+    /// The row in its final phase.
     row: ClaimRow,
-    /// The version that the table's row is thought to have.
+    /// The version that the table's row is expected to have.
     expected: Option<u64>,
-    /// Whether the row is settled.
+    /// Whether nothing more needs to be written.
     settled: bool,
 }
 
 impl ClaimSettlement {
-    /// Starts to settle a row that the table holds with the version `expected`, if known.
+    /// Creates the settlement of a row that the table holds with version `expected`, if
+    /// known.
     #[must_use]
     pub fn new(row: ClaimRow, expected: Option<u64>) -> Self {
         Self { row, expected, settled: false }
@@ -284,13 +286,14 @@
         &self.row
     }
 
-    /// Returns the version that the next write expects; nothing once the row is settled.
+    /// Returns the version that the next write expects; the outer `None` means that
+    /// nothing more needs to be written.
     #[must_use]
     pub fn next_write(&self) -> Option<Option<u64>> {
         (!self.settled).then_some(self.expected)
     }
 
-    /// Takes in how the table replied to the last write.
+    /// Applies the table's reply to the last write.
     pub fn reply(&mut self, reply: &TableReply) {
         match reply {
             TableReply::Written { .. } => self.settled = true,
@@ -298,8 +301,9 @@
                 let own = row.attempt == self.row.attempt;
                 let open = match row.phase {
                     RowPhase::Held => own,
-                    // This attempt's write may still be under way to take over another
-                    // one's released row: only a new version keeps it out.
+                    // A write of this attempt may be in flight that expects the released
+                    // row of another attempt. It fails only if the row gets a new
+                    // version.
                     RowPhase::Released => !own && self.row.phase == RowPhase::Released,
                     RowPhase::Done { .. } => false,
                 };
@@ -307,7 +311,8 @@
                 self.settled = !open;
             }
             TableReply::Found(None) => {
-                // An outcome without a row: the platform has dropped it by age.
+                // If the outcome finds no row, the platform has expired it, and nothing
+                // is written.
                 self.expected = None;
                 self.settled = self.row.phase != RowPhase::Released;
             }
--- a/crates/flaxtide-policy/src/core/admit.rs
+++ b/crates/flaxtide-policy/src/core/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: whether a request that comes may wait.
+//! Admission control: whether an arriving request may enter its pool's queue.
 
 use std::time::Duration;
 
@@ -14,23 +14,25 @@
 use crate::limit::OrganisationLimit;
 use crate::queue::QueueEntry;
 
-/// The soonest that a refused caller is asked to come back.
+/// The shortest `retry_after` of a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// The latest that a refused caller is asked to come back.
+/// The longest `retry_after` of a refusal.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Returning callers are spread over this part of the time that they are told.
+/// Up to this fraction is added at random to each `retry_after`, so that callers that
+/// were refused together don't return together.
 const RETRY_JITTER: f64 = 0.25;
 
-/// The service time of a request before any has been seen, in seconds.
+/// The service time assumed for a class before any of its requests has finished, in
+/// seconds.
 const DEFAULT_SERVICE_SECONDS: f64 = 1.0;
 
-/// How many tokens of prompt cost as much as one of the answer.
+/// How many prompt tokens count as much work as one generated token.
 const PROMPT_TOKENS_PER_OUTPUT_TOKEN: f64 = 16.0;
 
 impl DecisionCore {
-    /// Decides about a request that comes.
+    /// Admits an arriving request and dispatches or queues it, or refuses it.
     pub(super) fn arrive(&mut self, arrival: CallArrival, now: Duration) {
         let request = arrival.request;
         match self.admit(&arrival, now) {
@@ -55,7 +57,8 @@
         }
     }
 
-    /// Tells whether a request may wait; if not, why, and when to come back.
+    /// Checks whether a request may be queued. A refusal carries its reason and when the
+    /// caller may retry.
     fn admit(
         &mut self,
         arrival: &CallArrival,
@@ -73,7 +76,8 @@
         self.check_queue_space(arrival.pool, tier)
     }
 
-    /// Checks that a server of the pool is in service, or will be soon enough.
+    /// Checks that a server of the pool is in service, or will be before the request
+    /// would be given up.
     fn check_servers(
         &self,
         pool: PoolId,
@@ -90,7 +94,7 @@
         Err((FailureReason::NoServer, Duration::from_secs(1)))
     }
 
-    /// Checks that the request would be served in time.
+    /// Checks that the predicted wait leaves enough time for the first token.
     fn check_overload(
         &mut self,
         arrival: &CallArrival,
@@ -99,7 +103,8 @@
     ) -> Result<(), (FailureReason, Duration)> {
         let (pool, class) = (arrival.pool, arrival.class);
         if self.estimates.service_seconds(class).is_none() {
-            // Nothing is known of the class yet: a guess is no reason to refuse.
+            // No request of the class has finished yet, so its service time is unknown,
+            // and a default is too weak a reason to refuse.
             return Ok(());
         }
         let wait = self.predicted_wait(pool, tier, class, arrival.organisation);
@@ -112,7 +117,8 @@
         Err((FailureReason::Overloaded, self.retry_after(wait - slack.max(0.0))))
     }
 
-    /// Checks the organisation's limit.
+    /// Checks the organisation's rate limit, and counts the request towards the demand
+    /// that is reported to peers.
     fn check_rate_limit(
         &mut self,
         arrival: &CallArrival,
@@ -134,7 +140,8 @@
         })
     }
 
-    /// Checks that the queue has space, and makes some at the cost of a lower tier.
+    /// Checks that the queue has space. A full queue evicts a request of a lower tier, if
+    /// it holds one.
     fn check_queue_space(
         &mut self,
         pool: PoolId,
@@ -154,7 +161,7 @@
         Ok(())
     }
 
-    /// Puts an admitted request in its queue.
+    /// Adds an admitted request to its pool's queue.
     fn enqueue(&mut self, arrival: CallArrival, now: Duration) {
         let tier = self.tier_of(&arrival);
         let Some(rule) = self.rules.classes.get(&arrival.class) else { return };
@@ -187,8 +194,8 @@
         self.calls.insert(call.arrival.request, call);
     }
 
-    /// Predicts how long a request that comes now would wait, in seconds, with the work
-    /// of all lower tiers taken away.
+    /// Predicts how long a request that arrives now would wait, in seconds. Work of lower
+    /// tiers is left out, as it doesn't delay the request.
     pub(super) fn predicted_wait(
         &self,
         pool: PoolId,
@@ -210,14 +217,15 @@
         (ahead + 1.0 - free).max(0.0) * seconds / capacity
     }
 
-    /// Returns the expected service time of a class, in seconds.
+    /// Returns the expected time from dispatch to the end of the response for a class, in
+    /// seconds.
     fn service_seconds(&self, class: ClassId) -> f64 {
         self.estimates
             .service_seconds(class)
             .unwrap_or(DEFAULT_SERVICE_SECONDS)
     }
 
-    /// Returns how long a whole queue takes to drain, in seconds.
+    /// Returns how long the whole queue of a pool takes to drain, in seconds.
     pub(super) fn drain_seconds(&self, pool: PoolId) -> f64 {
         let Some(state) = self.pools.get(&pool) else { return 1.0 };
         let all = state.queue.ahead(TierRank::MAX, u16::MAX, u16::MAX);
@@ -227,8 +235,8 @@
         work / f64::from(state.capacity.max(1))
     }
 
-    /// Turns a time after which there will be room into what the caller is told: bounded,
-    /// and spread so that those refused together don't come back together.
+    /// Converts the expected wait into the `retry_after` of a refusal, with jitter and
+    /// bounds.
     pub(super) fn retry_after(&mut self, seconds: f64) -> Duration {
         let spread = 1.0 + RETRY_JITTER * self.random.random::<f64>();
         let delay = Duration::from_secs_f64((seconds * spread).clamp(0.0, 3600.0));
@@ -236,7 +244,7 @@
         Duration::from_millis(delay.as_millis() as u64)
     }
 
-    /// Refuses a request that no server has seen.
+    /// Refuses a request that hasn't run on any server.
     pub(super) fn refuse(
         &mut self,
         request: RequestId,
@@ -247,7 +255,7 @@
             .push(PolicyAction::Refuse { request, reason, retry_after });
     }
 
-    /// Returns the tier of a request's class.
+    /// Returns the tier of a request's class; the lowest if the class has no rule.
     fn tier_of(&self, arrival: &CallArrival) -> TierRank {
         self.class_rule(arrival.class).map_or(TierRank::MAX, |rule| rule.tier)
     }
--- a/crates/flaxtide-policy/src/core/dispatch.rs
+++ b/crates/flaxtide-policy/src/core/dispatch.rs
@@ -10,11 +10,11 @@
 use crate::choice::{ChoiceQuery, choose_server};
 use crate::queue::QueueHead;
 
-/// The tier whose slots and priority a starved class's turn gets.
+/// The tier whose slots and priority a request of a starved class is dispatched with.
 const TOP_TIER: TierRank = 0;
 
 impl DecisionCore {
-    /// Dispatches from every pool while there are slots.
+    /// Dispatches waiting requests of every pool while there are free slots.
     pub(super) fn dispatch_all(&mut self, now: Duration) {
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
         for pool in pools {
@@ -22,14 +22,14 @@
         }
     }
 
-    /// Dispatches from a pool while there are slots.
+    /// Dispatches waiting requests of a pool while there are free slots.
     pub(super) fn dispatch_pool(&mut self, pool: PoolId, now: Duration) {
         self.refresh(pool, now);
         self.dispatch_retries(pool, now);
         while self.dispatch_starved(pool, now) || self.dispatch_next(pool, now) {}
     }
 
-    /// Dispatches what failed at one server to another.
+    /// Dispatches requests that failed at one server to another one.
     fn dispatch_retries(&mut self, pool: PoolId, now: Duration) {
         let Some(state) = self.pools.get_mut(&pool) else { return };
         if state.retries.is_empty() {
@@ -50,8 +50,9 @@
         }
     }
 
-    /// Gives a turn to a class past its starvation bound, if one is due: at most one in
-    /// so many turns. For this turn the class counts as of the top tier.
+    /// Dispatches the head of a class that has exceeded its starvation bound, as if it
+    /// were of the top tier. Happens at most once in `starvation_turns` dispatches, so
+    /// that it takes only a small part of the capacity.
     fn dispatch_starved(&mut self, pool: PoolId, now: Duration) -> bool {
         let Some(state) = self.pools.get(&pool) else { return false };
         if state.turns_since_starved < self.options.starvation_turns {
@@ -71,7 +72,8 @@
         true
     }
 
-    /// Gives the next turn in order.
+    /// Dispatches the next request in queue order, or refuses it if it would miss its
+    /// deadline.
     fn dispatch_next(&mut self, pool: PoolId, now: Duration) -> bool {
         let Some(state) = self.pools.get(&pool) else { return false };
         let Some(head) = state.queue.next() else { return false };
@@ -83,7 +85,7 @@
         self.dispatch_head(pool, &head, head.tier, now)
     }
 
-    /// Dispatches the head of a queue, if a server has a slot for it.
+    /// Dispatches the head of a class's queue if a server has a slot for it.
     fn dispatch_head(
         &mut self,
         pool: PoolId,
@@ -103,7 +105,8 @@
         true
     }
 
-    /// Tells whether a request that has waited would be answered too late to be of use.
+    /// Returns whether a request that has waited would get its first token only after its
+    /// expiry.
     fn would_miss_deadline(&self, pool: PoolId, head: &QueueHead, now: Duration) -> bool {
         if now == head.entry.arrived {
             return false;
@@ -113,7 +116,7 @@
         now + first_token > call.expiry
     }
 
-    /// Chooses a server for a request.
+    /// Chooses a server for a request; `None` if no server has a free slot.
     fn choose(
         &mut self,
         pool: PoolId,
@@ -133,7 +136,7 @@
         choose_server(&query, &state.servers, servers, options, &mut self.random)
     }
 
-    /// Sends a request to a server.
+    /// Assigns a request to a server and starts an attempt.
     fn dispatch(
         &mut self,
         request: RequestId,
@@ -175,8 +178,8 @@
         });
     }
 
-    /// Returns how long a server may be silent before the request goes elsewhere, once it
-    /// is known what is usual.
+    /// Returns how long a server may be silent before the request fails over to another
+    /// one. `None` until a mean time to first token is known.
     fn silence_timeout(
         &self,
         pool: PoolId,
@@ -189,12 +192,12 @@
         if tier == TOP_TIER {
             return Some(timeout);
         }
-        // A lower tier's request may be silent while higher tiers preempt it.
+        // A request of a lower tier may be silent because higher tiers preempt it.
         let bound = self.class_rule(class)?.starvation_bound;
         Some(timeout.max(bound.min(self.options.preempted_patience)))
     }
 
-    /// Gives up every waiting request whose time is over.
+    /// Gives up every waiting request that has expired.
     pub(super) fn expire(&mut self, now: Duration) {
         while let Some((expiry, request)) = self.expiries.first().copied() {
             if expiry > now {
@@ -215,13 +218,13 @@
         }
     }
 
-    /// Refuses a request that waited too long.
+    /// Refuses a request that has waited too long.
     fn refuse_expired(&mut self, request: RequestId, pool: PoolId) {
         let retry_after = self.backlog_retry_after(pool);
         self.refuse(request, FailureReason::DeadlinePassed, retry_after);
     }
 
-    /// Takes a waiting request out of its queue and forgets it.
+    /// Removes a waiting request from its queue and from the open requests.
     pub(super) fn remove_waiting(&mut self, request: RequestId) {
         let Some(call) = self.calls.remove(&request) else { return };
         self.expiries.remove(&(call.expiry, request));
--- a/crates/flaxtide-policy/src/core/mod.rs
+++ b/crates/flaxtide-policy/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! The decision core: events and the time go in, actions come out.
+//! The decision core: a state machine that turns events and their times into actions.
 
 mod admit;
 mod dispatch;
@@ -24,10 +24,11 @@
 use crate::rule::{ClassRule, RuleSet};
 use crate::server::{BackendServer, ServerTable};
 
-/// How often every pool is looked at, whatever happens.
+/// How often every pool is checked for requests that can be dispatched, whatever events
+/// arrive.
 const DISPATCH_PERIOD: Duration = Duration::from_millis(50);
 
-/// Decides about every request of one entry instance.
+/// Admits, queues and dispatches every request of one entry instance.
 ///
 /// ```
 /// use std::time::Duration;
@@ -37,40 +38,41 @@
 /// ```
 #[derive(Debug)]
 pub struct DecisionCore {
-    /// The tunable constants.
+    /// The tunable options.
     options: PolicyOptions,
-    /// The rules in force.
+    /// The settings in force.
     rules: RuleSet,
-    /// The backend servers.
+    /// The backend servers of the data centre.
     servers: ServerTable,
     /// The pools with their queues.
     pools: BTreeMap<PoolId, PoolState>,
-    /// The requests that have neither been answered nor given up.
+    /// The open requests: those that wait or are at a server.
     calls: HashMap<RequestId, CallRecord>,
-    /// When each waiting request is given up.
+    /// The waiting requests by the time at which they are given up.
     expiries: BTreeSet<(Duration, RequestId)>,
-    /// The limits of organisations.
+    /// The token buckets of organisations that have a rate limit.
     rate_limits: HashMap<OrganisationId, OrganisationLimit>,
-    /// How many requests of each limited organisation came.
+    /// The arrivals of each rate-limited organisation since
+    /// [`take_usage`](Self::take_usage) was last called.
     arrival_counts: BTreeMap<OrganisationId, u32>,
-    /// Estimates of answer lengths and service times.
+    /// Estimates of response lengths and service times.
     estimates: WorkEstimates,
-    /// What may be spent on retries.
+    /// Limits retries of requests that may have run.
     retry_budget: RetryBudget,
-    /// When every pool was last looked at.
+    /// When all pools were last checked by [`dispatch_if_due`](Self::dispatch_if_due).
     last_dispatch: Duration,
-    /// The source of randomness.
+    /// The seeded random number generator.
     random: ChaCha8Rng,
-    /// How many instances of the data centre are alive, this one included.
+    /// The number of live instances in the data centre, this one included.
     live_instances: u32,
-    /// What has been decided in the current event.
+    /// The actions decided so far while an event is handled.
     actions: Vec<PolicyAction>,
 }
 
-/// What a pool looks like from outside.
+/// The current load of a pool, as shown in status reports.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PoolSummary {
-    /// Waiting requests by tier.
+    /// The waiting requests, by tier.
     pub waiting: BTreeMap<TierRank, usize>,
     /// This instance's requests at servers, by tier.
     pub running: BTreeMap<TierRank, u32>,
@@ -79,7 +81,7 @@
 }
 
 impl DecisionCore {
-    /// Starts a core without any rules.
+    /// Creates a core without settings. Cores with equal seeds decide alike.
     #[must_use]
     pub fn new(options: PolicyOptions, seed: u64) -> Self {
         let retry_budget = RetryBudget::new(options.retry_ratio, options.retry_burst);
@@ -101,7 +103,8 @@
         }
     }
 
-    /// Takes in what happened at `now` and returns what is to be done, in order.
+    /// Handles an event that happened at `now` and returns the resulting actions, in
+    /// order.
     pub fn handle(&mut self, event: PolicyEvent, now: Duration) -> Vec<PolicyAction> {
         self.expire(now);
         match event {
@@ -143,8 +146,9 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Dispatches what time alone makes possible, such as a retry whose server is back:
-    /// with every event, but not too often. Ticks may be starved by other events.
+    /// Dispatches requests that became dispatchable by the passing of time alone, such as
+    /// a retry whose server is in service again. Runs on any event, at most once in
+    /// [`DISPATCH_PERIOD`], because ticks may be delayed by other events.
     fn dispatch_if_due(&mut self, now: Duration) {
         if now >= self.last_dispatch + DISPATCH_PERIOD {
             self.last_dispatch = now;
@@ -152,13 +156,13 @@
         }
     }
 
-    /// Returns when [`PolicyEvent::Tick`] is next needed, if any request waits.
+    /// Returns when [`PolicyEvent::Tick`] is next needed; `None` while no request waits.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Duration> {
         self.expiries.first().map(|(at, _)| *at)
     }
 
-    /// Returns how each pool stands.
+    /// Returns the current load of each pool.
     #[must_use]
     pub fn summary(&self) -> BTreeMap<PoolId, PoolSummary> {
         self.pools
@@ -167,7 +171,7 @@
             .collect()
     }
 
-    /// Returns this instance's share of each server's slots, and how many it uses.
+    /// Returns, for each server, this instance's share of its slots and how many it uses.
     #[must_use]
     pub fn slots(&self, now: Duration) -> BTreeMap<ServerId, (u32, u32)> {
         let entry = |server: &BackendServer| (server.share(now), server.running());
@@ -177,13 +181,14 @@
             .collect()
     }
 
-    /// Returns how many requests are waiting or at servers.
+    /// Returns the number of requests that are waiting or at servers.
     #[must_use]
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Puts new rules in force. Requests keep what was in force when they came.
+    /// Puts new settings in force. Open requests keep the tier and expiry that they were
+    /// admitted with.
     fn set_rules(&mut self, rules: RuleSet, now: Duration) {
         self.servers.set_rules(&rules.servers);
         for state in self.pools.values_mut() {
@@ -202,13 +207,13 @@
         self.dispatch_all(now);
     }
 
-    /// Returns how many requests of each limited organisation came since the last call,
-    /// refused ones included.
+    /// Returns how many requests of each rate-limited organisation arrived since the last
+    /// call, refused ones included.
     pub fn take_usage(&mut self) -> BTreeMap<OrganisationId, u32> {
         std::mem::take(&mut self.arrival_counts)
     }
 
-    /// Takes in whether a server is leaving.
+    /// Records whether a server is leaving.
     fn set_leaving(&mut self, server: ServerId, leaving: bool, now: Duration) {
         let Some(server) = self.servers.get_mut(server) else { return };
         if server.leaving == leaving {
@@ -219,7 +224,8 @@
         self.dispatch_all(now);
     }
 
-    /// Sets how many instances are alive, and the shares that hold without news.
+    /// Sets the number of live instances and the slot shares to use while no granted
+    /// share is in force.
     fn set_peers(&mut self, live: u32, fallbacks: &[(ServerId, u32)], now: Duration) {
         self.live_instances = live.max(1);
         for (server, slots) in fallbacks {
@@ -231,7 +237,7 @@
         self.dispatch_all(now);
     }
 
-    /// Sets this instance's part of an organisation's rate.
+    /// Sets this instance's share of an organisation's rate limit.
     fn set_rate_share(
         &mut self,
         organisation: OrganisationId,
@@ -248,7 +254,7 @@
         limit.set_share(share, until);
     }
 
-    /// Returns a class's rule, if it has one.
+    /// Returns the rule of a class, if the settings have one.
     fn class_rule(&self, class: ClassId) -> Option<&ClassRule> {
         self.rules.classes.get(&class)
     }
--- a/crates/flaxtide-policy/src/core/outcome.rs
+++ b/crates/flaxtide-policy/src/core/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcomes: what servers did with requests, and what follows.
+//! Outcomes of attempts at servers: progress, success, failure and retry.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use crate::action::PolicyAction;
 use crate::event::ServerFault;
 
-/// A server that stalls counts as this many times slower than its pool.
+/// A stall counts as a token time of this many times the server's average.
 const STALL_SLOWDOWN: f64 = 5.0;
 
 impl DecisionCore {
-    /// Takes in the first token of an answer.
+    /// Records the first token of a response.
     pub(super) fn first_token(&mut self, request: RequestId, now: Duration) {
         let Some(call) = self.calls.get_mut(&request) else { return };
         let CallState::Running(running) = &mut call.state else { return };
@@ -28,11 +28,11 @@
         }
     }
 
-    /// Takes in the pace of an answer that goes on.
+    /// Records the time per token of a response in progress.
     pub(super) fn progress(&mut self, request: RequestId, tokens: u32, span: Duration) {
         let Some(call) = self.calls.get(&request) else { return };
         let Some(running) = call.running() else { return };
-        // Preemption by a higher tier slows an answer without any fault of the server.
+        // Preemption by a higher tier slows a response without any fault of the server.
         if running.tier > 0 || tokens == 0 {
             return;
         }
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes in the end of an answer.
+    /// Records the end of a response and frees its slot.
     pub(super) fn finish(&mut self, request: RequestId, tokens: u32, now: Duration) {
         let running = self.calls.get(&request).and_then(CallRecord::running);
         let Some(running) = running else { return };
@@ -53,7 +53,7 @@
         self.free_slot(&call, running, now);
     }
 
-    /// Takes in a failure, and tries the request elsewhere if that is right.
+    /// Records a failed attempt, and retries the request if that is allowed.
     pub(super) fn fail(
         &mut self,
         request: RequestId,
@@ -71,7 +71,7 @@
         call.may_have_run |= ran;
         self.exclude(&mut call, running);
         let freed = (call.clone(), running);
-        // Its time may be over by now; then its final answer isn't left to the next event.
+        // A request that has expired by now is ended here instead of at the next event.
         let in_time = passed_on > 0 || now < call.expiry;
         if in_time && self.may_retry(&call, ran) {
             self.requeue(call, passed_on, now);
@@ -81,7 +81,8 @@
         self.free_slot(&freed.0, freed.1, now);
     }
 
-    /// Forgets a request whose caller has gone, or whose dispatch was dropped unsent.
+    /// Removes a request whose caller has disconnected, or whose dispatch was dropped
+    /// before it was sent.
     pub(super) fn drop_call(&mut self, request: RequestId, now: Duration) {
         let Some(call) = self.calls.get(&request) else { return };
         let Some(running) = call.running() else {
@@ -92,14 +93,15 @@
         self.free_slot(&call, running, now);
     }
 
-    /// Lets a server that failed rest, or lowers its standing.
+    /// Pauses a server that failed, marks it as leaving, or raises its time per token.
     fn record_fault(&mut self, running: RunningCall, fault: ServerFault, now: Duration) {
         let pause = self.options.failure_pause;
         let Some(server) = self.servers.get_mut(running.server) else { return };
         match fault {
             ServerFault::NotRun | ServerFault::Broken => server.pause(now + pause),
             ServerFault::Leaving => server.leaving = true,
-            // Lower tiers stall when they are preempted; that isn't the server's fault.
+            // A request of a lower tier stalls when it is preempted, which isn't the
+            // server's fault.
             ServerFault::Stalled if running.tier > 0 => {}
             ServerFault::Stalled => {
                 let seconds = server.token_seconds().unwrap_or(1.0);
@@ -108,8 +110,9 @@
         }
     }
 
-    /// Keeps a request from the server that failed it, unless every server of the pool
-    /// has: then another try at the first is better than none.
+    /// Excludes the server that failed a request from its retries. Once all servers of
+    /// the pool are excluded, all are allowed again: a retry at a server that has failed
+    /// is better than none.
     fn exclude(&self, call: &mut CallRecord, running: RunningCall) {
         call.excluded.push(running.server);
         let mut non_leaving_servers = self.non_leaving_servers(call.arrival.pool);
@@ -118,23 +121,25 @@
         }
     }
 
-    /// Tells whether a failed request may be tried again.
+    /// Returns whether a failed request may be retried.
     fn may_retry(&mut self, call: &CallRecord, ran: bool) -> bool {
         if call.attempts >= self.options.attempt_limit {
             return false;
         }
         if !ran {
-            // Nothing has been spent on it, so nothing is taken from the budget.
+            // The request hasn't run, so the retry adds no load and isn't charged to the
+            // retry budget.
             return true;
         }
         call.arrival.repeatable && self.retry_budget.withdraw()
     }
 
-    /// Puts a failed request back to be tried at another server.
+    /// Puts a failed request among its pool's retries.
     fn requeue(&mut self, mut call: CallRecord, passed_on: u32, now: Duration) {
         let request = call.arrival.request;
         if passed_on > 0 {
-            // The first token has been on time; what counts now is the rest.
+            // The first token was on time, so the retry gets the whole waiting time
+            // again.
             let span = call.expiry.saturating_sub(call.arrived);
             call.expiry = now + span;
         }
@@ -146,7 +151,7 @@
         self.calls.insert(request, call);
     }
 
-    /// Ends a request that isn't tried again.
+    /// Ends a request that isn't retried.
     fn end_failed(&mut self, call: &CallRecord) {
         let request = call.arrival.request;
         let retry_after = self.backlog_retry_after(call.arrival.pool);
@@ -157,7 +162,7 @@
         }
     }
 
-    /// Frees the slot of a request and gives it to the next.
+    /// Frees the slot of a request and dispatches waiting requests to it.
     fn free_slot(&mut self, call: &CallRecord, running: RunningCall, now: Duration) {
         if let Some(server) = self.servers.get_mut(running.server) {
             server.record_end(running.tier);
@@ -171,7 +176,7 @@
         self.dispatch_freed(pool, running, now);
     }
 
-    /// Dispatches from every pool that the freed server serves.
+    /// Dispatches from every pool that the freed server belongs to.
     fn dispatch_freed(&mut self, pool: PoolId, running: RunningCall, now: Duration) {
         let server = self.servers.get(running.server);
         let pools = server.map_or_else(|| vec![pool], |server| server.pools.clone());
@@ -180,7 +185,8 @@
         }
     }
 
-    /// Returns when a caller may come back to a pool, from the backlog of its queue.
+    /// Returns the `retry_after` for a refused caller, from the time that the pool's
+    /// queue takes to drain.
     pub(super) fn backlog_retry_after(&mut self, pool: PoolId) -> Duration {
         let backlog = self.drain_seconds(pool);
         self.retry_after(backlog)
--- a/crates/flaxtide-policy/src/core/pool.rs
+++ b/crates/flaxtide-policy/src/core/pool.rs
@@ -1,4 +1,4 @@
-//! The state of one pool.
+//! The state of one pool of servers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,35 +12,36 @@
 use crate::queue::PoolQueue;
 use crate::server::{BackendServer, ServerTable};
 
-/// How often what is typical of a pool is worked out.
+/// How often the statistics of a pool are updated.
 const REFRESH_PERIOD: Duration = Duration::from_millis(100);
 
-/// The tier by whose slots the capacity is told.
+/// The tier whose usable slots count as the capacity of a pool.
 const TOP_TIER: TierRank = 0;
 
 /// A pool of servers with its queue.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PoolState {
-    /// The servers.
+    /// The servers of the pool and their statistics.
     pub(crate) servers: ServerPool,
-    /// The waiting requests.
+    /// The requests that wait for their first attempt.
     pub(crate) queue: PoolQueue,
-    /// The requests that wait to be tried at another server.
+    /// The requests that wait to be retried at another server.
     pub(crate) retries: Vec<RequestId>,
-    /// Seconds from dispatch to the first token.
+    /// The mean time from dispatch to the first token, in seconds.
     pub(crate) first_token: DecayedMean,
-    /// This instance's share of the slots of the servers in service.
+    /// This instance's share of the slots of the servers that are in service and not on
+    /// probation.
     pub(crate) capacity: u32,
     /// This instance's requests at servers, by tier.
     pub(crate) running: BTreeMap<TierRank, u32>,
-    /// How many turns there have been since a starved class had one.
+    /// The dispatches since one was last given to a starved class.
     pub(crate) turns_since_starved: u32,
-    /// When what is typical was last worked out.
+    /// When the statistics were last updated; `None` before the first time.
     refreshed_at: Option<Duration>,
 }
 
 impl PoolState {
-    /// Returns how the pool stands.
+    /// Returns the current load of the pool.
     pub(crate) fn summary(&self) -> PoolSummary {
         PoolSummary {
             waiting: self.queue.count_by_tier(),
@@ -49,12 +50,14 @@
         }
     }
 
-    /// Returns this instance's requests of the tier and above at servers.
+    /// Returns how many of this instance's requests of `tier` and higher tiers are at
+    /// servers.
     pub(crate) fn running_up_to(&self, tier: TierRank) -> u32 {
         self.running.range(..=tier).map(|(_, count)| count).sum()
     }
 
-    /// Works out what is typical of the pool's servers, and which are on probation.
+    /// Updates the capacity and statistics of the pool, and which of its servers are on
+    /// probation.
     fn refresh(
         &mut self,
         servers: &mut ServerTable,
@@ -73,8 +76,9 @@
                 .extend(server.token_seconds().map(|seconds| (seconds, server.server)));
             loads.extend(server.reported_load());
             if !server.on_probation {
-                // Shares follow demand within a few periods, so a small one that is left
-                // from quieter times says little of what can be served soon.
+                // Granted shares follow demand within a few heartbeat periods. A small
+                // share left from a time of low demand doesn't limit what can be served
+                // soon.
                 let usable = server.usable_slots(TOP_TIER, now, options.idle_part);
                 self.capacity += usable.max(server.fallback_share);
             }
@@ -90,7 +94,8 @@
         self.set_probation(servers, options, &token_times);
     }
 
-    /// Puts the slowest servers on probation, but not too many.
+    /// Puts servers with a high time per token on probation, slowest first, up to the
+    /// allowed fraction of the pool.
     fn set_probation(
         &self,
         servers: &mut ServerTable,
@@ -109,7 +114,7 @@
 }
 
 impl DecisionCore {
-    /// Works out what is typical of a pool, unless that was done a moment ago.
+    /// Updates the statistics of a pool, at most once in [`REFRESH_PERIOD`].
     pub(super) fn refresh(&mut self, pool: PoolId, now: Duration) {
         let Some(state) = self.pools.get_mut(&pool) else { return };
         if state.refreshed_at.is_some_and(|at| now < at + REFRESH_PERIOD) {
@@ -128,14 +133,14 @@
         servers.filter(|server| !server.leaving)
     }
 
-    /// Works out at once what is typical of every pool.
+    /// Updates the statistics of every pool at once.
     pub(super) fn refresh_all(&mut self, now: Duration) {
         for state in self.pools.values_mut() {
             state.refresh(&mut self.servers, &self.options, now);
         }
     }
 
-    /// Returns the servers' typical time to a first token in a pool, in seconds.
+    /// Returns the mean time to first token in a pool, in seconds; zero before any.
     pub(super) fn mean_first_token(&self, pool: PoolId) -> f64 {
         self.pools
             .get(&pool)
--- a/crates/flaxtide-policy/src/core/record.rs
+++ b/crates/flaxtide-policy/src/core/record.rs
@@ -1,4 +1,4 @@
-//! What the core remembers of a request.
+//! What the core keeps about an open request.
 
 use std::time::Duration;
 
@@ -6,33 +6,33 @@
 
 use crate::event::CallArrival;
 
-/// A request that has neither been answered nor given up.
+/// A request that is waiting or at a server.
 #[derive(Debug, Clone)]
 pub(crate) struct CallRecord {
-    /// What came.
+    /// The request as it arrived.
     pub(crate) arrival: CallArrival,
-    /// The tier of its class.
+    /// The tier of the request's class at arrival.
     pub(crate) tier: TierRank,
-    /// When it came.
+    /// When the request arrived.
     pub(crate) arrived: Duration,
-    /// When it is given up if it still waits.
+    /// When the request is given up if it still waits.
     pub(crate) expiry: Duration,
-    /// Where it is.
+    /// Where the request is now.
     pub(crate) state: CallState,
-    /// How often it has been dispatched.
+    /// The number of times that the request has been dispatched.
     pub(crate) attempts: u8,
-    /// The servers that have failed it.
+    /// Servers that have failed the request; its retries avoid them.
     pub(crate) excluded: Vec<ServerId>,
-    /// Whether any of its bytes may have reached a server.
+    /// Whether a server may have run any of the request.
     pub(crate) may_have_run: bool,
 }
 
-/// Where a request is.
+/// Where an open request is.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum CallState {
-    /// In its pool's queue.
+    /// Waiting in its pool's queue.
     Queued,
-    /// Among its pool's retries.
+    /// Waiting among its pool's retries.
     Retrying,
     /// At a server.
     Running(RunningCall),
@@ -41,18 +41,18 @@
 /// A request at a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct RunningCall {
-    /// The server.
+    /// The server that the request was sent to.
     pub(crate) server: ServerId,
-    /// The tier whose slot it uses.
+    /// The tier whose slot the request uses: the top tier for one of a starved class.
     pub(crate) tier: TierRank,
-    /// When it was dispatched.
+    /// When the request was dispatched.
     pub(crate) dispatched_at: Duration,
-    /// When the first token came.
+    /// When the first token arrived; `None` before.
     pub(crate) first_token: Option<Duration>,
 }
 
 impl CallRecord {
-    /// Returns where the request runs, if it does.
+    /// Returns the current attempt if the request is at a server.
     pub(crate) fn running(&self) -> Option<RunningCall> {
         match self.state {
             CallState::Running(running) => Some(running),
--- a/crates/flaxtide-policy/src/pushback/bucket.rs
+++ b/crates/flaxtide-policy/src/pushback/bucket.rs
@@ -1,28 +1,29 @@
-//! A token bucket: at most so many requests a second, and a small burst.
+//! A token bucket that enforces a request rate with a small burst.
 
 use std::time::Duration;
 
-/// The burst of a bucket, as the time in which its rate allows it; one request at least.
+/// The size of a bucket, as the time in which its rate fills it. A bucket holds at least
+/// one token.
 const BURST: Duration = Duration::from_millis(250);
 
-/// At most so many requests a second, and a small burst.
+/// A token bucket; each request takes one token.
 #[derive(Debug, Clone)]
 pub(crate) struct TokenBucket {
-    /// Requests a second.
+    /// Tokens added per second.
     rate: f64,
-    /// Requests that may be sent now.
+    /// The tokens at `updated_at`.
     tokens: f64,
-    /// When that was worked out.
+    /// When `tokens` was last computed.
     updated_at: Duration,
 }
 
 impl TokenBucket {
-    /// Makes an empty bucket.
+    /// Creates an empty bucket.
     pub(crate) fn new(rate: f64, now: Duration) -> Self {
         Self { rate, tokens: 0.0, updated_at: now }
     }
 
-    /// Sets the rate from now on.
+    /// Changes the rate from `now` on.
     pub(crate) fn set_rate(&mut self, rate: f64, now: Duration) {
         self.tokens = self.tokens(now);
         self.updated_at = now;
@@ -30,12 +31,13 @@
         self.tokens = self.tokens.min(self.capacity());
     }
 
-    /// Returns whether a request may be sent.
+    /// Returns whether a request may be sent now.
     pub(crate) fn is_ready(&self, now: Duration) -> bool {
         self.tokens(now) >= 1.0
     }
 
-    /// Returns when a request may be sent; nothing if never.
+    /// Returns when the next request may be sent; `None` if the rate is zero or too low
+    /// to tell.
     pub(crate) fn ready_at(&self, now: Duration) -> Option<Duration> {
         let missing = (1.0 - self.tokens(now)).max(0.0);
         if missing == 0.0 {
@@ -45,7 +47,7 @@
         now.checked_add(wait)
     }
 
-    /// Takes a request's token. Returns whether there was one.
+    /// Takes one token. Returns whether there was one.
     pub(crate) fn take(&mut self, now: Duration) -> bool {
         let tokens = self.tokens(now);
         let ready = tokens >= 1.0;
@@ -54,15 +56,15 @@
         ready
     }
 
-    /// Returns how many requests may be sent.
+    /// Returns the tokens at `now`.
     fn tokens(&self, now: Duration) -> f64 {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
-        // A full token may come out a little short of one.
+        // Rounding must not leave a token that is due slightly short of one.
         const ROUNDING: f64 = 1e-9;
         (self.tokens + elapsed * self.rate + ROUNDING).min(self.capacity())
     }
 
-    /// Returns the most tokens that are saved up.
+    /// Returns the most tokens that the bucket holds.
     fn capacity(&self) -> f64 {
         if self.rate == 0.0 { 0.0 } else { (self.rate * BURST.as_secs_f64()).max(1.0) }
     }
--- a/crates/flaxtide-policy/src/pushback/group.rs
+++ b/crates/flaxtide-policy/src/pushback/group.rs
@@ -1,34 +1,38 @@
-//! How instances share the rate that a backend server takes from all of them together.
+//! How instances share the rate that a backend server states for all of them together.
 //!
-//! A rate may be lower than the number of instances, so equal parts would be of no use, and what
-//! all have saved up would come at once. Instead a few instances have the whole rate and the
-//! others send nothing. Each works out who these are from whom it sees alive: nothing is asked
-//! on the way of a request, and losing an instance moves only its own parts.
+//! The rate may be lower than the number of instances. Equal shares would then be too
+//! small to use, and the tokens saved by all instances would be spent as one burst. So a
+//! few instances, the owners, share the whole rate, and the others send nothing. Each
+//! instance computes the owners from the instances it sees alive, by rendezvous hashing:
+//! no call is needed before a request is sent, and losing an instance moves only its own
+//! shares.
 
 use std::cmp::Reverse;
 
 use super::statement::RequestRate;
 use crate::rendezvous::numbered_weight;
 
-/// Stands for the name of an instance.
+/// A key computed from the name of an entry instance.
 pub type InstanceKey = u32;
 
-/// Stands for the name of a data centre.
+/// A key computed from the name of a data centre.
 pub type DataCentreKey = u32;
 
-/// So many instances have a part of a rate of less than one request a second: if one of them
-/// has no demand or ends, others have. Each further request a second adds one.
+/// The number of owners of a rate below one request a second. With two, requests still
+/// get through if one owner has no demand or stops. Each full request a second adds an
+/// owner.
 const MIN_OWNERS: usize = 2;
 
-/// A server that takes nothing is asked so seldom whether it does again, in requests a second.
+/// The rate at which requests are still sent to a server that states a rate of zero, in
+/// requests a second, to learn when it accepts requests again.
 const MIN_RATE: f64 = 0.05;
 
-/// An instance that is known by its name.
+/// An instance that is known by name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupMember {
-    /// The instance.
+    /// The key of the instance.
     pub instance: InstanceKey,
-    /// Where it stands.
+    /// The data centre of the instance.
     pub data_centre: DataCentreKey,
 }
 
@@ -50,42 +54,45 @@
 pub struct InstanceGroup {
     /// This instance.
     pub own: GroupMember,
-    /// All that are known by their names, this one included.
+    /// The live instances that are known by name, this one included.
     pub members: Vec<GroupMember>,
-    /// The other data centres with live instances that aren't all known by their names.
+    /// The other data centres that have live instances, not all of which are known by
+    /// name.
     pub other_data_centres: Vec<DataCentreKey>,
 }
 
 impl InstanceGroup {
-    /// Returns this instance's part of the rate of a server, in requests a second. `rank` is the
-    /// server's number that is the same on every instance.
+    /// Returns this instance's share of the rate of a server, in requests a second.
+    /// `name_hash` identifies the server and is the same on every instance.
     #[must_use]
     pub fn rate_share(
         &self,
-        rank: u64,
+        name_hash: u64,
         data_centre: DataCentreKey,
         rate: RequestRate,
     ) -> f64 {
-        if !self.shares_servers_of(rank, data_centre) {
+        if !self.shares_servers_of(name_hash, data_centre) {
             return 0.0;
         }
         let rate = rate.per_second().max(MIN_RATE);
         let owners = (rate as usize).saturating_add(MIN_OWNERS);
         let count = owners.min(self.members.len());
         let order = |member: &GroupMember| {
-            // Those beside the server go first: a cut parts them from it last.
+            // Instances in the server's data centre go first, as a network partition is
+            // least likely to separate them from it.
             let far = member.data_centre != data_centre;
-            (far, Reverse(numbered_weight(rank, u64::from(member.instance))))
+            (far, Reverse(numbered_weight(name_hash, u64::from(member.instance))))
         };
         let own = order(&self.own);
         let preceding = self.members.iter().filter(|member| order(member) < own).count();
         if preceding < count { rate / count as f64 } else { 0.0 }
     }
 
-    /// Returns whether the members share the rates of the servers of a data centre. Where they are
-    /// those of one data centre only, they do so for their own, and for a data centre without
-    /// live instances if they are next in order.
-    fn shares_servers_of(&self, rank: u64, data_centre: DataCentreKey) -> bool {
+    /// Returns whether the members share the rates of the servers in a data centre.
+    /// Members of a single data centre share the rates of its own servers, and of a data
+    /// centre without live instances if their data centre comes first in rendezvous
+    /// order.
+    fn shares_servers_of(&self, name_hash: u64, data_centre: DataCentreKey) -> bool {
         let has_members =
             self.members.iter().any(|member| member.data_centre == data_centre);
         if has_members || self.other_data_centres.is_empty() {
@@ -95,7 +102,7 @@
             return false;
         }
         let weight = |candidate: DataCentreKey| {
-            (numbered_weight(rank, candidate.into()), candidate)
+            (numbered_weight(name_hash, candidate.into()), candidate)
         };
         let own = weight(self.own.data_centre);
         self.other_data_centres.iter().all(|other| weight(*other) < own)
--- a/crates/flaxtide-policy/src/pushback/limit.rs
+++ b/crates/flaxtide-policy/src/pushback/limit.rs
@@ -1,29 +1,30 @@
-//! This instance's part of the rate that a server takes from all instances.
+//! This instance's share of the rate that a server states for all instances.
 
 use std::time::Duration;
 
 use super::bucket::TokenBucket;
 use super::statement::RequestRate;
 
-/// For how long a larger part must be due before it is taken: its former owner may still use it, and
-/// an instance that was frozen sees nobody alive for a moment.
+/// How long a larger share must be due before it is used. Its former owner may still be
+/// using it, and an instance that was frozen briefly sees no live peers and computes too
+/// large a share.
 const INCREASE_DELAY: Duration = Duration::from_secs(2);
 
-/// This instance's part of the rate that a server takes from all instances.
+/// This instance's share of the rate that a server states for all instances.
 #[derive(Debug, Clone)]
 pub(crate) struct ServerRateLimit {
-    /// The rate of all.
+    /// The rate for all instances together.
     pub(crate) rate: RequestRate,
-    /// This instance's part, in requests a second.
+    /// The share that is used now, in requests a second.
     share: f64,
-    /// A larger part that is due, and since when.
+    /// A larger share that is due, and since when.
     pending_increase: Option<(f64, Duration)>,
-    /// What may be sent.
+    /// The bucket that enforces the share.
     bucket: TokenBucket,
 }
 
 impl ServerRateLimit {
-    /// Starts with nothing to send.
+    /// Creates a limit with an empty bucket.
     pub(crate) fn new(rate: RequestRate, share: f64, now: Duration) -> Self {
         Self {
             rate,
@@ -33,8 +34,9 @@
         }
     }
 
-    /// Sets the rate of all and this instance's part. A smaller part holds at once, a larger one
-    /// after a delay.
+    /// Sets the rate and this instance's share of it. A smaller share, or any share of
+    /// another rate, is used at once; a larger share of the same rate only after
+    /// [`INCREASE_DELAY`].
     pub(crate) fn set(&mut self, rate: RequestRate, share: f64, now: Duration) {
         let rate_changed = self.rate != rate;
         self.rate = rate;
@@ -52,7 +54,7 @@
         self.bucket.set_rate(share, now);
     }
 
-    /// Takes a larger part once it has been due for long enough.
+    /// Starts to use a larger share once it has been due for [`INCREASE_DELAY`].
     pub(crate) fn apply_increase(&mut self, now: Duration) {
         let Some((share, since)) = self.pending_increase else { return };
         if now >= since + INCREASE_DELAY {
@@ -62,22 +64,23 @@
         }
     }
 
-    /// Returns this instance's part, in requests a second.
+    /// Returns the share that is used now, in requests a second.
     pub(crate) fn share(&self) -> f64 {
         self.share
     }
 
-    /// Returns whether a request may be sent.
+    /// Returns whether a request may be sent now.
     pub(crate) fn is_ready(&self, now: Duration) -> bool {
         self.bucket.is_ready(now)
     }
 
-    /// Returns when a request may be sent; nothing if that can't be told.
+    /// Returns when the next request may be sent; `None` if the share is zero or too low
+    /// to tell.
     pub(crate) fn ready_at(&self, now: Duration) -> Option<Duration> {
         self.bucket.ready_at(now)
     }
 
-    /// Takes what one request needs. Returns whether it may be sent.
+    /// Takes one token. Returns whether a request may be sent.
     pub(crate) fn take(&mut self, now: Duration) -> bool {
         self.bucket.take(now)
     }
--- a/crates/flaxtide-policy/src/pushback/mod.rs
+++ b/crates/flaxtide-policy/src/pushback/mod.rs
@@ -1,5 +1,5 @@
-//! Pushback: what backend servers say of themselves in their answers, and what follows for the
-//! instances that send to them.
+//! Pushback: the rate limits, backoffs and notices of leaving that backend servers state
+//! in their responses, and how instances obey them together.
 
 mod bucket;
 mod group;
--- a/crates/flaxtide-policy/src/pushback/report.rs
+++ b/crates/flaxtide-policy/src/pushback/report.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of what backend servers have said.
+//! Reports between instances of what backend servers have stated.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,38 +8,39 @@
 use super::statement::RequestRate;
 use crate::quarantine::IncarnationKey;
 
-/// How long it is remembered what a server said: longer than the time after which instances
-/// that still hear it say so again.
+/// How long the statement of a server is kept without a newer report. Longer than the
+/// period after which instances that still hear the statement report it again.
 const RETENTION: Duration = Duration::from_secs(120);
 
-/// The most servers of which it is remembered.
+/// The most servers whose statements are kept.
 const MAX_SERVERS: usize = 4096;
 
-/// What one start of a server has said, as an instance tells its peers.
+/// The last statement of one incarnation of a server, as one instance reports it to
+/// others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PushbackReport {
-    /// The server.
+    /// The incarnation of the server.
     pub server: IncarnationKey,
-    /// The rate that it takes from all instances; nothing if it takes what it can.
+    /// The rate that the server states for all instances; `None` if it states no limit.
     pub rate: Option<RequestRate>,
-    /// How long ago it said so, in milliseconds.
+    /// How long before this report the statement was heard, in milliseconds.
     pub age_ms: u32,
-    /// Whether it has ever said that it is leaving.
+    /// Whether the server has ever stated that it is leaving.
     pub leaving: bool,
 }
 
-/// What a report does to what is known.
+/// How a report relates to what is known of its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportEffect {
-    /// It is news.
+    /// The report changes what is known.
     Changed,
-    /// It says what is known.
+    /// The report agrees with what is known.
     Known,
-    /// The server has said something else since, which the reporter is to be told.
+    /// The server has stated something else since, and the reporter should be told.
     Outdated,
 }
 
-/// What servers have said, as far as instances have told each other.
+/// The last statement of each server, merged from reports.
 ///
 /// ```
 /// use std::time::Duration;
@@ -54,31 +55,31 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct PushbackLog {
-    /// What each server said last.
+    /// The last statement of each incarnation of a server.
     statements: HashMap<IncarnationKey, LastStatement>,
 }
 
-/// What a server said last.
+/// The last known statement of a server.
 #[derive(Debug, Clone, Copy)]
 struct LastStatement {
-    /// The rate that it takes from all instances.
+    /// The rate for all instances; `None` if the server states no limit.
     rate: Option<RequestRate>,
-    /// When an instance heard it.
+    /// When an instance heard the statement from the server.
     heard_at: Duration,
-    /// Whether it has ever said that it is leaving.
+    /// Whether the server has ever stated that it is leaving.
     leaving: bool,
-    /// When a report last told something newer.
+    /// When a report last brought a newer statement.
     updated_at: Duration,
 }
 
 impl PushbackLog {
-    /// Returns whether nothing is known.
+    /// Returns whether the log has no statements.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.statements.is_empty()
     }
 
-    /// Adds a report. Returns what it does to what is known.
+    /// Merges a report into the log. Returns how it relates to what was known.
     pub fn apply(&mut self, report: &PushbackReport, now: Duration) -> ReportEffect {
         let PushbackReport { rate, leaving, .. } = *report;
         let heard = report.heard_at(now);
@@ -90,7 +91,7 @@
             );
             return ReportEffect::Changed;
         };
-        // Leaving is for good, so it needs no time.
+        // A server that is leaving stays so, whichever report is newer.
         let starts_leaving = leaving && !last.leaving;
         if starts_leaving || heard > last.heard_at {
             last.updated_at = now;
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Returns the report of a server.
+    /// Returns a report of what is known of a server.
     #[must_use]
     pub fn report_of(
         &self,
@@ -123,7 +124,8 @@
         Some(PushbackReport { server, rate, age_ms, leaving })
     }
 
-    /// Returns the reports of all servers that state a rate or leave, up to so many.
+    /// Returns reports of servers that state a rate or are leaving, at most `max`.
+    /// Statements without a newer report within [`RETENTION`] are left out.
     #[must_use]
     pub fn reports(&self, max: usize, now: Duration) -> Vec<PushbackReport> {
         let recent = |last: &LastStatement| now < last.updated_at + RETENTION;
@@ -135,7 +137,8 @@
         reports.take(max).collect()
     }
 
-    /// Forgets what is old, and the oldest if there is no place for one more.
+    /// If the log is full, drops expired statements, and the least recently updated one
+    /// if that doesn't make space.
     fn evict_if_full(&mut self, now: Duration) {
         if self.statements.len() < MAX_SERVERS {
             return;
@@ -150,7 +153,7 @@
 }
 
 impl PushbackReport {
-    /// Returns when the server said so.
+    /// Returns when the statement was heard, for a report received at `now`.
     #[must_use]
     pub fn heard_at(&self, now: Duration) -> Duration {
         now.saturating_sub(Duration::from_millis(u64::from(self.age_ms)))
--- a/crates/flaxtide-policy/src/pushback/schedule.rs
+++ b/crates/flaxtide-policy/src/pushback/schedule.rs
@@ -1,4 +1,4 @@
-//! When peers are told of what servers state.
+//! When peers are told what servers state.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,15 +7,16 @@
 
 use super::statement::StatedRate;
 
-/// How often peers are told again of a rate that a server goes on stating.
+/// How often peers are told again of a rate that a server keeps stating.
 const RENEWAL_PERIOD: Duration = Duration::from_secs(30);
 
-/// How long after the end of a rate it is told once more. A report of the rate that was on its way
-/// then counts as later than its end where it comes late, and an instance that sends nothing to the
-/// server would go on believing it.
+/// How long after a server stops stating a rate peers are told so a second time. A report
+/// of the rate that was delayed on the way seems newer than it is, so it can override the
+/// first notice. An instance that sends nothing to the server would then keep the rate
+/// for good.
 const CONFIRMATION_DELAY: Duration = Duration::from_secs(3);
 
-/// When peers are told of what servers state.
+/// Decides when peers are told what servers state.
 ///
 /// ```
 /// use std::time::Duration;
@@ -28,34 +29,35 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct ReportSchedule {
-    /// When the next report of a server is due, if it states the same until then.
+    /// The next report of each server, if its statement doesn't change before.
     next: HashMap<ServerId, NextReport>,
 }
 
-/// The next report of a server.
+/// The last and next report of a server.
 #[derive(Debug, Clone, Copy)]
 struct NextReport {
-    /// What peers have been told.
+    /// What peers were told last.
     sent: StatedRate,
-    /// When it is due; nothing if it isn't told again.
+    /// When peers are told again; `None` if they aren't.
     due_at: Option<Duration>,
 }
 
 impl ReportSchedule {
-    /// Returns whether peers are to be told of a server that states the same as before.
+    /// Returns whether peers should be told of a server whose statement hasn't changed.
     #[must_use]
     pub fn is_due(&self, server: ServerId, stated: StatedRate, now: Duration) -> bool {
         match (self.next.get(&server), stated) {
             (Some(next), _) => {
                 next.sent == stated && next.due_at.is_some_and(|due_at| now >= due_at)
             }
-            // A rate that peers told of, not this instance.
+            // This instance has only learnt the rate from peers, and now hears it from
+            // the server.
             (None, StatedRate::Limited(_)) => true,
             (None, _) => false,
         }
     }
 
-    /// Records that peers are told what a server states, as news or as it was due.
+    /// Records that peers are told what a server states, because it changed or was due.
     pub fn record_sent(&mut self, server: ServerId, stated: StatedRate, now: Duration) {
         let repeated = self.next.get(&server).is_some_and(|next| next.sent == stated);
         let due_at = match stated {
@@ -65,7 +67,7 @@
         self.next.insert(server, NextReport { sent: stated, due_at });
     }
 
-    /// Forgets servers of which nothing has been due for long.
+    /// Drops servers without a scheduled report, and those whose report is long overdue.
     pub fn expire(&mut self, now: Duration) {
         self.next.retain(|_, next| {
             next.due_at.is_some_and(|due_at| now < due_at + RENEWAL_PERIOD)
--- a/crates/flaxtide-policy/src/pushback/server.rs
+++ b/crates/flaxtide-policy/src/pushback/server.rs
@@ -1,5 +1,5 @@
-//! What is known of what one start of a backend server has said of itself, and whether it may be
-//! sent a request.
+//! The last statement of one incarnation of a backend server, and whether a request may
+//! be sent to it.
 
 use std::time::Duration;
 
@@ -7,31 +7,32 @@
 use super::report::ReportEffect;
 use super::statement::{RequestRate, StatedRate};
 
-/// What one start of a backend server has said of itself.
+/// What one incarnation of a backend server has stated, and this instance's share of it.
 #[derive(Debug, Default)]
 pub(crate) struct ServerPushback {
-    /// The rate that it takes from all instances, if it says so.
+    /// The limit from the rate that the server states; `None` if it states none.
     limit: Option<ServerRateLimit>,
-    /// When that, or that there is none, was last heard from the server by any instance.
+    /// When any instance last heard the rate, or its absence, from the server.
     rate_heard_at: Duration,
-    /// Until when it wants nothing from this instance.
+    /// Until when the server has asked this instance not to send requests.
     backoff_until: Duration,
 }
 
 impl ServerPushback {
-    /// Returns the rate that the server takes from all instances.
+    /// Returns the rate that the server states for all instances.
     pub(crate) fn rate(&self) -> Option<RequestRate> {
         self.limit.as_ref().map(|limit| limit.rate)
     }
 
-    /// Returns this instance's part of it, in requests a second.
+    /// Returns this instance's share of the rate, in requests a second.
     pub(crate) fn share(&self) -> Option<f64> {
         self.limit.as_ref().map(ServerRateLimit::share)
     }
 
-    /// Records what an answer to a request says that was sent at `sent`. An answer that the
-    /// server may have made before another one that came first doesn't raise the rate. Returns
-    /// whether the rate is another one.
+    /// Applies the rate stated in the response to a request that was sent at `sent`.
+    /// Responses can arrive out of order, so the rate is only raised by a response to a
+    /// request that was sent after the rate was last heard. Returns whether the rate
+    /// changed.
     pub(crate) fn apply_statement(
         &mut self,
         stated: StatedRate,
@@ -51,8 +52,8 @@
         self.set_rate(rate, share, now)
     }
 
-    /// Records that a peer heard the server state a rate, or none, at `heard`. Returns what that
-    /// does to what is known.
+    /// Applies the report of a peer that heard the server state `rate` at `heard`.
+    /// Returns how the report relates to what is known.
     pub(crate) fn apply_report(
         &mut self,
         rate: Option<RequestRate>,
@@ -71,12 +72,12 @@
         }
     }
 
-    /// Returns when the rate, or that there is none, was last heard.
+    /// Returns when the rate, or its absence, was last heard.
     pub(crate) fn rate_heard_at(&self) -> Duration {
         self.rate_heard_at
     }
 
-    /// Sets the rate. Returns whether it is another one.
+    /// Sets the rate. Returns whether it changed.
     fn set_rate(
         &mut self,
         rate: Option<RequestRate>,
@@ -96,8 +97,9 @@
         true
     }
 
-    /// Records that the server wants nothing from this instance for a while. Nothing that it
-    /// answers meanwhile shortens that. Returns whether that is news.
+    /// Records that the server asked this instance to send nothing for `span`. Later
+    /// statements can extend the backoff but not shorten it. Returns whether it was
+    /// extended.
     pub(crate) fn back_off(&mut self, span: Duration, now: Duration) -> bool {
         let until = now + span;
         let extended = until > self.backoff_until;
@@ -105,7 +107,7 @@
         extended
     }
 
-    /// Works out anew what this instance's part of the rate is.
+    /// Recomputes this instance's share of the rate, after the group has changed.
     pub(crate) fn update_share(
         &mut self,
         share: impl FnOnce(RequestRate) -> f64,
@@ -116,14 +118,14 @@
         }
     }
 
-    /// Takes a larger part of the rate once it is due.
+    /// Starts to use a larger share of the rate once it is due.
     pub(crate) fn tick(&mut self, now: Duration) {
         if let Some(limit) = &mut self.limit {
             limit.apply_increase(now);
         }
     }
 
-    /// Returns whether the server wants nothing from this instance now.
+    /// Returns whether the server has asked for no requests now.
     pub(crate) fn is_backing_off(&self, now: Duration) -> bool {
         now < self.backoff_until
     }
@@ -134,19 +136,20 @@
             && self.limit.as_ref().is_none_or(|limit| limit.is_ready(now))
     }
 
-    /// Returns when a request may be sent; nothing if that can't be told.
+    /// Returns when the next request may be sent; `None` if the share of the rate is zero
+    /// or too low to tell.
     pub(crate) fn ready_at(&self, now: Duration) -> Option<Duration> {
         let ready = self.limit.as_ref().map_or(Some(now), |limit| limit.ready_at(now))?;
         Some(ready.max(self.backoff_until))
     }
 
-    /// Counts a request against what may be sent. Returns whether it may be.
+    /// Takes a token for one request. Returns whether it may be sent.
     pub(crate) fn take(&mut self, now: Duration) -> bool {
         self.limit.as_mut().is_none_or(|limit| limit.take(now))
     }
 }
 
-/// Returns whether a rate is higher than another.
+/// Returns whether `to` allows more than `from`, where `None` is unlimited.
 fn is_increase(from: Option<RequestRate>, to: Option<RequestRate>) -> bool {
     match (from, to) {
         (None, _) => false,
--- a/crates/flaxtide-policy/src/pushback/statement.rs
+++ b/crates/flaxtide-policy/src/pushback/statement.rs
@@ -1,10 +1,10 @@
-//! What a backend server states in one answer.
+//! What a backend server states in one response.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How many units of a [`RequestRate`] are one request a second.
+/// Units of a [`RequestRate`] per request a second.
 const UNITS_PER_REQUEST: f64 = 1000.0;
 
 /// A rate of requests, in thousandths of a request a second.
@@ -23,8 +23,8 @@
 pub struct RequestRate(u32);
 
 impl RequestRate {
-    /// Makes a rate of so many requests a second. A rate beyond what can be told apart is the
-    /// highest; nothing is made of one that is negative or no number.
+    /// Creates a rate from requests a second, capped at the highest rate that can be
+    /// represented. Returns `None` for a negative number or NaN.
     ///
     /// ```
     /// use flaxtide_policy::RequestRate;
@@ -39,35 +39,36 @@
         (requests >= 0.0).then_some(Self((requests * UNITS_PER_REQUEST) as u32))
     }
 
-    /// Returns how many requests a second it is.
+    /// Returns the rate in requests a second.
     #[must_use]
     pub fn per_second(self) -> f64 {
         f64::from(self.0) / UNITS_PER_REQUEST
     }
 }
 
-/// What an answer says of the rate that its server takes from all callers together.
+/// The rate that a response states for all callers of the server together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum StatedRate {
-    /// Nothing: the server takes what it can.
+    /// The response states no limit.
     #[default]
     Unlimited,
-    /// So much.
+    /// The response states this limit.
     Limited(RequestRate),
-    /// Something that isn't understood; what was known before holds on.
+    /// The stated limit can't be parsed, and the last known one stays in force.
     Unreadable,
-    /// Nothing that counts, as errors and refusals may leave a rate out; what was known before
-    /// holds on.
+    /// The response doesn't count, as errors and refusals may leave the limit out; the
+    /// last known one stays in force.
     Unstated,
 }
 
-/// What a backend server states of itself in one answer.
+/// What a backend server states in one response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerStatement {
-    /// The rate that it takes from all callers together.
+    /// The rate for all callers together.
     pub rate: StatedRate,
-    /// Whether it is leaving.
+    /// Whether the server is leaving: it finishes its open requests and takes no new
+    /// ones.
     pub leaving: bool,
-    /// For how long it wants nothing from this instance.
+    /// How long the server asks this instance not to send requests.
     pub backoff: Option<Duration>,
 }
--- a/crates/flaxtide-policy/src/pushback/unlisted.rs
+++ b/crates/flaxtide-policy/src/pushback/unlisted.rs
@@ -1,5 +1,5 @@
-//! What servers have said that the platform doesn't list just now. The row of a server that is
-//! there may lapse and come back.
+//! Statements of servers that the platform doesn't list at the moment. The row of a
+//! running server may expire and come back.
 
 use std::collections::VecDeque;
 
@@ -7,18 +7,18 @@
 
 use super::server::ServerPushback;
 
-/// Of how many servers it is kept.
+/// The most servers whose statements are kept.
 const MAX_SERVERS: usize = 1024;
 
-/// What servers have said that the platform doesn't list just now, the oldest first.
+/// The statements of unlisted servers, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct UnlistedPushback {
-    /// What each has said.
+    /// The servers and what they stated.
     servers: VecDeque<(ServerId, ServerPushback)>,
 }
 
 impl UnlistedPushback {
-    /// Keeps what servers have said that aren't listed any more.
+    /// Keeps the statements of servers that aren't listed any more.
     pub(crate) fn keep(
         &mut self,
         servers: impl Iterator<Item = (ServerId, ServerPushback)>,
@@ -28,7 +28,8 @@
         self.servers.drain(..surplus);
     }
 
-    /// Returns what a server has said that is listed again, or is new.
+    /// Removes and returns the statements of a server that is listed again. Returns empty
+    /// ones if none are kept.
     pub(crate) fn take(&mut self, server: ServerId) -> ServerPushback {
         let index = self.servers.iter().position(|(id, _)| *id == server);
         let kept = index.and_then(|index| self.servers.remove(index));
--- a/crates/flaxtide-policy/src/quarantine/fingerprint.rs
+++ b/crates/flaxtide-policy/src/quarantine/fingerprint.rs
@@ -1,14 +1,14 @@
-//! What tells a request when it comes again, as another attempt and at another instance.
+//! Fingerprints that identify a request across attempts and instances.
 
 use sha2::{Digest, Sha256};
 
-/// Stands for the path, caller and body of a request.
+/// A hash of the path, caller and body of a request.
 pub type Fingerprint = u128;
 
-/// Returns the fingerprint of a request: the same on every instance.
+/// Returns the fingerprint of a request, which is the same on every instance.
 ///
-/// The hash is collision-resistant, so no caller can make a request with the fingerprint of
-/// another caller's, and needs no key that all instances would have to share.
+/// The hash is collision-resistant, so no caller can craft a request with the fingerprint
+/// of another caller's request. It needs no key, which all instances would have to share.
 ///
 /// ```
 /// use flaxtide_policy::request_fingerprint;
@@ -20,7 +20,8 @@
 pub fn request_fingerprint(path: &str, caller: Option<&str>, body: &[u8]) -> Fingerprint {
     let mut hash = Sha256::new();
     let caller_bytes = caller.unwrap_or_default().as_bytes();
-    // Lengths keep the end of one field from passing for the start of the next.
+    // Without the lengths, bytes could move from one field to the next with the same
+    // hash.
     for field in [path.as_bytes(), &[u8::from(caller.is_some())], caller_bytes, body] {
         hash.update((field.len() as u64).to_le_bytes());
         hash.update(field);
--- a/crates/flaxtide-policy/src/quarantine/log.rs
+++ b/crates/flaxtide-policy/src/quarantine/log.rs
@@ -1,4 +1,5 @@
-//! Which servers ended under which requests, and the judgement of a request by that.
+//! Which servers crashed while they ran which requests, and which requests are
+//! quarantined for it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,26 +11,28 @@
 use super::suspect::{Suspect, SuspicionScore};
 use crate::router::CallProgress;
 
-/// A request is sent to no other server once so many have ended under it for which nothing
-/// else accounts: two may be chance where a server runs dozens of requests at once, and each
-/// further one costs all that run there.
+/// A request is quarantined once this many independent crashes have no better
+/// explanation. Two may be a coincidence where a server runs dozens of requests at once,
+/// and each further crash costs all requests that run there.
 const CRASH_LIMIT: usize = 3;
 
-/// Under so many servers no chance puts an innocent request, whatever else ran there.
+/// A request that was running in this many independent crashes is quarantined even if
+/// other requests explain them: an innocent request doesn't meet so many by chance.
 const CERTAIN_CRASH_LIMIT: usize = 5;
 
-/// How long a request is remembered after it was last seen: longer than callers wait
+/// How long a request is remembered after it was last seen. Longer than callers wait
 /// between two tries of the same request.
 const RETENTION: Duration = Duration::from_secs(600);
 
-/// How often instances tell each other that a request in quarantine still comes. A small
-/// part of its life, so that it ends at about the same time everywhere.
+/// How often instances tell each other that a quarantined request still arrives. Short
+/// against [`RETENTION`], so that the quarantine ends at about the same time everywhere.
 const RENEWAL_PERIOD: Duration = Duration::from_secs(60);
 
-/// The most requests that are remembered: 0.3 MB, and more than run on twenty engines.
+/// The most requests that are remembered. They take 0.3 MB, and are more than run on
+/// twenty engines at once.
 const MAX_SUSPECTS: usize = 1024;
 
-/// Which servers ended under which requests.
+/// The crashes of servers and the requests that were running.
 ///
 /// ```
 /// use std::time::Duration;
@@ -44,15 +47,15 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct CrashLog {
-    /// The requests that ran on servers that ended.
+    /// The requests that were running when servers crashed.
     suspects: HashMap<Fingerprint, Suspect>,
-    /// Which of them ran on each server.
+    /// The requests that were running in the crash of each server.
     suspects_by_server: HashMap<IncarnationKey, Vec<Fingerprint>>,
 }
 
 impl CrashLog {
-    /// Records that a server ended while it ran a request. Returns the report for peers; nothing
-    /// if the end is known.
+    /// Records that a server crashed while it ran a request. Returns the report for
+    /// peers, or `None` if the crash was known.
     pub fn record(
         &mut self,
         fingerprint: Fingerprint,
@@ -73,7 +76,7 @@
         self.apply(&report, now).then_some(report)
     }
 
-    /// Adds what a peer reports. Returns whether that is news.
+    /// Merges a peer's report. Returns whether it was new.
     pub fn apply(&mut self, report: &CrashReport, now: Duration) -> bool {
         if u128::from(report.idle_ms) >= RETENTION.as_millis() {
             return false;
@@ -88,8 +91,9 @@
         is_new
     }
 
-    /// Records that a server has answered a request well, so that it is no cause of crashes.
-    /// Returns the reports for peers; none if nothing spoke against it.
+    /// Records that a request has got a complete response, so it didn't cause the crashes
+    /// in which it ran. Returns the reports for peers; none if no crashes were held
+    /// against it.
     pub fn clear(&mut self, fingerprint: Fingerprint, now: Duration) -> Vec<CrashReport> {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return vec![] };
         if !suspect.clear() {
@@ -98,8 +102,8 @@
         suspect.reports(fingerprint, now).collect()
     }
 
-    /// Records that a request in quarantine has come again. Returns the reports for peers, if
-    /// they haven't been told for long.
+    /// Records that a quarantined request has arrived again. Returns the reports for
+    /// peers, if the request was last seen more than [`RENEWAL_PERIOD`] ago.
     pub fn renew(&mut self, fingerprint: Fingerprint, now: Duration) -> Vec<CrashReport> {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return vec![] };
         if now < suspect.last_seen() + RENEWAL_PERIOD {
@@ -109,7 +113,7 @@
         suspect.reports(fingerprint, now).collect()
     }
 
-    /// Returns whether a request may be sent to no server.
+    /// Returns whether a request must not be sent to any server.
     #[must_use]
     pub fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
         let Some(suspect) = self.suspects.get(&fingerprint) else { return false };
@@ -125,9 +129,9 @@
                 >= CRASH_LIMIT
     }
 
-    /// Returns whether more speaks against another request that ran on a server: that one
-    /// accounts for the server's end then. Without this, each request that ran beside three
-    /// that crash servers would be taken for one of them.
+    /// Returns whether another request that ran on the server has a higher score than
+    /// `score`, and so explains the crash. Without this check, a request that ran beside
+    /// three requests that crash servers would be quarantined with them.
     fn has_stronger_suspect(
         &self,
         server: IncarnationKey,
@@ -138,27 +142,27 @@
         suspects.any(|other| other.score() > score)
     }
 
-    /// Returns whether nothing is known.
+    /// Returns whether no requests are remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Returns how many requests ran on servers that ended.
+    /// Returns the number of requests that were running when a server crashed.
     #[must_use]
     pub fn suspect_count(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Returns the requests that may be sent to no server.
+    /// Returns the quarantined requests.
     #[must_use]
     pub fn quarantined(&self) -> Vec<Fingerprint> {
         let all = self.suspects.keys().copied();
         all.filter(|fingerprint| self.is_quarantined(*fingerprint)).collect()
     }
 
-    /// Returns everything that is known, at most so many reports, those of the requests that
-    /// most speaks against first.
+    /// Returns at most `max` reports of everything that is remembered, those of the
+    /// highest scores first.
     #[must_use]
     pub fn reports(&self, max: usize, now: Duration) -> Vec<CrashReport> {
         let mut suspects: Vec<(&Fingerprint, &Suspect)> = self.suspects.iter().collect();
@@ -171,7 +175,7 @@
         reports.take(max).collect()
     }
 
-    /// Returns what is known of one request.
+    /// Returns the reports of one request.
     pub fn reports_of(
         &self,
         fingerprint: Fingerprint,
@@ -181,7 +185,7 @@
         suspect.into_iter().flat_map(move |it| it.reports(fingerprint, now))
     }
 
-    /// Returns a number that is the same for logs that hold the same.
+    /// Returns a hash that is equal for logs with equal contents.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let crash_marks = self.suspects.iter().flat_map(|(fingerprint, suspect)| {
@@ -196,7 +200,7 @@
         })
     }
 
-    /// Forgets requests that haven't been seen for long.
+    /// Drops requests that were last seen more than [`RETENTION`] ago.
     pub fn expire(&mut self, now: Duration) {
         let old = self
             .suspects
@@ -208,8 +212,8 @@
         }
     }
 
-    /// Forgets the request that least speaks against if there are too many: a caller whose every
-    /// request crashes a server doesn't drive out those in quarantine.
+    /// If there are too many requests, drops the one with the lowest score. So a caller
+    /// whose every request crashes a server can't displace those in quarantine.
     fn evict_weakest(&mut self) {
         if self.suspects.len() <= MAX_SUSPECTS {
             return;
@@ -223,7 +227,7 @@
         }
     }
 
-    /// Forgets a request.
+    /// Removes a request.
     fn remove(&mut self, fingerprint: Fingerprint) {
         let Some(suspect) = self.suspects.remove(&fingerprint) else { return };
         for server in suspect.servers() {
--- a/crates/flaxtide-policy/src/quarantine/mod.rs
+++ b/crates/flaxtide-policy/src/quarantine/mod.rs
@@ -1,9 +1,9 @@
 //! Quarantine of requests that crash the backend servers that run them.
 //!
-//! A [`CrashLog`] holds which servers ended under which requests, as this instance and its
-//! peers have seen it, and judges whether a request may be sent to a server. It does no
-//! input or output; instances bring their logs together by exchanging [`CrashReport`]s, in
-//! any order and as often as they like.
+//! A [`CrashLog`] holds which servers crashed while they ran which requests, as seen by
+//! this instance and its peers, and decides whether a request may be sent to a server. It
+//! does no input or output. Instances merge their logs by exchanging [`CrashReport`]s, in
+//! any order and with any repetition.
 
 mod fingerprint;
 mod log;
--- a/crates/flaxtide-policy/src/quarantine/suspect.rs
+++ b/crates/flaxtide-policy/src/quarantine/suspect.rs
@@ -1,55 +1,57 @@
-//! What is known of one request that ran on servers that ended.
+//! The crashes in which one request was running.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::report::{CrashReport, IncarnationKey};
 
-/// Servers that end within this time of each other, each with a copy of the request, may end for
-/// a common cause, such as the power of their rack.
+/// Crashes this close in time, of servers that each ran a copy of the request, may have a
+/// common cause, such as a power loss in their rack.
 const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(40);
 
-/// How much later a peer's crash may seem here than it was, for the way of its report.
+/// How much later than it happened a peer's crash may appear here, because its report
+/// takes time.
 const REPORT_DELAY: Duration = Duration::from_millis(20);
 
-/// A server that ended under a request.
+/// The crash of a server that was running the request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct ServerCrash {
-    /// When the request had been sent to it.
+    /// When the request was sent to the server.
     sent: Duration,
-    /// When it ended.
+    /// When the server crashed.
     at: Duration,
-    /// Whether it had begun to answer.
+    /// Whether the server had begun to respond.
     begun: bool,
-    /// Whether another server has answered the request since.
+    /// Whether the request has got a complete response since.
     cleared: bool,
 }
 
 impl ServerCrash {
-    /// Returns whether an earlier one may have the same cause. A request that was sent after
-    /// the earlier server had ended ran alone at the later one.
+    /// Returns whether this crash may have the same cause as an earlier one. If the
+    /// request was sent to this server only after the earlier crash, the two crashes are
+    /// independent.
     fn may_share_cause(&self, earlier: &ServerCrash) -> bool {
         self.at < earlier.at + COMMON_CAUSE_WINDOW
             && self.sent + REPORT_DELAY < earlier.at
     }
 }
 
-/// How much speaks against a request: on how many servers that ended it ran, and on how many
-/// of these it hadn't been begun to be answered. What crashes servers does so at each, and
-/// mostly at once.
+/// How much speaks for a request as the cause of crashes: the number of crashed servers
+/// that ran it, then how many of these hadn't begun to respond to it. A request that
+/// crashes servers does so on each, and mostly before the first token.
 pub(super) type SuspicionScore = (usize, usize);
 
-/// A request that ran on servers that ended.
+/// A request that was running when servers crashed.
 #[derive(Debug, Default)]
 pub(super) struct Suspect {
-    /// The servers.
+    /// The crash of each server.
     crashes: BTreeMap<IncarnationKey, ServerCrash>,
     /// When the request was last seen.
     last_seen: Duration,
 }
 
 impl Suspect {
-    /// Adds what a report tells. Returns whether that is news.
+    /// Merges a report. Returns whether it was new.
     pub(super) fn add(&mut self, report: &CrashReport, now: Duration) -> bool {
         let ago = |millis: u32| now.saturating_sub(Duration::from_millis(millis.into()));
         self.last_seen = self.last_seen.max(ago(report.idle_ms));
@@ -69,7 +71,7 @@
         is_new
     }
 
-    /// Records that the request came again.
+    /// Records that the request arrived again.
     pub(super) fn touch(&mut self, now: Duration) {
         self.last_seen = self.last_seen.max(now);
     }
@@ -79,7 +81,7 @@
         self.last_seen
     }
 
-    /// Records that a server has answered the request. Returns whether that is news.
+    /// Clears the request of all crashes so far. Returns whether any wasn't cleared yet.
     pub(super) fn clear(&mut self) -> bool {
         let mut is_new = false;
         for crash in self.crashes.values_mut() {
@@ -88,26 +90,26 @@
         is_new
     }
 
-    /// Returns the servers that ended under it.
+    /// Returns the servers that crashed while they ran the request.
     pub(super) fn servers(&self) -> impl Iterator<Item = IncarnationKey> + '_ {
         self.crashes.keys().copied()
     }
 
-    /// Returns the servers, and whether each end is cleared.
+    /// Returns the crashed servers, and whether the request was cleared of each crash.
     pub(super) fn crash_marks(
         &self,
     ) -> impl Iterator<Item = (IncarnationKey, bool)> + '_ {
         self.crashes.iter().map(|(server, crash)| (*server, crash.cleared))
     }
 
-    /// Returns how much speaks against it.
+    /// Returns the score from the crashes that aren't cleared.
     pub(super) fn score(&self) -> SuspicionScore {
         let open = self.crashes.values().filter(|crash| !crash.cleared);
         let counts = open.map(|crash| (1, usize::from(!crash.begun)));
         counts.fold((0, 0), |sum, count| (sum.0 + count.0, sum.1 + count.1))
     }
 
-    /// Returns at how many moments servers ended that nothing else explains.
+    /// Returns the number of independent crashes that aren't cleared or `explained`.
     pub(super) fn independent_crashes(
         &self,
         explained: impl Fn(IncarnationKey) -> bool,
@@ -127,7 +129,7 @@
         count
     }
 
-    /// Returns its reports.
+    /// Returns a report of each crash.
     pub(super) fn reports(
         &self,
         fingerprint: u128,
@@ -146,7 +148,7 @@
     }
 }
 
-/// Returns how long ago something was, in milliseconds.
+/// Returns the time since `at`, in milliseconds.
 fn millis_since(at: Duration, now: Duration) -> u32 {
     u32::try_from(now.saturating_sub(at).as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/flaxtide-policy/src/queue.rs
+++ b/crates/flaxtide-policy/src/queue.rs
@@ -1,59 +1,63 @@
-//! The queue of one pool: tiers, then classes, then organisations.
+//! The queue of one pool, ordered by tier, class and organisation.
 //!
-//! Across tiers the order is strict, but for starvation turns. Within a tier the class
-//! whose head is most urgent goes first. Within a class, organisations share by start-time
-//! fair queueing (Goyal, Vin and Cheng, 1996) over expected tokens, with a window within
-//! which the most urgent goes first; within an organisation, first in first out.
+//! Tiers are served in strict order, except for starved classes. Within a tier, the class
+//! whose head is due earliest goes first. Within a class, organisations share by
+//! start-time fair queueing (Goyal, Vin and Cheng, 1996) over expected tokens; among
+//! organisations whose start tags lie within [`FAIRNESS_WINDOW`], the head that is due
+//! earliest goes first. Requests of one organisation are served first in, first out.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 use flaxtide_core::{ClassId, OrganisationId, RequestId, TierRank};
 
-/// Tokens are counted in this many parts in virtual time, so that it can be an integer.
+/// Units of virtual time per token, so that virtual time can be an integer.
 const VIRTUAL_SCALE: f64 = 1024.0;
 
-/// Organisations whose turns are this close, in tokens of virtual time, go by due time: a
-/// strict order would make one wait that sends a little more than the others just now.
+/// Organisations whose start tags are this close, in units of virtual time, are served by
+/// due time. A strict order would hold back an organisation that sends slightly more than
+/// the others at the moment.
 const FAIRNESS_WINDOW: u64 = 2000 * VIRTUAL_SCALE as u64;
 
-/// At most so many organisations are compared for one turn.
+/// At most this many organisations are compared to find the next request of a class.
 const MAX_COMPARED_FLOWS: usize = 16;
 
 /// A waiting request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct QueueEntry {
-    /// The request.
+    /// The id of the request.
     pub(crate) request: RequestId,
-    /// When it arrived.
+    /// When the request arrived.
     pub(crate) arrived: Duration,
-    /// When it is more urgent than others; see [`PoolQueue::next`].
+    /// When the request should be served; of several heads, the earliest is served first.
+    /// See [`PoolQueue::next`].
     pub(crate) due_at: Duration,
-    /// Its expected work, in tokens.
+    /// The expected work of the request, in tokens.
     pub(crate) work: f64,
 }
 
 /// The waiting requests of one pool.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PoolQueue {
-    /// The classes with their waiting requests.
+    /// The queue of each class, highest tier first.
     classes: BTreeMap<(TierRank, ClassId), ClassQueue>,
-    /// How many requests wait.
+    /// The number of waiting requests.
     len: usize,
 }
 
 /// The waiting requests of one class.
 #[derive(Debug, Clone, Default)]
 struct ClassQueue {
-    /// The organisations with waiting requests, by the virtual time of their turn.
+    /// The organisations with waiting requests, by their start tags.
     by_start_tag: BTreeSet<(u64, OrganisationId)>,
-    /// The waiting requests of each organisation, and its virtual time.
+    /// The waiting requests and start tag of each organisation. A flow without requests
+    /// is kept while its start tag lies ahead of the virtual time.
     flows: BTreeMap<OrganisationId, Flow>,
-    /// The virtual time of the last turn.
+    /// The highest start tag that has been served.
     virtual_time: u64,
-    /// How many requests wait.
+    /// The number of waiting requests.
     len: usize,
-    /// When the class last had a turn, or its first request since came.
+    /// When a request of the class was last served, or the queue last became non-empty.
     last_served: Duration,
 }
 
@@ -62,25 +66,25 @@
 struct Flow {
     /// The requests, oldest first.
     entries: VecDeque<QueueEntry>,
-    /// The virtual time at which it may have its next turn.
+    /// The virtual time from which the next request may be served.
     start_tag: u64,
 }
 
-/// The place of the next request in a queue.
+/// The next request to be served, with its place in the queue.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct QueueHead {
-    /// The tier.
+    /// The tier of the request.
     pub(crate) tier: TierRank,
-    /// The class.
+    /// The class of the request.
     pub(crate) class: ClassId,
-    /// The organisation.
+    /// The organisation of the request.
     pub(crate) organisation: OrganisationId,
-    /// The request.
+    /// The request itself.
     pub(crate) entry: QueueEntry,
 }
 
 impl PoolQueue {
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
@@ -108,8 +112,8 @@
         flow.entries.push_back(entry);
     }
 
-    /// Returns the next request in order: of the highest tier that has any, that of the
-    /// class whose head is most urgent.
+    /// Returns the next request: in the highest tier with waiting requests, the head of
+    /// the class that is due earliest.
     pub(crate) fn next(&self) -> Option<QueueHead> {
         let mut best: Option<QueueHead> = None;
         for (&(tier, class), queue) in &self.classes {
@@ -124,8 +128,8 @@
         best
     }
 
-    /// Returns the head of the class that has gone longest over its starvation bound,
-    /// among classes below the highest tier that has waiting requests.
+    /// Returns the head of the class that has exceeded its starvation bound by the most,
+    /// among the classes below the highest tier with waiting requests.
     pub(crate) fn starved(
         &self,
         now: Duration,
@@ -144,8 +148,8 @@
         queue.head(tier, class)
     }
 
-    /// Takes out a head that [`next`](Self::next) or [`starved`](Self::starved) returned,
-    /// and charges its organisation by `weight`.
+    /// Removes a head that [`next`](Self::next) or [`starved`](Self::starved) returned,
+    /// and charges its work to its organisation, divided by `weight`.
     pub(crate) fn pop(&mut self, head: &QueueHead, weight: u32, now: Duration) {
         let Some(queue) = self.classes.get_mut(&(head.tier, head.class)) else { return };
         let Some(flow) = queue.flows.get_mut(&head.organisation) else { return };
@@ -163,7 +167,8 @@
         queue.drop_idle_flows();
     }
 
-    /// Takes out a request that isn't to be served, wherever it stands.
+    /// Removes a request at any position without charging its organisation. Returns
+    /// whether the queue held it.
     pub(crate) fn remove(
         &mut self,
         tier: TierRank,
@@ -186,7 +191,7 @@
         true
     }
 
-    /// Returns the youngest request of the lowest tier below `tier`.
+    /// Returns the newest request of the lowest tier, if that tier is below `tier`.
     pub(crate) fn eviction_candidate(&self, tier: TierRank) -> Option<RequestId> {
         let lowest = self
             .classes
@@ -202,8 +207,8 @@
             .map(|entry| entry.request)
     }
 
-    /// Returns how many requests of each class are to be served before one of the given
-    /// class and organisation that comes now.
+    /// Returns, for each class, how many requests would be served before one of the given
+    /// class and organisation that arrives now.
     pub(crate) fn ahead(
         &self,
         tier: TierRank,
@@ -217,14 +222,14 @@
                 if other != class {
                     return (other, queue.len);
                 }
-                // Organisations take turns, so a short flow isn't held up by a long one.
+                // Organisations alternate, so a short flow isn't delayed by a long one.
                 let own =
                     queue.flows.get(&organisation).map_or(0, |flow| flow.entries.len());
                 (other, queue.len.min((own + 1) * queue.by_start_tag.len()))
             })
     }
 
-    /// Returns how many requests wait in each tier.
+    /// Returns the number of waiting requests in each tier.
     pub(crate) fn count_by_tier(&self) -> BTreeMap<TierRank, usize> {
         let mut counts = BTreeMap::new();
         for ((tier, _), queue) in &self.classes {
@@ -248,7 +253,8 @@
         heads.min_by_key(|head| head.entry.due_at)
     }
 
-    /// Drops flows that have nothing waiting and owe nothing, once there are many.
+    /// Drops flows that are empty and whose start tag isn't ahead of the virtual time,
+    /// once there are many.
     fn drop_idle_flows(&mut self) {
         const MIN_KEPT_FLOWS: usize = 64;
         if self.flows.len() <= MIN_KEPT_FLOWS.max(2 * self.by_start_tag.len()) {
