--- a/crates/flaxtide-policy/src/action.rs
+++ b/crates/flaxtide-policy/src/action.rs
@@ -1,66 +1,66 @@
-//! What the decision core decides.
+//! The actions that the decision core asks for.
 
 use std::time::Duration;
 
 use flaxtide_core::{FailureReason, RequestId, ServerId, TierRank};
 use serde::Serialize;
 
-/// Something to be done.
+/// Something that the caller of the core has to do.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub enum PolicyAction {
-    /// The request waits.
+    /// Tell the caller that its request waits in a queue.
     Wait {
-        /// The request.
+        /// The request that waits.
         request: RequestId,
-        /// How many requests are served before it, about.
+        /// Roughly how many requests will be served before it.
         place: usize,
-        /// How long it will wait, about.
+        /// Roughly how long it will wait.
         predicted: Duration,
     },
     /// Send the request to a server.
     Dispatch {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// Which server, and why.
+        /// The chosen server, with the reason.
         choice: ServerChoice,
-        /// The tier whose priority the engine is told. Higher than the request's own
-        /// where the class is past its starvation bound.
+        /// The tier whose priority the engine is told. Higher than the request's own if
+        /// its class has exceeded its starvation bound.
         priority: TierRank,
-        /// How long the server may be silent before the request goes elsewhere; without
-        /// it, the request can't go elsewhere.
+        /// How long the server may be silent before the request fails over to another
+        /// one; `None` if it can't fail over.
         #[serde(rename = "patience")]
         silence_timeout: Option<Duration>,
-        /// Which attempt it is, from 1.
+        /// The number of the attempt, from 1.
         attempt: u8,
     },
-    /// Refuse the request: it hasn't run.
+    /// Refuse the request, which hasn't run.
     Refuse {
-        /// The request.
+        /// The request to refuse.
         request: RequestId,
-        /// Why.
+        /// The reason that the caller is told.
         reason: FailureReason,
-        /// When to come back.
+        /// How long the caller should wait before it retries.
         retry_after: Duration,
     },
-    /// Give the request up: it may have run.
+    /// Give up the request, which may have run.
     GiveUp {
-        /// The request.
+        /// The request to give up.
         request: RequestId,
-        /// When to come back.
+        /// How long the caller should wait before it retries.
         retry_after: Duration,
     },
 }
 
-/// A chosen server, with what else there was.
+/// A chosen server and the alternatives to it.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ServerChoice {
-    /// The server.
+    /// The chosen server.
     pub server: ServerId,
-    /// The rule that chose it.
+    /// The rule by which it was chosen.
     pub rule: ChoiceRule,
-    /// The load that it was taken to have, in requests for each slot.
+    /// The estimated load of the server, in requests per slot.
     pub load: f64,
-    /// The best server that was passed over, and its load.
+    /// The second-best server that was compared, and its load.
     pub runner_up: Option<(ServerId, f64)>,
     /// How many servers had a free slot.
     pub eligible: usize,
@@ -69,10 +69,10 @@
 /// The rule by which a server was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum ChoiceRule {
-    /// The server that caches the prompt's prefix.
+    /// It is the server that caches the prompt's prefix.
     Affinity,
-    /// The least loaded of a few drawn at random.
+    /// It has the lowest load of a few servers drawn at random.
     Sampled,
-    /// The only one with a free slot.
+    /// It is the only server with a free slot.
     Only,
 }
--- a/crates/flaxtide-policy/src/budget.rs
+++ b/crates/flaxtide-policy/src/budget.rs
@@ -1,19 +1,19 @@
-//! The retry budget: retries are paid for by successes, so that they can't multiply the
-//! load of a pool that is failing.
+//! The retry budget, which ties the number of retries to the number of successes, so that
+//! retries can't multiply the load of a failing pool.
 
 /// A token bucket that successes fill and retries drain.
 #[derive(Debug, Clone)]
 pub(crate) struct RetryBudget {
-    /// What has been saved.
+    /// The retries that are available now.
     tokens: f64,
-    /// What each success adds.
+    /// The tokens that each success adds.
     ratio: f64,
-    /// The most that can be saved.
+    /// The most tokens that the bucket holds.
     burst: f64,
 }
 
 impl RetryBudget {
-    /// Starts with a full budget.
+    /// Creates a full budget.
     pub(crate) fn new(ratio: f64, burst: f64) -> Self {
         Self { tokens: burst, ratio, burst }
     }
@@ -23,7 +23,7 @@
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
-    /// Takes one retry out of the budget, if there is one.
+    /// Takes a token for one retry. Returns whether there was one.
     pub(crate) fn withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/crates/flaxtide-policy/src/choice.rs
+++ b/crates/flaxtide-policy/src/choice.rs
@@ -11,36 +11,36 @@
 use crate::rendezvous::numbered_weight;
 use crate::server::{BackendServer, ServerTable};
 
-/// What a choice is made for.
+/// The properties of a request that its server is chosen by.
 pub(crate) struct ChoiceQuery<'a> {
-    /// The tier whose slots may be used.
+    /// The tier whose slots the request may use.
     pub(crate) tier: TierRank,
     /// Servers that have failed the request.
     pub(crate) excluded: &'a [ServerId],
-    /// The hash of the prompt's prefix.
+    /// The hash of the prompt's prefix; `None` if the prefix isn't worth caching.
     pub(crate) prefix: Option<u64>,
-    /// The time.
+    /// The current time.
     pub(crate) now: Duration,
 }
 
-/// The servers of one pool, with what is typical of them.
+/// The servers of one pool, with statistics that are updated now and then.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ServerPool {
-    /// The servers.
+    /// The servers of the pool.
     pub(crate) members: Vec<ServerId>,
-    /// Their places in the table.
+    /// The indices of the servers in the [`ServerTable`].
     pub(crate) indices: Vec<usize>,
-    /// The mean reported load, in requests for each slot.
+    /// The mean reported load, in requests per slot.
     pub(crate) mean_load: f64,
-    /// The median of seconds for each token.
+    /// The median time per token of the servers, in seconds; zero before any is known.
     pub(crate) median_token_seconds: f64,
 }
 
-/// Chooses a server with a free slot for a request: the one that caches its prefix if it
-/// isn't too loaded, else the least loaded of a few drawn at random.
+/// Chooses a server with a free slot for a request: the one that caches its prefix,
+/// unless it is too loaded, or else the least loaded of a few drawn at random.
 ///
-/// Choosing the single least loaded of all would send every instance to the same server,
-/// as all see the same late reports (Mitzenmacher, 2001).
+/// The least loaded of all servers would be the same for every instance, as all see the
+/// same delayed reports, and they would overload it together (Mitzenmacher, 2001).
 pub(crate) fn choose_server(
     query: &ChoiceQuery<'_>,
     pool: &ServerPool,
@@ -76,7 +76,7 @@
     })
 }
 
-/// Chooses the server that caches the prefix, if it has a slot and isn't too loaded.
+/// Chooses the server that caches the prefix, if it has a free slot and isn't too loaded.
 fn choose_by_prefix(
     query: &ChoiceQuery<'_>,
     pool: &ServerPool,
@@ -85,8 +85,8 @@
     cost: &impl Fn(&BackendServer) -> f64,
 ) -> Option<ServerChoice> {
     let prefix = query.prefix?;
-    // The owner is found among all members, not just those with a slot, so that a busy
-    // moment doesn't spread the prefix over the pool.
+    // The owner is chosen among all members, not only those with a free slot, so that a
+    // short peak doesn't spread the prefix over the pool.
     let owner = *pool
         .members
         .iter()
@@ -106,7 +106,8 @@
     })
 }
 
-/// Returns the load of a server, weighted by how slow it is against its pool.
+/// Returns the load of a server, multiplied by how slow it is compared with the median of
+/// its pool.
 fn server_cost(
     server: &BackendServer,
     pool: &ServerPool,
@@ -123,7 +124,7 @@
     (load + 1.0 / f64::from(server.slots.max(1))) * slowness
 }
 
-/// Draws up to `count` different servers.
+/// Draws up to `count` different servers at random.
 fn sample<'a>(
     servers: &[&'a BackendServer],
     count: usize,
--- a/crates/flaxtide-policy/src/estimate.rs
+++ b/crates/flaxtide-policy/src/estimate.rs
@@ -1,54 +1,56 @@
-//! Estimates of what can't be known in advance.
+//! Running means that estimate the length and service time of requests.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use flaxtide_core::{ClassId, OrganisationId};
 
-/// How much the newest sample moves a running mean.
+/// The weight of the newest sample in a running mean.
 const NEWEST_WEIGHT: f64 = 0.05;
 
-/// How many samples a mean takes equally before it decays.
+/// The number of samples up to which a mean weights all equally; later samples have
+/// [`NEWEST_WEIGHT`].
 const MAX_SAMPLES: f64 = 1.0 / NEWEST_WEIGHT;
 
-/// The expected answer length before any answer of a class has ended, in tokens.
+/// The response length assumed before any response of a class has ended, in tokens.
 const DEFAULT_OUTPUT_TOKENS: f64 = 128.0;
 
-/// A decayed mean.
+/// A running mean in which old samples lose weight exponentially.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct DecayedMean {
-    /// The mean.
+    /// The current mean.
     mean: f64,
-    /// How many samples it is made of, up to [`WARM_SAMPLES`].
+    /// The number of samples so far, up to [`MAX_SAMPLES`].
     samples: f64,
 }
 
 impl DecayedMean {
-    /// Takes in a sample.
+    /// Adds a sample.
     pub(crate) fn add(&mut self, sample: f64) {
         self.samples = (self.samples + 1.0).min(MAX_SAMPLES);
         self.mean += (sample - self.mean) / self.samples;
     }
 
-    /// Returns the mean, if there is any sample.
+    /// Returns the mean, or `None` without samples.
     pub(crate) fn get(&self) -> Option<f64> {
         (self.samples > 0.0).then_some(self.mean)
     }
 }
 
-/// The answer lengths and service times of classes and organisations.
+/// Estimates of response lengths and service times from finished requests.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct WorkEstimates {
-    /// Tokens of an answer, by class and organisation.
+    /// The tokens of a response, by class and organisation.
     output_tokens: HashMap<(ClassId, OrganisationId), DecayedMean>,
-    /// Tokens of an answer, by class.
+    /// The tokens of a response, by class; used for organisations without finished
+    /// requests.
     class_output_tokens: HashMap<ClassId, DecayedMean>,
-    /// Seconds from dispatch to the end of the answer, by class.
+    /// The seconds from dispatch to the end of the response, by class.
     service_seconds: HashMap<ClassId, DecayedMean>,
 }
 
 impl WorkEstimates {
-    /// Takes in a finished request.
+    /// Adds a finished request.
     pub(crate) fn add(
         &mut self,
         class: ClassId,
@@ -65,7 +67,7 @@
         self.service_seconds.entry(class).or_default().add(span.as_secs_f64());
     }
 
-    /// Returns the expected answer length, in tokens.
+    /// Returns the expected length of a response, in tokens.
     pub(crate) fn output_tokens(
         &self,
         class: ClassId,
@@ -79,8 +81,8 @@
         own.or_else(shared).unwrap_or(DEFAULT_OUTPUT_TOKENS)
     }
 
-    /// Returns the expected time from dispatch to the end, if a request of the class has
-    /// ended.
+    /// Returns the expected seconds from dispatch to the end of the response; `None`
+    /// before a request of the class has finished.
     pub(crate) fn service_seconds(&self, class: ClassId) -> Option<f64> {
         self.service_seconds.get(&class).and_then(DecayedMean::get)
     }
--- a/crates/flaxtide-policy/src/event.rs
+++ b/crates/flaxtide-policy/src/event.rs
@@ -1,4 +1,4 @@
-//! What the decision core is told.
+//! The events that the decision core handles.
 
 use std::time::Duration;
 
@@ -6,85 +6,87 @@
 
 use crate::rule::RuleSet;
 
-/// Something that happened.
+/// Something that happened to a request, a server or the instance.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PolicyEvent {
     /// New settings are in force.
     Rules(RuleSet),
     /// A request arrived.
     Arrive(CallArrival),
-    /// The first token of an answer came.
+    /// The first token of a response arrived.
     FirstToken {
-        /// The request.
+        /// The request that it responds to.
         request: RequestId,
     },
-    /// Further tokens came.
+    /// More tokens of a response arrived.
     Progress {
-        /// The request.
+        /// The request that they respond to.
         request: RequestId,
-        /// How many tokens.
+        /// The number of tokens that arrived.
         tokens: u32,
-        /// How long they took.
+        /// How long it took to receive them.
         span: Duration,
     },
-    /// The answer is whole.
+    /// A response has ended without a fault.
     Finish {
-        /// The request.
+        /// The request that it responds to.
         request: RequestId,
-        /// How many tokens it has in all.
+        /// The number of tokens in the whole response.
         tokens: u32,
     },
-    /// The server failed the request.
+    /// A server failed a request.
     Fail {
-        /// The request.
+        /// The request that failed.
         request: RequestId,
         /// What went wrong.
         fault: ServerFault,
         /// How many tokens have been passed on to the caller.
         passed_on: u32,
     },
-    /// The dispatch was dropped before any byte was sent, and won't be tried again.
+    /// A dispatch was dropped before any byte was sent, and the request is not retried.
     Abandon {
-        /// The request.
+        /// The request that was dropped.
         request: RequestId,
     },
-    /// The caller has gone.
+    /// The caller has disconnected.
     CallerGone {
-        /// The request.
+        /// The request of the caller.
         request: RequestId,
     },
-    /// A server's load report came in.
+    /// A load report of a server arrived.
     Report(LoadReport),
-    /// A server is leaving, or isn't any more.
+    /// A server started to leave, or is no longer leaving. A leaving server finishes its
+    /// open requests and takes no new ones.
     ServerLeaving {
-        /// The server.
+        /// The server concerned.
         server: ServerId,
-        /// Whether it is leaving.
+        /// Whether the server is leaving now.
         leaving: bool,
     },
-    /// This instance's share of a server's slots.
+    /// This instance was granted a share of a server's slots.
     Share {
-        /// The server.
+        /// The server concerned.
         server: ServerId,
-        /// How many slots.
+        /// The number of slots in the share.
         slots: u32,
-        /// Until when the share holds.
+        /// When the share expires.
         until: Duration,
     },
-    /// The live instances of the data centre are others than before.
+    /// The live instances of the data centre have changed.
     Peers {
-        /// How many instances are alive, this one included.
+        /// The number of live instances, this one included.
         live: u32,
-        /// This instance's share of each server's slots while no share is in force.
+        /// This instance's share of each server's slots while no granted share is in
+        /// force.
         fallbacks: Vec<(ServerId, u32)>,
     },
-    /// This instance's part of an organisation's rate.
+    /// This instance was granted a share of an organisation's rate limit.
     RateShare {
-        /// The organisation.
+        /// The organisation concerned.
         organisation: OrganisationId,
-        /// The part, from 0 to 1.
+        /// The share as a fraction, from 0 to 1.
         share: f64,
-        /// Until when it holds.
+        /// When the share expires.
         until: Duration,
     },
     /// Time has passed.
@@ -94,52 +96,56 @@
 /// A request that arrived.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallArrival {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// The pool that can serve it.
+    /// The pool that can serve the request.
     pub pool: PoolId,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its organisation.
+    /// The organisation that sent the request.
     pub organisation: OrganisationId,
-    /// How many tokens the prompt has, about.
+    /// The approximate number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// The hash of the prompt's prefix, if it is long enough to be worth a cache.
+    /// The hash of the prompt's prefix; `None` if the prefix is too short to be worth
+    /// caching.
     pub prefix: Option<u64>,
-    /// How long it may wait before it is refused, if not as its class says.
+    /// How long the request may wait before it is refused; `None` for the value of its
+    /// class.
     pub give_up: Option<Duration>,
-    /// A first-token target other than its class's.
+    /// The target for the time to first token; `None` for the value of its class.
     pub first_token: Option<Duration>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
 }
 
-/// What a server says of its load, late.
+/// The load that a server reports. It arrives with a delay.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadReport {
-    /// The server.
+    /// The server that reports.
     pub server: ServerId,
-    /// How many requests it works on.
+    /// How many requests the server is working on.
     pub running: u32,
-    /// How many requests wait in it.
+    /// How many requests wait at the server.
     pub waiting: u32,
-    /// How many of both have the top tier's priority, if the server tells.
+    /// How many of both have the top tier's priority; `None` if the server doesn't report
+    /// it.
     pub urgent: Option<u32>,
-    /// How long one step, and so one token, takes.
+    /// How long the server takes for one step, and so for one token of each response.
     pub step: Duration,
-    /// When the report was true, on this instance's clock.
+    /// When the load was measured, on this instance's clock.
     pub at: Duration,
 }
 
 /// What went wrong at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerFault {
-    /// It couldn't be reached, or said that it won't run the request: it hasn't run.
+    /// The server couldn't be reached, or said that it won't run the request. The request
+    /// hasn't run.
     NotRun,
-    /// It said that it is leaving: the request hasn't run.
+    /// The server said that it is leaving. The request hasn't run.
     Leaving,
-    /// The stream broke, or the answer isn't right. The request may have run.
+    /// The connection broke, or the response is invalid. The request may have run.
     Broken,
-    /// Nothing came for too long. The request may have run.
+    /// The server was silent for too long. The request may have run.
     Stalled,
 }
--- a/crates/flaxtide-policy/src/lease.rs
+++ b/crates/flaxtide-policy/src/lease.rs
@@ -164,8 +164,8 @@
         self.unconfirmed = self.unconfirmed.filter(|write| write.fence > used);
     }
 
-    /// Makes the holder take a higher fencing token, so that servers refuse what it sent
-    /// with the current one and what arrives late.
+    /// Makes the holder take a higher fencing token, so that servers refuse what was sent
+    /// with the current one and arrives after the change.
     pub fn advance_fence(&mut self) {
         if self.held.is_some() && self.pending_change.is_none() {
             self.pending_change = Some(LeaseChange::AdvanceFence);
--- a/crates/flaxtide-policy/src/lib.rs
+++ b/crates/flaxtide-policy/src/lib.rs
@@ -1,12 +1,12 @@
 //! The routing decisions of flaxtide, without any input or output.
 //!
-//! A [`DecisionCore`] is fed [`PolicyEvent`]s with the time at which they happened and
-//! returns [`PolicyAction`]s. It starts no thread, opens no socket, reads no clock and
-//! draws from no global random source: the same events and seed give the same actions.
+//! A [`DecisionCore`] takes [`PolicyEvent`]s and their times, and returns
+//! [`PolicyAction`]s. It starts no thread, opens no socket, reads no clock and uses no
+//! global random source: the same events and seed give the same actions.
 //!
-//! Beside it stand the pure parts of what instances do together: [`divide_slots`] and
-//! [`rendezvous_order`], the [`ClaimAttempt`] that lets a request run at most once, and the [`LeaseWatch`] under which
-//! one instance gives orders to engines.
+//! The crate also holds the pure logic that instances share: [`divide_slots`] and
+//! [`rendezvous_order`], the [`ClaimAttempt`] that makes a request run at most once, and
+//! the [`LeaseWatch`] that lets one instance at a time send orders to engines.
 
 mod action;
 mod budget;
--- a/crates/flaxtide-policy/src/limit.rs
+++ b/crates/flaxtide-policy/src/limit.rs
@@ -1,23 +1,24 @@
-//! Limits of organisations, held across instances.
+//! Rate limits of organisations, divided among instances.
 
 use std::time::Duration;
 
-/// How much of its rate an organisation may use at once after a pause.
+/// The burst that an organisation may send, as the time in which its rate fills the
+/// bucket.
 const BURST: Duration = Duration::from_secs(1);
 
 /// A token bucket for one organisation at one instance.
 #[derive(Debug, Clone)]
 pub(crate) struct OrganisationLimit {
-    /// How many requests may start now.
+    /// The tokens at `updated_at`; each request takes one.
     tokens: f64,
-    /// When `saved` was worked out.
+    /// When `tokens` was last computed.
     updated_at: Duration,
-    /// This instance's share of the rate, and until when it holds.
+    /// This instance's share of the rate, and when it expires.
     share: Option<(f64, Duration)>,
 }
 
 impl OrganisationLimit {
-    /// Starts a limit with a full bucket for the given rate a second.
+    /// Creates a limit with a full bucket for `rate` requests a second.
     pub(crate) fn new(rate: f64, now: Duration) -> Self {
         Self {
             tokens: (rate * BURST.as_secs_f64()).max(1.0),
@@ -26,15 +27,15 @@
         }
     }
 
-    /// Sets this instance's share of the rate.
+    /// Sets this instance's share of the rate, which expires at `until`.
     pub(crate) fn set_share(&mut self, share: f64, until: Duration) {
         self.share = Some((share, until));
     }
 
-    /// Lets a request through, or says after how long one will be.
+    /// Takes a token for a request, or returns how long until there is one.
     ///
-    /// `rate` is for all instances; without an unexpired share, each of `live` instances
-    /// takes an equal one.
+    /// `rate` is the limit over all instances. Without a share in force, this instance
+    /// may use an equal part for each of `live` instances.
     pub(crate) fn admit(
         &mut self,
         rate: u32,
--- a/crates/flaxtide-policy/src/queue.rs
+++ b/crates/flaxtide-policy/src/queue.rs
@@ -51,7 +51,7 @@
     /// The organisations with waiting requests, by their start tags.
     by_start_tag: BTreeSet<(u64, OrganisationId)>,
     /// The waiting requests and start tag of each organisation. A flow without requests
-    /// is kept while its start tag lies ahead of the virtual time.
+    /// is kept at least while its start tag lies ahead of the virtual time.
     flows: BTreeMap<OrganisationId, Flow>,
     /// The highest start tag that has been served.
     virtual_time: u64,
--- a/crates/flaxtide-policy/src/rule.rs
+++ b/crates/flaxtide-policy/src/rule.rs
@@ -1,52 +1,52 @@
-//! The settings in force, as the decision core needs them.
+//! The settings in force, in the form that the decision core needs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use flaxtide_core::{ClassId, OrganisationId, PoolId, ServerId, TierRank};
 
-/// All rules in force.
+/// All settings that the decision core uses.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RuleSet {
     /// The request classes.
     pub classes: BTreeMap<ClassId, ClassRule>,
-    /// The organisations.
+    /// The organisations with settings of their own.
     pub organisations: BTreeMap<OrganisationId, OrganisationRule>,
     /// The backend servers of this data centre.
     pub servers: BTreeMap<ServerId, ServerRule>,
 }
 
-/// The rule for a request class.
+/// The settings of a request class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassRule {
-    /// The rank of its tier; 0 is the highest.
+    /// The rank of the tier of the class; 0 is the highest.
     pub tier: TierRank,
-    /// How long the first token may take.
+    /// The target for the time to first token.
     pub first_token: Duration,
     /// How long a request may wait before it is refused.
     pub give_up: Duration,
-    /// How long the class may go without a turn while it has waiting work.
+    /// How long the class may go without a dispatch while it has waiting requests.
     pub starvation_bound: Duration,
-    /// The weight among the classes of the tier.
+    /// The weight of the class among those of its tier.
     pub priority: u32,
-    /// Whether a request may run more than once.
+    /// Whether requests may run more than once.
     pub repeatable: bool,
 }
 
-/// The rule for an organisation.
+/// The settings of an organisation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrganisationRule {
-    /// The weight among the organisations of one class.
+    /// The weight of the organisation among those with requests of the same class.
     pub priority: u32,
-    /// How many requests a second over all instances, if limited.
+    /// The rate limit over all instances, in requests a second; `None` if there is none.
     pub requests_per_second: Option<u32>,
 }
 
-/// The rule for a backend server.
+/// The settings of a backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerRule {
-    /// The pools that it serves.
+    /// The pools that the server belongs to.
     pub pools: Vec<PoolId>,
-    /// How many requests it works on at once, for all instances together.
+    /// How many requests the server works on at once, for all instances together.
     pub slots: u32,
 }
--- a/crates/flaxtide-policy/src/server.rs
+++ b/crates/flaxtide-policy/src/server.rs
@@ -1,4 +1,4 @@
-//! What the decision core knows of one backend server.
+//! What the decision core knows of the backend servers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,42 +12,42 @@
 /// A backend server, as seen from one instance.
 #[derive(Debug, Clone)]
 pub(crate) struct BackendServer {
-    /// The server.
+    /// The id of the server.
     pub(crate) server: ServerId,
-    /// The pools that it serves.
+    /// The pools that the server belongs to.
     pub(crate) pools: Vec<PoolId>,
-    /// How many requests it works on at once, for all instances together.
+    /// How many requests the server works on at once, for all instances together.
     pub(crate) slots: u32,
-    /// This instance's share of the slots, and until when it holds.
+    /// This instance's granted share of the slots, and when it expires.
     share: Option<(u32, Duration)>,
-    /// The share when none holds.
+    /// This instance's share of the slots while no granted share is in force.
     pub(crate) fallback_share: u32,
-    /// Requests of this instance at the server, by tier.
+    /// This instance's requests at the server, by tier.
     running: [u32; TRACKED_TIERS],
-    /// When each of this instance's dispatches since the last report was made.
+    /// When this instance dispatched requests that the last report doesn't include yet.
     recent_dispatches: Vec<Duration>,
     /// The last load report.
     report: Option<LoadReport>,
-    /// Seconds for each token, as this instance sees it.
+    /// The time per token in seconds, as seen by this instance.
     token_seconds: DecayedMean,
     /// Whether the server is leaving.
     pub(crate) leaving: bool,
-    /// Until when it gets no work after a failure.
+    /// When the pause after a failure ends.
     paused_until: Duration,
-    /// Whether it is much slower than its pool.
+    /// Whether the server is much slower than its pool, and gets one request at a time.
     pub(crate) on_probation: bool,
 }
 
-/// An older report says nothing of idle slots.
+/// A load report that is older than this isn't used to find idle slots.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(5);
 
-/// The backend servers of a data centre, in the order of their numbers.
+/// The backend servers of a data centre, sorted by id.
 ///
-/// Choices look at every server of a pool, so they stand side by side; a map costs half of
-/// the time of a decision.
+/// Every choice visits all servers of a pool, so they are stored in one `Vec`; with a map,
+/// lookups took half of the time of a decision.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ServerTable {
-    /// The servers.
+    /// The servers, sorted by id.
     servers: Vec<BackendServer>,
 }
 
@@ -57,12 +57,12 @@
         self.index_of(server).ok().map(|index| &self.servers[index])
     }
 
-    /// Returns a server to be changed.
+    /// Returns a server for changes.
     pub(crate) fn get_mut(&mut self, server: ServerId) -> Option<&mut BackendServer> {
         self.index_of(server).ok().map(|index| &mut self.servers[index])
     }
 
-    /// Returns the servers at some places.
+    /// Returns the servers at the given indices.
     pub(crate) fn at<'a>(
         &'a self,
         indices: &'a [usize],
@@ -70,12 +70,12 @@
         indices.iter().filter_map(|index| self.servers.get(*index))
     }
 
-    /// Returns all servers, with their places.
+    /// Returns all servers with their indices.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (usize, &BackendServer)> {
         self.servers.iter().enumerate()
     }
 
-    /// Takes over new rules: known servers keep what is known of them.
+    /// Applies new settings. Servers that are still listed keep their state.
     pub(crate) fn set_rules(&mut self, rules: &BTreeMap<ServerId, ServerRule>) {
         self.servers.retain(|server| rules.contains_key(&server.server));
         for (id, rule) in rules {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns the place of a server, or where it would be.
+    /// Returns the index of a server, or the one at which to insert it.
     fn index_of(&self, server: ServerId) -> Result<usize, usize> {
         self.servers.binary_search_by_key(&server, |entry| entry.server)
     }
@@ -98,11 +98,12 @@
 /// The highest tier.
 const TOP_TIER: TierRank = 0;
 
-/// The most tiers that are told apart; lower ones count as the last.
+/// The number of tiers that are counted separately; lower ones count as the last of
+/// these.
 const TRACKED_TIERS: usize = 8;
 
 impl BackendServer {
-    /// Starts to know a server.
+    /// Creates the state of a newly listed server.
     pub(crate) fn new(server: ServerId, rule: &ServerRule) -> Self {
         Self {
             server,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Tells whether the server may get work at all.
+    /// Returns whether the server may get requests at all.
     pub(crate) fn in_service(&self, now: Duration) -> bool {
         !self.leaving && now >= self.paused_until
     }
@@ -133,15 +134,16 @@
         }
     }
 
-    /// Sets this instance's share of the slots.
+    /// Sets this instance's granted share of the slots, which expires at `until`.
     pub(crate) fn set_share(&mut self, slots: u32, until: Duration) {
         self.share = Some((slots, until));
     }
 
-    /// Tells whether a request of the tier may go to the server now.
+    /// Returns whether a request of `tier` may be sent to the server now.
     ///
-    /// Lower tiers' work doesn't stand in the way, as the engine honours priorities; but
-    /// the engine shouldn't hold more than twice its slots.
+    /// Requests of lower tiers don't use up the share, because the engine honours
+    /// priorities. But the server shouldn't get more than twice as many requests as the
+    /// share.
     pub(crate) fn has_slot(&self, tier: TierRank, now: Duration, idle_part: f64) -> bool {
         if !self.in_service(now) {
             return false;
@@ -151,16 +153,18 @@
         }
         let share = self.usable_slots(tier, now, idle_part);
         if tier == TOP_TIER && self.running() == 0 {
-            // An instance that was idle has no share until its watcher hears of its
-            // demand; the first request of the top tier doesn't wait for that.
+            // An instance that was idle has no share until the instance that divides the
+            // server's slots learns of its demand. Its first request of the top tier
+            // doesn't wait for that.
             return true;
         }
         self.running_up_to(tier) < share && self.running() < 2 * share
     }
 
-    /// Returns how many slots this instance may use: its share; where no share holds, as
-    /// its watcher isn't heard, its equal part and some of what the last report shows idle.
-    /// Only some of it, as others see the same report.
+    /// Returns how many slots this instance may use. Without a granted share, as when the
+    /// instance that divides the server's slots can't be reached, that is the fallback
+    /// share and the fraction `idle_part` of the slots that are idle in the last report.
+    /// It isn't all of these, as other instances see the same report.
     pub(crate) fn usable_slots(
         &self,
         tier: TierRank,
@@ -176,7 +180,8 @@
         if now > report.at + MAX_REPORT_AGE {
             return self.fallback_share;
         }
-        // The top tier takes slots from lower ones, where the server tells them apart.
+        // The top tier can use slots of lower tiers, if the server reports them
+        // separately.
         let reported = match report.urgent {
             Some(urgent) if tier == TOP_TIER => urgent,
             _ => report.running + report.waiting,
@@ -191,24 +196,25 @@
         self.running.iter().sum()
     }
 
-    /// Returns how many of this instance's requests of the tier and above are there.
+    /// Returns how many of this instance's requests of `tier` and higher tiers are at the
+    /// server.
     pub(crate) fn running_up_to(&self, tier: TierRank) -> u32 {
         self.running[..=tier_index(tier)].iter().sum()
     }
 
-    /// Records a dispatch.
+    /// Records that a request was dispatched to the server.
     pub(crate) fn record_dispatch(&mut self, tier: TierRank, now: Duration) {
         self.running[tier_index(tier)] += 1;
         self.recent_dispatches.push(now);
     }
 
-    /// Records the end of a dispatch, however it ended.
+    /// Records that an attempt at the server has ended, with or without success.
     pub(crate) fn record_end(&mut self, tier: TierRank) {
         let count = &mut self.running[tier_index(tier)];
         *count = count.saturating_sub(1);
     }
 
-    /// Takes in a load report, unless a newer one has been.
+    /// Records a load report, unless a newer one is known.
     pub(crate) fn record_report(&mut self, report: LoadReport) {
         if self.report.is_some_and(|last| last.at >= report.at) {
             return;
@@ -220,28 +226,28 @@
         self.report = Some(report);
     }
 
-    /// Takes in the pace of tokens seen by this instance.
+    /// Adds a time per token measured by this instance.
     pub(crate) fn add_token_seconds(&mut self, seconds_per_token: f64) {
         self.token_seconds.add(seconds_per_token);
     }
 
-    /// Returns the seconds for each token, if any has been seen.
+    /// Returns the mean time per token in seconds; `None` before any is known.
     pub(crate) fn token_seconds(&self) -> Option<f64> {
         self.token_seconds.get()
     }
 
-    /// Gives the server no work until the given time.
+    /// Sends no requests to the server until the given time.
     pub(crate) fn pause(&mut self, until: Duration) {
         self.paused_until = self.paused_until.max(until);
     }
 
-    /// Ends a pause: the server has answered.
+    /// Ends a pause, because the server has responded.
     pub(crate) fn resume(&mut self) {
         self.paused_until = Duration::ZERO;
     }
 
-    /// Returns the load in requests for each slot: the last report, aged towards
-    /// `typical`, with this instance's dispatches since.
+    /// Returns the load in requests per slot: the last report, which converges to
+    /// `mean_load` as it ages, plus this instance's dispatches since.
     pub(crate) fn load(&self, now: Duration, half_life: Duration, mean_load: f64) -> f64 {
         let slots = f64::from(self.slots.max(1));
         let own = f64::from(self.running());
@@ -256,14 +262,14 @@
         (aged + unreported).max(own / slots)
     }
 
-    /// Returns the reported load in requests for each slot, if there is a report.
+    /// Returns the reported load in requests per slot; `None` before the first report.
     pub(crate) fn reported_load(&self) -> Option<f64> {
         let report = self.report?;
         Some(f64::from(report.running + report.waiting) / f64::from(self.slots.max(1)))
     }
 }
 
-/// Returns the index that counts a tier.
+/// Returns the index at which a tier is counted.
 fn tier_index(tier: TierRank) -> usize {
     usize::from(tier).min(TRACKED_TIERS - 1)
 }
--- a/crates/flaxtide-policy/src/share.rs
+++ b/crates/flaxtide-policy/src/share.rs
@@ -2,20 +2,21 @@
 
 use crate::rendezvous::rendezvous_order;
 
-/// How many requests an instance has for a server, running or waiting, by tier from the
-/// highest. Requests that several servers could take count in part for each.
+/// The requests that an instance has for one server, running or waiting. A request that
+/// several servers could serve counts as a fraction for each.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct SlotDemand {
-    /// The requests of each tier.
+    /// The number of requests of each tier, highest tier first.
     pub tiers: Vec<f64>,
 }
 
 /// Divides `slots` among instances with the given demands.
 ///
-/// The demand of the highest tier is met first, in proportion where it can't be met
-/// whole; what is left goes to the next tier, and what no demand asks for is divided
-/// equally. Parts of a slot are rounded by rendezvous order for `key`, so that over many
-/// servers each instance gets its due. The shares always add up to `slots`.
+/// The demand of the highest tier is met first, or divided in proportion if it exceeds
+/// the slots. Remaining slots go to the next tier in the same way, and slots without
+/// demand are divided equally. Fractions of a slot are rounded by rendezvous order for
+/// `key`, so that over many servers each instance gets its share. The shares always add
+/// up to `slots`.
 ///
 /// ```
 /// use flaxtide_policy::{SlotDemand, divide_slots};
@@ -54,7 +55,7 @@
     round_shares(slots, key, members, &exact_shares)
 }
 
-/// Returns the share of the member at `index` when nothing is known of the demands.
+/// Returns the share of the member at `index` while no demands are known.
 ///
 /// ```
 /// use flaxtide_policy::equal_share;
@@ -73,15 +74,16 @@
     round_shares(slots, key, members, &exact_shares)[index]
 }
 
-/// Rounds parts to whole slots that add up to `slots`: each gets its floor, and the rest
-/// goes to the largest fractions, ties by rendezvous order.
+/// Rounds shares to whole slots that add up to `slots`. Each is rounded down, and the
+/// remaining slots go to the largest fractions, with ties in rendezvous order.
 fn round_shares(
     slots: u32,
     key: u64,
     members: &[impl AsRef<str>],
     exact_shares: &[f64],
 ) -> Vec<u32> {
-    /// Fractions are compared in steps this fine, so that sums of floats don't decide.
+    /// Fractions are compared in steps of this size, so that rounding errors of sums
+    /// don't decide.
     const FRACTION_STEPS: f64 = 1e6;
     let mut shares: Vec<u32> =
         exact_shares.iter().map(|share| (share + 1e-9) as u32).collect();
