--- a/crates/flaxtide-policy/tests/claim_protocol.rs
+++ b/crates/flaxtide-policy/tests/claim_protocol.rs
@@ -1,5 +1,5 @@
-//! The claim protocol over all interleavings of two attempts, a table that loses answers
-//! and lets writes take effect late, and a freeze at every step.
+//! Explores all interleavings of two claim attempts with a table that loses replies and
+//! applies writes late, and with a freeze at every step.
 
 use std::collections::HashSet;
 
@@ -7,45 +7,45 @@
     ClaimAttempt, ClaimRow, ClaimSettlement, ClaimStep, RowPhase, TableReply,
 };
 
-/// How many faults one history may have.
-const FAULTS: u8 = 3;
+/// The most faults in one interleaving.
+const MAX_FAULTS: u8 = 3;
 
-/// The table's row with its version.
+/// The row of the table with its version.
 type Row = Option<(ClaimRow, u64)>;
 
-/// A write that is under way and may still take effect.
+/// A write in flight that may still take effect.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct OpenWrite {
-    /// The version that it expects.
+struct PendingWrite {
+    /// The version that the write expects.
     expected: Option<u64>,
-    /// The row.
+    /// The row that it writes.
     row: ClaimRow,
 }
 
 /// One instance with its attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Instance {
-    /// The attempt.
+    /// The attempt at the claim.
     attempt: ClaimAttempt,
-    /// What it still settles.
+    /// The settlement of the attempt's row, once it has started.
     settlement: Option<ClaimSettlement>,
-    /// Whether it has sent the request.
+    /// Whether the instance has sent the request.
     sent: bool,
-    /// Whether its caller was told that it hasn't run.
+    /// Whether the instance has told its caller that the request hasn't run.
     told_not_run: bool,
-    /// Whether it has nothing more to do.
-    over: bool,
+    /// Whether the instance has nothing more to do, or was killed.
+    ended: bool,
 }
 
-/// A state of the whole.
+/// A state of the table and both instances.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
-    /// The table's row.
+    /// The row of the table.
     row: Row,
     /// The version of the last write.
     version: u64,
-    /// Writes that are under way.
-    open: Vec<OpenWrite>,
+    /// The writes in flight.
+    pending: Vec<PendingWrite>,
     /// The two instances.
     instances: Vec<Instance>,
     /// How often the request has run.
@@ -55,26 +55,26 @@
 }
 
 impl State {
-    /// Starts with no row and two attempts at the same request.
+    /// Creates a table without a row and two attempts at the same request.
     fn new() -> Self {
         let instance = |attempt| Instance {
             attempt: ClaimAttempt::new(attempt, 1),
             settlement: None,
             sent: false,
             told_not_run: false,
-            over: false,
+            ended: false,
         };
         Self {
             row: None,
             version: 0,
-            open: vec![],
+            pending: vec![],
             instances: vec![instance(1), instance(2)],
             runs: 0,
-            faults: FAULTS,
+            faults: MAX_FAULTS,
         }
     }
 
-    /// Has a write take effect, if its condition holds.
+    /// Applies a write if its condition holds. Returns the table's reply.
     fn write(&mut self, expected: Option<u64>, row: ClaimRow) -> TableReply {
         if self.row.as_ref().map(|(_, version)| *version) != expected {
             return TableReply::Found(self.row.clone());
@@ -84,29 +84,29 @@
         TableReply::Written { version: self.version }
     }
 
-    /// Returns every state that can follow. An instance that is frozen is one that others
-    /// overtake, so freezes are among the interleavings.
+    /// Returns all states that can follow. A frozen instance is one that the other
+    /// overtakes, so freezes are among the interleavings.
     fn successors(&self) -> Vec<Self> {
         let mut all = vec![];
         for index in 0..self.instances.len() {
-            if !self.instances[index].over {
+            if !self.instances[index].ended {
                 all.extend(self.advance(index));
             }
         }
-        for place in 0..self.open.len() {
+        for index in 0..self.pending.len() {
             let mut late = self.clone();
-            let write = late.open.remove(place);
+            let write = late.pending.remove(index);
             late.write(write.expected, write.row);
             all.push(late);
             // Or it never takes effect.
             let mut lost = self.clone();
-            lost.open.remove(place);
+            lost.pending.remove(index);
             all.push(lost);
         }
         all
     }
 
-    /// Returns what can follow from one instance's next step.
+    /// Returns the states that can follow the next step of one instance.
     fn advance(&self, index: usize) -> Vec<Self> {
         if let Some(settlement) = &self.instances[index].settlement {
             return self.settle(index, settlement);
@@ -121,8 +121,9 @@
             ClaimStep::ReadBack => {
                 let mut replies =
                     vec![(self.clone(), TableReply::Found(self.row.clone()))];
-                replies
-                    .extend(self.with_fault().map(|state| (state, TableReply::NoAnswer)));
+                replies.extend(
+                    self.spend_fault().map(|state| (state, TableReply::NoAnswer)),
+                );
                 self.reply(index, replies)
             }
             ClaimStep::Send => {
@@ -133,12 +134,12 @@
                 let version = instance.attempt.held_version();
                 sends.instances[index].settlement =
                     Some(ClaimSettlement::new(row, version));
-                // Its time may be over when it wakes up.
+                // Or it was frozen and its deadline has passed when it wakes up.
                 let mut gives_up = self.clone();
                 gives_up.instances[index].attempt.abandon();
                 // Or it is killed.
                 let mut killed = self.clone();
-                killed.instances[index].over = true;
+                killed.instances[index].ended = true;
                 vec![sends, gives_up, killed]
             }
             ClaimStep::Abandon => {
@@ -151,29 +152,29 @@
             ClaimStep::Refuse => {
                 let mut state = self.clone();
                 state.instances[index].told_not_run = true;
-                state.instances[index].over = true;
+                state.instances[index].ended = true;
                 vec![state]
             }
             ClaimStep::HeldByOther | ClaimStep::Mismatch => {
                 let mut state = self.clone();
-                state.instances[index].over = true;
+                state.instances[index].ended = true;
                 vec![state]
             }
             ClaimStep::Replay { outcome } => {
                 assert_eq!(outcome, "done");
-                assert_eq!(self.runs, 1, "an outcome without a run");
+                assert_eq!(self.runs, 1, "an outcome was recorded without a run");
                 let mut state = self.clone();
-                state.instances[index].over = true;
+                state.instances[index].ended = true;
                 vec![state]
             }
         }
     }
 
-    /// Returns what can follow from a step of a settlement.
+    /// Returns the states that can follow the next step of a settlement.
     fn settle(&self, index: usize, settlement: &ClaimSettlement) -> Vec<Self> {
         let Some(expected) = settlement.next_write() else {
             let mut state = self.clone();
-            state.instances[index].over = true;
+            state.instances[index].ended = true;
             return vec![state];
         };
         let replies = self.try_write(expected, settlement.row());
@@ -186,7 +187,7 @@
         settled.collect()
     }
 
-    /// Returns what can become of a write.
+    /// Returns the possible results of a write: the state of the table and the reply.
     fn try_write(
         &self,
         expected: Option<u64>,
@@ -196,21 +197,21 @@
         let mut done = self.clone();
         let reply = done.write(expected, row.clone());
         replies.push((done.clone(), reply));
-        if let Some(mut faulty) = done.with_fault() {
-            // It took effect, but the answer is lost.
+        if let Some(mut faulty) = done.spend_fault() {
+            // The write took effect, but its reply is lost.
             replies.push((faulty.clone(), TableReply::NoAnswer));
-            // It may take effect later.
-            faulty = self.with_fault().unwrap_or(faulty);
-            faulty.open.push(OpenWrite { expected, row: row.clone() });
+            // The write may take effect later.
+            faulty = self.spend_fault().unwrap_or(faulty);
+            faulty.pending.push(PendingWrite { expected, row: row.clone() });
             replies.push((faulty, TableReply::NoAnswer));
         }
-        if let Some(refused) = self.with_fault() {
+        if let Some(refused) = self.spend_fault() {
             replies.push((refused, TableReply::NotDone));
         }
         replies
     }
 
-    /// Gives an attempt each of the replies.
+    /// Passes each reply to the attempt.
     fn reply(&self, index: usize, replies: Vec<(Self, TableReply)>) -> Vec<Self> {
         let taken = replies.into_iter().map(|(mut state, reply)| {
             state.instances[index].attempt.reply(reply);
@@ -219,35 +220,35 @@
         taken.collect()
     }
 
-    /// Returns the state with one fault less to come, if any may.
-    fn with_fault(&self) -> Option<Self> {
+    /// Returns the state with one fault less to spend, if any is left.
+    fn spend_fault(&self) -> Option<Self> {
         let faults = self.faults.checked_sub(1)?;
         Some(Self { faults, ..self.clone() })
     }
 
     /// Checks what must hold in every state.
     fn check(&self) {
-        assert!(self.runs <= 1, "it ran twice: {self:?}");
+        assert!(self.runs <= 1, "the request ran twice: {self:?}");
         for instance in &self.instances {
             assert!(
                 !(instance.sent && instance.told_not_run),
-                "an untrue word: {self:?}"
+                "a caller was told that a sent request has not run: {self:?}"
             );
         }
     }
 
-    /// Checks what must hold when nothing can follow.
+    /// Checks what must hold in a state that nothing can follow.
     fn check_end(&self) {
         let killed = self.instances.iter().any(|instance| {
-            instance.over && instance.attempt.held_version().is_some() && !instance.sent
+            instance.ended && instance.attempt.held_version().is_some() && !instance.sent
         });
         let held = matches!(&self.row, Some((row, _)) if row.phase == RowPhase::Held);
-        assert!(killed || !held, "a row is held for ever: {self:?}");
+        assert!(killed || !held, "a row is held forever: {self:?}");
     }
 }
 
 #[test]
-fn no_interleaving_runs_a_request_twice_or_holds_it_for_ever() {
+fn no_interleaving_runs_a_request_twice_or_holds_its_row_forever() {
     let mut seen = HashSet::new();
     let mut todo = vec![State::new()];
     let mut ends = 0;
--- a/crates/flaxtide-policy/tests/common/mod.rs
+++ b/crates/flaxtide-policy/tests/common/mod.rs
@@ -10,15 +10,15 @@
     RoutedServer,
 };
 
-/// The pool of all calls.
+/// The pool that all calls and engines belong to.
 pub const POOL: u16 = 1;
 
-/// Makes a span of milliseconds.
+/// Returns a duration in milliseconds.
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Makes an engine with eight slots.
+/// Creates an engine with eight slots.
 pub fn engine(server: ServerId) -> RoutedServer {
     RoutedServer {
         server,
@@ -32,12 +32,12 @@
     }
 }
 
-/// Starts a core with so many engines.
+/// Creates a core with `servers` engines.
 pub fn core_with(servers: u32) -> RouteCore {
     core_with_options(servers, RouteOptions::default())
 }
 
-/// Starts a core with so many engines, and with other options.
+/// Creates a core with `servers` engines and the given options.
 pub fn core_with_options(servers: u32, options: RouteOptions) -> RouteCore {
     let mut core = RouteCore::new(options);
     let servers: Vec<RoutedServer> = (0..servers).map(engine).collect();
@@ -45,7 +45,7 @@
     core
 }
 
-/// Makes a call with a prompt of so many tokens.
+/// Creates a call with a prompt of `tokens` tokens.
 pub fn call(request: RequestId, tokens: u32, repeatable: bool) -> RouteCall {
     RouteCall {
         request,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Returns to which server a request is sent.
+/// Returns the server that a request is sent to, if the only action is a dispatch.
 pub fn server_of(actions: &[RouteAction]) -> Option<ServerId> {
     match actions {
         [RouteAction::Dispatch { choice, .. }] => Some(choice.server),
--- a/crates/flaxtide-policy/tests/invariants.rs
+++ b/crates/flaxtide-policy/tests/invariants.rs
@@ -11,34 +11,34 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// How many servers there are.
+/// The number of servers.
 const SERVERS: u32 = 4;
 
-/// How many slots each has.
+/// The slots of each server.
 const SLOTS: u32 = 2;
 
-/// Something that may happen.
+/// An event in a random sequence. Indices select one of the matching requests.
 #[derive(Debug, Clone)]
 enum Step {
-    /// A request of a class and organisation comes.
+    /// A request of a class and an organisation arrives; it may be repeatable.
     Arrive(u16, u16, bool),
-    /// One of the running requests ends or fails.
+    /// A running request ends, or fails with a fault.
     End(usize, Option<ServerFault>),
-    /// One of the running requests has its first token.
+    /// A running request gets its first token.
     FirstToken(usize),
-    /// The caller of one of the open requests goes.
-    Leave(usize),
-    /// A server reports.
+    /// The caller of an open request disconnects.
+    CallerGone(usize),
+    /// A server reports its load.
     Report(u32, u32),
-    /// A server is leaving, or not any more.
-    Leaving(u32, bool),
-    /// A share comes.
+    /// A server starts to leave, or is no longer leaving.
+    ServerLeaving(u32, bool),
+    /// A share of a server's slots is granted.
     Share(u32, u32),
     /// Time passes, in milliseconds.
     Wait(u64),
 }
 
-/// Draws steps.
+/// Generates sequences of steps.
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let fault = prop_oneof![
         Just(ServerFault::NotRun),
@@ -53,44 +53,44 @@
         5 => any::<usize>().prop_map(|pick| Step::End(pick, None)),
         2 => (any::<usize>(), fault).prop_map(|(pick, fault)| Step::End(pick, Some(fault))),
         2 => any::<usize>().prop_map(Step::FirstToken),
-        1 => any::<usize>().prop_map(Step::Leave),
+        1 => any::<usize>().prop_map(Step::CallerGone),
         1 => (0..SERVERS, 0..5u32).prop_map(|(server, load)| Step::Report(server, load)),
-        1 => (0..SERVERS, any::<bool>()).prop_map(|(server, leaving)| Step::Leaving(server, leaving)),
+        1 => (0..SERVERS, any::<bool>()).prop_map(|(server, leaving)| Step::ServerLeaving(server, leaving)),
         1 => (0..SERVERS, 0..=SLOTS).prop_map(|(server, slots)| Step::Share(server, slots)),
         3 => (1..400u64).prop_map(Step::Wait),
     ];
     prop::collection::vec(step, 1..120)
 }
 
-/// A request as the test sees it.
+/// What the test expects of a request.
 #[derive(Debug, Clone)]
-struct Known {
-    /// Whether it may run more than once.
+struct TrackedRequest {
+    /// Whether the request may run more than once.
     repeatable: bool,
-    /// The server that it is at.
-    at: Option<u32>,
-    /// Whether a server may have run it.
+    /// The server that the request is at.
+    server: Option<u32>,
+    /// Whether a server may have run the request.
     may_have_run: bool,
-    /// Whether it has ended.
+    /// Whether the request has ended.
     ended: bool,
 }
 
-/// The core with what the test knows of it.
-struct Checked {
-    /// The core.
+/// A decision core whose actions are checked.
+struct CheckedCore {
+    /// The core under test.
     core: DecisionCore,
-    /// The time.
+    /// The current time.
     now: Duration,
-    /// The requests.
-    known: BTreeMap<u64, Known>,
+    /// All requests so far.
+    requests: BTreeMap<u64, TrackedRequest>,
     /// The servers that are leaving.
     leaving: BTreeSet<u32>,
-    /// All actions, for replays.
+    /// All actions as JSON, to compare runs.
     log: String,
 }
 
-impl Checked {
-    /// Starts a core with three tiers.
+impl CheckedCore {
+    /// Creates a core with three classes, each in a tier of its own.
     fn new() -> Self {
         let options = PolicyOptions { queue_limit: 8, ..PolicyOptions::default() };
         let class = |tier: u8| ClassRule {
@@ -115,16 +115,16 @@
         let mut checked = Self {
             core: DecisionCore::new(options, 7),
             now: Duration::ZERO,
-            known: BTreeMap::new(),
+            requests: BTreeMap::new(),
             leaving: BTreeSet::new(),
             log: String::new(),
         };
-        checked.tell(PolicyEvent::Rules(rules));
+        checked.send_event(PolicyEvent::Rules(rules));
         checked
     }
 
-    /// Tells the core what happened and checks every action.
-    fn tell(&mut self, event: PolicyEvent) {
+    /// Sends an event to the core and checks the resulting actions.
+    fn send_event(&mut self, event: PolicyEvent) {
         let actions = self.core.handle(event, self.now);
         self.log.push_str(&serde_json::to_string(&actions).unwrap());
         for action in actions {
@@ -132,65 +132,74 @@
         }
     }
 
-    /// Checks one action.
+    /// Checks one action against what the test expects.
     fn check(&mut self, action: &PolicyAction) {
         match action {
             PolicyAction::Wait { request, .. } => {
-                assert!(!self.known[request].ended);
+                assert!(!self.requests[request].ended);
             }
             PolicyAction::Dispatch { request, choice, silence_timeout, .. } => {
                 assert!(
                     !self.leaving.contains(&choice.server),
-                    "work for a leaving server"
+                    "a request was dispatched to a leaving server"
                 );
-                let known = self.known.get_mut(request).unwrap();
-                assert!(!known.ended, "{request} was dispatched after its end");
-                assert_eq!(known.at, None, "{request} is at two servers");
-                assert!(known.repeatable || !known.may_have_run, "{request} runs twice");
-                assert!(known.repeatable || silence_timeout.is_none());
-                known.at = Some(choice.server);
+                let tracked = self.requests.get_mut(request).unwrap();
+                assert!(!tracked.ended, "{request} was dispatched after its end");
+                assert_eq!(tracked.server, None, "{request} is at two servers");
+                assert!(
+                    tracked.repeatable || !tracked.may_have_run,
+                    "{request} may run twice"
+                );
+                assert!(tracked.repeatable || silence_timeout.is_none());
+                tracked.server = Some(choice.server);
             }
             PolicyAction::Refuse { request, retry_after, .. } => {
-                let known = self.known.get_mut(request).unwrap();
-                assert!(!known.ended, "{request} ended twice");
-                assert_eq!(known.at, None, "{request} was refused while it ran");
-                assert!(!known.may_have_run, "an untrue refusal of {request}");
+                let tracked = self.requests.get_mut(request).unwrap();
+                assert!(!tracked.ended, "{request} ended twice");
+                assert_eq!(tracked.server, None, "{request} was refused while it ran");
+                assert!(
+                    !tracked.may_have_run,
+                    "{request} was refused although it may have run"
+                );
                 assert!(!retry_after.is_zero());
-                known.ended = true;
+                tracked.ended = true;
             }
             PolicyAction::GiveUp { request, .. } => {
-                let known = self.known.get_mut(request).unwrap();
-                assert!(!known.ended, "{request} ended twice");
-                assert!(known.may_have_run, "{request} hasn't run and isn't called so");
-                known.ended = true;
+                let tracked = self.requests.get_mut(request).unwrap();
+                assert!(!tracked.ended, "{request} ended twice");
+                assert!(
+                    tracked.may_have_run,
+                    "{request} was given up although it can't have run"
+                );
+                tracked.ended = true;
             }
         }
     }
 
-    /// Returns one of the requests for which `holds`.
-    fn pick(&self, pick: usize, holds: impl Fn(&Known) -> bool) -> Option<u64> {
-        let fitting: Vec<u64> = self
-            .known
+    /// Returns one of the requests for which `holds` is true.
+    fn pick(&self, pick: usize, holds: impl Fn(&TrackedRequest) -> bool) -> Option<u64> {
+        let matching: Vec<u64> = self
+            .requests
             .iter()
-            .filter(|(_, known)| holds(known))
+            .filter(|(_, tracked)| holds(tracked))
             .map(|(id, _)| *id)
             .collect();
-        (!fitting.is_empty()).then(|| fitting[pick % fitting.len()])
+        (!matching.is_empty()).then(|| matching[pick % matching.len()])
     }
 
-    /// Takes a step.
+    /// Performs a step.
     fn step(&mut self, step: &Step) {
         match *step {
             Step::Arrive(class, organisation, repeatable) => {
-                let request = self.known.len() as u64;
-                let known = Known {
+                let request = self.requests.len() as u64;
+                let tracked = TrackedRequest {
                     repeatable,
-                    at: None,
+                    server: None,
                     may_have_run: false,
                     ended: false,
                 };
-                self.known.insert(request, known);
-                self.tell(PolicyEvent::Arrive(CallArrival {
+                self.requests.insert(request, tracked);
+                self.send_event(PolicyEvent::Arrive(CallArrival {
                     request,
                     pool: 0,
                     class,
@@ -203,35 +212,37 @@
                 }));
             }
             Step::End(pick, fault) => {
-                let Some(request) = self.pick(pick, |known| known.at.is_some()) else {
+                let Some(request) = self.pick(pick, |tracked| tracked.server.is_some())
+                else {
                     return;
                 };
-                let known = self.known.get_mut(&request).unwrap();
-                let server = known.at.take();
+                let tracked = self.requests.get_mut(&request).unwrap();
+                let server = tracked.server.take();
                 let Some(fault) = fault else {
-                    known.ended = true;
-                    self.tell(PolicyEvent::Finish { request, tokens: 20 });
+                    tracked.ended = true;
+                    self.send_event(PolicyEvent::Finish { request, tokens: 20 });
                     return;
                 };
-                known.may_have_run |=
+                tracked.may_have_run |=
                     matches!(fault, ServerFault::Broken | ServerFault::Stalled);
                 if fault == ServerFault::Leaving {
                     self.leaving.extend(server);
                 }
-                self.tell(PolicyEvent::Fail { request, fault, passed_on: 0 });
+                self.send_event(PolicyEvent::Fail { request, fault, passed_on: 0 });
             }
             Step::FirstToken(pick) => {
-                let Some(request) = self.pick(pick, |known| known.at.is_some()) else {
+                let Some(request) = self.pick(pick, |tracked| tracked.server.is_some())
+                else {
                     return;
                 };
-                self.tell(PolicyEvent::FirstToken { request });
+                self.send_event(PolicyEvent::FirstToken { request });
             }
-            Step::Leave(pick) => {
-                let Some(request) = self.pick(pick, |known| !known.ended) else { return };
-                let known = self.known.get_mut(&request).unwrap();
-                known.ended = true;
-                known.at = None;
-                self.tell(PolicyEvent::CallerGone { request });
+            Step::CallerGone(pick) => {
+                let Some(request) = self.pick(pick, |entry| !entry.ended) else { return };
+                let tracked = self.requests.get_mut(&request).unwrap();
+                tracked.ended = true;
+                tracked.server = None;
+                self.send_event(PolicyEvent::CallerGone { request });
             }
             Step::Report(server, load) => {
                 let report = LoadReport {
@@ -242,42 +253,46 @@
                     step: Duration::from_millis(4),
                     at: self.now,
                 };
-                self.tell(PolicyEvent::Report(report));
+                self.send_event(PolicyEvent::Report(report));
             }
-            Step::Leaving(server, leaving) => {
+            Step::ServerLeaving(server, leaving) => {
                 if leaving {
                     self.leaving.insert(server);
                 } else {
                     self.leaving.remove(&server);
                 }
-                self.tell(PolicyEvent::ServerLeaving { server, leaving });
+                self.send_event(PolicyEvent::ServerLeaving { server, leaving });
             }
             Step::Share(server, slots) => {
                 let until = self.now + Duration::from_millis(500);
-                self.tell(PolicyEvent::Share { server, slots, until });
+                self.send_event(PolicyEvent::Share { server, slots, until });
             }
             Step::Wait(millis) => {
                 self.now += Duration::from_millis(millis);
-                self.tell(PolicyEvent::Tick);
+                self.send_event(PolicyEvent::Tick);
             }
         }
     }
 
     /// Checks what must hold between steps.
     fn check_state(&self) {
-        let open = self.known.values().filter(|known| !known.ended).count();
+        let open = self.requests.values().filter(|tracked| !tracked.ended).count();
         assert_eq!(
             self.core.open_calls(),
             open,
-            "a request is lost or kept after its end"
+            "a request is lost or not removed at its end"
         );
-        let at: usize = self.known.values().filter(|known| known.at.is_some()).count();
+        let running_requests: usize = self
+            .requests
+            .values()
+            .filter(|tracked| tracked.server.is_some())
+            .count();
         let running: u32 = self.core.slots(self.now).values().map(|slots| slots.1).sum();
-        assert_eq!(running as usize, at, "slots are lost or kept");
+        assert_eq!(running as usize, running_requests, "slots are lost or not freed");
     }
 }
 
-/// The same cases on every run: CI gives the same verdict each time.
+/// Uses the same cases on every run, so that CI is reproducible.
 fn config() -> ProptestConfig {
     ProptestConfig {
         cases: 3000,
@@ -292,15 +307,15 @@
     #![proptest_config(config())]
 
     #[test]
-    fn no_request_is_lost_doubled_or_untruly_refused(steps in steps()) {
-        let mut checked = Checked::new();
+    fn no_request_is_lost_run_twice_or_wrongly_refused(steps in steps()) {
+        let mut checked = CheckedCore::new();
         for step in &steps {
             checked.step(step);
             checked.check_state();
         }
-        // With servers back and time passing, every request comes to its end.
+        // Once all servers are back and time passes, every request must end.
         for server in 0..SERVERS {
-            checked.step(&Step::Leaving(server, false));
+            checked.step(&Step::ServerLeaving(server, false));
         }
         for _ in 0..400 {
             checked.step(&Step::End(0, None));
@@ -312,7 +327,7 @@
     #[test]
     fn the_same_events_give_the_same_actions(steps in steps()) {
         let run = || {
-            let mut checked = Checked::new();
+            let mut checked = CheckedCore::new();
             for step in &steps {
                 checked.step(step);
             }
--- a/crates/flaxtide-policy/tests/lease.rs
+++ b/crates/flaxtide-policy/tests/lease.rs
@@ -1,15 +1,16 @@
-//! The lease: at most one holder at a time on clocks that run alike, and an old holder's
-//! orders end before a new one's begin.
+//! The lease has at most one holder at a time if clocks run at the same speed, and an old
+//! holder's orders end before a new holder's begin.
 
 use std::time::Duration;
 
 use flaxtide_policy::{LeaseRow, LeaseStep, LeaseTiming, LeaseWatch};
 
-/// The table's row with its version.
+/// The row of the table with its version.
 type Row = Option<(LeaseRow, u64)>;
 
-/// Gives a watch its turn. Returns whether its write took effect.
-fn turn(watch: &mut LeaseWatch, row: &mut Row, now: Duration, answered: bool) {
+/// Performs the next step of a watch. The watch learns the result of a write only if
+/// `answered`.
+fn run_step(watch: &mut LeaseWatch, row: &mut Row, now: Duration, answered: bool) {
     if watch.step(now) == LeaseStep::Read {
         watch.record_read(row.clone(), now);
     }
@@ -26,8 +27,8 @@
 
 #[test]
 fn holders_follow_each_other_with_growing_fences() {
-    // Instance 0 is frozen from second 10 to second 40, and instance 1 has an answer lost
-    // in second 25.
+    // Instance 0 is frozen from second 10 to second 40, and instance 1 loses the replies
+    // to its writes in second 25.
     let mut row: Row = None;
     let new =
         |name: &str| LeaseWatch::new(name.into(), LeaseTiming::default(), Duration::ZERO);
@@ -41,7 +42,7 @@
                 continue;
             }
             let lost = index == 1 && (25_000..26_000).contains(&millis);
-            turn(watch, &mut row, now, !lost);
+            run_step(watch, &mut row, now, !lost);
         }
         for (index, watch) in watches.iter().enumerate() {
             let frozen = index == 0 && (10_000..40_000).contains(&millis);
@@ -53,12 +54,12 @@
     assert!(orders.windows(2).all(|pair| pair[0].2 <= pair[1].2), "fences never fall");
     let holders: Vec<usize> = orders.iter().map(|order| order.1).collect();
     assert!(holders.contains(&0) && holders.contains(&1));
-    // Where the holder changes, the orders of the old one have had time to arrive.
+    // Where the holder changes, there is time for the old holder's orders to arrive.
     let changes = orders.windows(2).filter(|pair| pair[0].1 != pair[1].1);
     for pair in changes {
         assert!(pair[1].0 >= pair[0].0 + 2000, "{pair:?}");
     }
-    // A frozen instance that wakes up has no right to order.
-    let woken = orders.iter().filter(|order| (40_000..40_500).contains(&order.0));
-    assert!(woken.into_iter().all(|order| order.1 == 1));
+    // A frozen instance that wakes up must not send orders.
+    let after_wake = orders.iter().filter(|order| (40_000..40_500).contains(&order.0));
+    assert!(after_wake.into_iter().all(|order| order.1 == 1));
 }
--- a/crates/flaxtide-policy/tests/pushback.rs
+++ b/crates/flaxtide-policy/tests/pushback.rs
@@ -1,5 +1,5 @@
-//! What servers say of themselves, as the router keeps to it: at the choice of a server, and at the
-//! gate before each write.
+//! The router obeys what servers state: when it chooses a server, and in the check before
+//! each write.
 
 mod common;
 
@@ -13,7 +13,7 @@
 
 use self::common::{POOL, call, core_with, engine, ms, server_of};
 
-/// Says that a server takes so many requests a second.
+/// Creates a statement of a rate in requests a second.
 fn limited(requests: f64) -> ServerStatement {
     let rate = RequestRate::from_per_second(requests).unwrap();
     ServerStatement {
@@ -22,20 +22,20 @@
     }
 }
 
-/// Says that a server wants nothing for a while.
-fn rest(millis: u64) -> ServerStatement {
+/// Creates a statement that asks for a backoff.
+fn backoff(millis: u64) -> ServerStatement {
     ServerStatement {
         backoff: Some(ms(millis)),
         ..ServerStatement::default()
     }
 }
 
-/// Says nothing.
-fn nothing() -> ServerStatement {
+/// Creates the statement of a response that states nothing.
+fn no_statement() -> ServerStatement {
     ServerStatement::default()
 }
 
-/// The only instance.
+/// Creates a group of a single instance.
 fn alone() -> Arc<InstanceGroup> {
     let own = GroupMember { instance: 1, data_centre: 0 };
     Arc::new(InstanceGroup {
@@ -45,14 +45,15 @@
     })
 }
 
-/// Starts a core of the only instance.
+/// Creates a core of a single instance.
 fn core_alone(servers: u32) -> RouteCore {
     let mut core = core_with(servers);
     core.set_group(alone(), ms(0));
     core
 }
 
-/// Returns how many of several requests are sent; all that are sent are answered at once.
+/// Sends `count` requests and returns how many are dispatched. Each of these is answered
+/// at once.
 fn count_sent(core: &mut RouteCore, first: u64, count: u64, now: Duration) -> usize {
     let mut sent = 0;
     for request in first..first + count {
@@ -67,41 +68,41 @@
     sent
 }
 
-/// What a server says while a request waits for its connection was not known when the server was
-/// chosen.
+/// A server may state something while a request waits for its connection, after the
+/// server was chosen.
 #[test]
-fn a_word_between_the_choice_of_a_server_and_the_write_holds() {
-    for word in ["rest", "rate", "leaves", "gone"] {
+fn a_change_between_the_choice_of_a_server_and_the_write_is_obeyed() {
+    for change in ["backoff", "rate", "leaving", "unlisted"] {
         let mut core = core_alone(1);
         let server = server_of(&core.arrive(call(1, 100, true), ms(0))).unwrap();
         assert!(core.passes_gate(1, ms(0)));
         let now = ms(5);
-        match word {
-            "rest" => _ = core.hear_statement(server, rest(1000), ms(1), now),
+        match change {
+            "backoff" => _ = core.hear_statement(server, backoff(1000), ms(1), now),
             "rate" => _ = core.hear_statement(server, limited(0.5), ms(1), now),
-            "leaves" => {
+            "leaving" => {
                 let mut left = engine(server);
                 left.leaving = true;
                 core.set_servers(POOL, &[left], now);
             }
             _ => _ = core.set_servers(POOL, &[], now),
         }
-        assert!(!core.passes_gate(1, now), "{word}");
-        // It goes to another server, and costs nothing of the budget of repeats.
+        assert!(!core.passes_gate(1, now), "{change}");
+        // The request goes to another server, which isn't charged to the retry budget.
         core.set_servers(POOL, &[engine(server), engine(server + 1)], now);
         let (verdict, actions) = core.fail(1, RouteFault::Withheld, false, now);
-        assert_eq!(verdict, RetryVerdict::Again, "{word}");
-        assert_eq!(server_of(&actions), Some(server + 1), "{word}");
+        assert_eq!(verdict, RetryVerdict::Again, "{change}");
+        assert_eq!(server_of(&actions), Some(server + 1), "{change}");
     }
 }
 
 #[test]
-fn a_request_takes_its_part_of_a_rate_once() {
+fn a_request_takes_one_token_of_a_rate() {
     let mut core = core_alone(1);
     core.hear_statement(0, limited(1.0), ms(0), ms(1));
     let now = ms(1001);
     assert!(server_of(&core.arrive(call(1, 100, true), now)).is_some());
-    // A kept connection that turns out to be closed has it written anew.
+    // A request is written again if its kept connection turns out to be closed.
     assert!(core.passes_gate(1, now));
     assert!(core.passes_gate(1, now));
     assert_eq!(count_sent(&mut core, 2, 5, now), 0);
@@ -109,21 +110,22 @@
 }
 
 #[test]
-fn what_was_saved_up_while_idle_is_no_burst() {
+fn tokens_saved_while_idle_allow_no_burst() {
     let mut core = core_alone(1);
     core.hear_statement(0, limited(2.0), ms(0), ms(1));
     assert_eq!(count_sent(&mut core, 1, 20, ms(60_000)), 1);
 }
 
-/// An answer that the server made before its newest word may come after it.
+/// A response that was made before the newest statement may arrive after it.
 #[test]
-fn an_answer_to_an_older_request_does_not_raise_a_rate() {
+fn a_response_to_an_older_request_does_not_raise_a_rate() {
     let cases = [
-        // statement of the late answer, when its request was sent, rate that is held then
-        (nothing(), ms(90), Some(1.0)),
+        // statement of the late response, when its request was sent, rate in force
+        // afterwards
+        (no_statement(), ms(90), Some(1.0)),
         (limited(5.0), ms(90), Some(1.0)),
         (limited(0.5), ms(90), Some(0.5)),
-        (nothing(), ms(110), None),
+        (no_statement(), ms(110), None),
         (limited(5.0), ms(110), Some(5.0)),
     ];
     for (statement, sent, expected) in cases {
@@ -136,21 +138,21 @@
 }
 
 #[test]
-fn a_word_that_is_not_understood_changes_nothing() {
+fn an_unreadable_or_missing_rate_changes_nothing() {
     let mut core = core_alone(1);
     core.hear_statement(0, limited(1.0), ms(50), ms(100));
     for rate in [StatedRate::Unreadable, StatedRate::Unstated] {
-        let unread = ServerStatement { rate, ..nothing() };
+        let unread = ServerStatement { rate, ..no_statement() };
         assert_eq!(core.hear_statement(0, unread, ms(110), ms(150)), None);
         assert!(core.stated_rate(0).unwrap().0.is_some());
     }
 }
 
 #[test]
-fn what_a_server_said_outlives_a_lapse_of_its_row() {
+fn a_statement_outlives_a_gap_in_the_server_list() {
     let mut core = core_alone(2);
     core.hear_statement(0, limited(1.0), ms(0), ms(1));
-    core.hear_statement(1, rest(30_000), ms(0), ms(1));
+    core.hear_statement(1, backoff(30_000), ms(0), ms(1));
     core.set_servers(POOL, &[], ms(10));
     core.set_servers(POOL, &[engine(0), engine(1)], ms(20));
     core.set_group(alone(), ms(20));
@@ -158,32 +160,33 @@
 }
 
 #[test]
-fn no_answer_shortens_a_rest() {
+fn no_response_shortens_a_backoff() {
     let mut core = core_alone(1);
     core.arrive(call(1, 100, true), ms(0));
-    core.hear_statement(0, rest(2000), ms(0), ms(10));
-    // One that was under way ends well, another one asks for less.
-    core.hear_statement(0, nothing(), ms(5), ms(20));
+    core.hear_statement(0, backoff(2000), ms(0), ms(10));
+    // A response in flight ends without a fault, and another one asks for a shorter
+    // backoff.
+    core.hear_statement(0, no_statement(), ms(5), ms(20));
     core.finish(1, ms(20));
-    core.hear_statement(0, rest(100), ms(15), ms(30));
+    core.hear_statement(0, backoff(100), ms(15), ms(30));
     assert_eq!(count_sent(&mut core, 2, 5, ms(2005)), 0);
     assert_eq!(count_sent(&mut core, 10, 5, ms(2010)), 5);
 }
 
 #[test]
-fn no_server_rests_for_longer_than_is_believed() {
+fn a_backoff_is_capped() {
     let longest = RouteOptions::default().longest_rest;
     let mut core = core_alone(1);
-    core.hear_statement(0, rest(1000 * 60 * 60 * 24 * 365), ms(0), ms(0));
+    core.hear_statement(0, backoff(1000 * 60 * 60 * 24 * 365), ms(0), ms(0));
     assert_eq!(count_sent(&mut core, 1, 5, longest - ms(1)), 0);
     assert_eq!(count_sent(&mut core, 10, 5, longest), 5);
 }
 
 #[test]
-fn where_all_servers_rest_callers_are_told_at_once_when_the_first_is_back() {
+fn while_all_servers_back_off_callers_are_refused_at_once_with_the_earliest_end() {
     let mut core = core_alone(2);
-    core.hear_statement(0, rest(3000), ms(0), ms(0));
-    core.hear_statement(1, rest(2000), ms(0), ms(0));
+    core.hear_statement(0, backoff(3000), ms(0), ms(0));
+    core.hear_statement(1, backoff(2000), ms(0), ms(0));
     let arrival = RouteCall { give_up: ms(250), ..call(1, 100, true) };
     let actions = core.arrive(arrival, ms(0));
     let [RouteAction::Refuse { reason, retry_after, .. }] = &actions[..] else {
@@ -191,17 +194,17 @@
     };
     assert_eq!(*reason, RefusalCause::NoServer);
     assert!((ms(2000)..=ms(2500)).contains(retry_after), "{retry_after:?}");
-    // One that is back in time is waited for.
+    // A request waits for a server whose backoff ends before the request is given up.
     let arrival = RouteCall { give_up: ms(2050), ..call(2, 100, true) };
     assert!(core.arrive(arrival, ms(1900)).is_empty());
     assert_eq!(server_of(&core.tick(ms(2000))), Some(1));
 }
 
 #[test]
-fn a_request_that_one_server_turned_away_is_not_tried_at_others_that_rest() {
+fn a_request_refused_by_one_server_is_not_retried_at_others_that_back_off() {
     let mut core = core_alone(3);
     for server in 0..3 {
-        core.hear_statement(server, rest(500_000), ms(0), ms(0));
+        core.hear_statement(server, backoff(500_000), ms(0), ms(0));
     }
     core.set_servers(POOL, &[engine(0), engine(1), engine(2), engine(3)], ms(1));
     let arrival = RouteCall { deadline: ms(1000), ..call(1, 100, true) };
@@ -210,9 +213,10 @@
     assert_eq!(verdict, RetryVerdict::End);
 }
 
-/// An instance that was frozen sees nobody alive for a moment, and would take all of a rate.
+/// An instance that was frozen sees no live peers for a moment and would take the whole
+/// rate.
 #[test]
-fn a_larger_part_of_a_rate_is_taken_with_a_delay_and_a_smaller_one_at_once() {
+fn a_larger_share_of_a_rate_is_used_after_a_delay_and_a_smaller_one_at_once() {
     let member = |instance| GroupMember { instance, data_centre: 0 };
     let group = |members: u32| {
         let members = (1..=members).map(member).collect();
--- a/crates/flaxtide-policy/tests/pushback_merge.rs
+++ b/crates/flaxtide-policy/tests/pushback_merge.rs
@@ -1,5 +1,5 @@
-//! What instances tell each other of servers: however reports come, all who have had the same
-//! ones believe the same.
+//! Reports between instances of what servers state. Logs that got the same reports agree,
+//! in whatever order these arrive.
 
 use std::time::Duration;
 
@@ -8,13 +8,14 @@
 };
 use proptest::prelude::*;
 
-/// When the last report is read.
+/// When the merged reports are read.
 const END: Duration = Duration::from_secs(100);
 
-/// A statement of a server: which, its rate, whether it leaves, and when it was heard, in seconds.
+/// A statement: the server, its rate, whether it is leaving, and the second at which it
+/// was heard.
 type Statement = (u32, Option<u8>, bool, u64);
 
-/// A statement of one of two servers.
+/// Generates a statement of one of two servers.
 fn statement() -> impl Strategy<Value = Statement> {
     (0u32..2, proptest::option::of(1u8..4), any::<bool>(), 1u64..20).prop_map(
         |(server, rate, leaving, second)| {
@@ -23,8 +24,9 @@
     )
 }
 
-/// Has a log hear statements in an order, each some time after it was made.
-fn believe(statements: &[Statement], delays: &[u64]) -> Vec<PushbackReport> {
+/// Merges reports of the statements, each delayed by some seconds, into a log. Returns
+/// the resulting report of each server.
+fn merge(statements: &[Statement], delays: &[u64]) -> Vec<PushbackReport> {
     let mut log = PushbackLog::default();
     for ((server, rate, leaving, second), delay) in statements.iter().zip(delays) {
         let heard = Duration::from_secs(*second);
@@ -39,8 +41,8 @@
     (0..2).filter_map(|server| log.report_of(server, END)).collect()
 }
 
-/// Returns statements of which no two of a server were heard at the same moment.
-fn distinct(statements: Vec<Statement>) -> Vec<Statement> {
+/// Keeps one statement of each server for each second.
+fn with_distinct_times(statements: Vec<Statement>) -> Vec<Statement> {
     let mut seen = std::collections::BTreeSet::new();
     statements
         .into_iter()
@@ -49,10 +51,11 @@
 }
 
 proptest! {
-    /// Two instances that have had the same news in another order, late, or doubled.
+    /// Two instances that get the same reports in another order, late or twice must
+    /// agree.
     #[test]
-    fn all_who_have_had_the_same_reports_believe_the_same(
-        statements in proptest::collection::vec(statement(), 0..12).prop_map(distinct),
+    fn logs_with_the_same_reports_agree(
+        statements in proptest::collection::vec(statement(), 0..12).prop_map(with_distinct_times),
         delays in proptest::collection::vec(0u64..30, 24),
         order in any::<u64>(),
     ) {
@@ -62,29 +65,30 @@
         if order % 2 == 1 {
             other.reverse();
         }
-        let one = believe(&statements, &delays);
-        let two = believe(&other, &delays);
+        let one = merge(&statements, &delays);
+        let two = merge(&other, &delays);
         prop_assert_eq!(&one, &two);
         for report in &one {
             let of_server = statements.iter().filter(|(server, ..)| *server == report.server);
             let newest = of_server.clone().max_by_key(|(.., second)| *second).unwrap();
             let rate = newest.1.and_then(|rate| RequestRate::from_per_second(f64::from(rate)));
-            prop_assert_eq!(report.rate, rate, "the newest holds");
+            prop_assert_eq!(report.rate, rate, "the newest statement wins");
             prop_assert_eq!(report.leaving, of_server.clone().any(|(_, _, leaving, _)| *leaving));
         }
     }
 }
 
-/// A late report of a rate may pass for later than the rate's end. An instance without a part of
-/// the rate sends nothing to the server, and would go on believing it if the end were told once.
+/// A delayed report of a rate can seem newer than the rate's end. An instance without a
+/// share of the rate sends nothing to the server, and would keep the rate for good if its
+/// end were reported only once.
 #[test]
-fn the_end_of_a_rate_is_told_once_more_and_a_rate_as_long_as_it_goes_on() {
+fn the_end_of_a_rate_is_reported_twice_and_a_rate_as_long_as_it_lasts() {
     let seconds = Duration::from_secs;
     let limited = StatedRate::Limited(RequestRate::from_per_second(2.0).unwrap());
-    let tell = |stated, until: u64| {
+    let report_times = |stated, until: u64| {
         let mut schedule = ReportSchedule::default();
         schedule.record_sent(1, stated, seconds(0));
-        let told = (1..until).filter(|second| {
+        let reported = (1..until).filter(|second| {
             let due = schedule.is_due(1, stated, seconds(*second));
             if due {
                 schedule.record_sent(1, stated, seconds(*second));
@@ -92,26 +96,27 @@
             schedule.expire(seconds(*second));
             due
         });
-        told.collect::<Vec<u64>>()
+        reported.collect::<Vec<u64>>()
     };
-    assert_eq!(tell(StatedRate::Unlimited, 100), [3]);
-    assert_eq!(tell(limited, 100), [30, 60, 90]);
-    // Nobody is told of servers that never stated anything.
+    assert_eq!(report_times(StatedRate::Unlimited, 100), [3]);
+    assert_eq!(report_times(limited, 100), [30, 60, 90]);
+    // Servers that never stated a rate aren't reported.
     let schedule = ReportSchedule::default();
     assert!(!schedule.is_due(1, StatedRate::Unlimited, seconds(50)));
     assert!(schedule.is_due(1, limited, seconds(50)));
 }
 
-/// Each release of servers leaves reports of those that have left: who starts isn't told of all.
+/// Each roll-out leaves reports of servers that have left. An instance that starts isn't
+/// sent all of them.
 #[test]
-fn who_starts_is_told_only_of_servers_that_said_something_lately() {
+fn a_starting_instance_is_told_only_of_recent_statements() {
     let mut log = PushbackLog::default();
     for server in 0..500 {
         let now = Duration::from_secs(u64::from(server));
         let report = PushbackReport { server, rate: None, age_ms: 0, leaving: true };
         log.apply(&report, now);
     }
-    let told = log.reports(1024, Duration::from_secs(500));
-    assert!(told.len() <= 120, "{}", told.len());
-    assert!(told.iter().any(|report| report.server == 499));
+    let reported = log.reports(1024, Duration::from_secs(500));
+    assert!(reported.len() <= 120, "{}", reported.len());
+    assert!(reported.iter().any(|report| report.server == 499));
 }
--- a/crates/flaxtide-policy/tests/quarantine.rs
+++ b/crates/flaxtide-policy/tests/quarantine.rs
@@ -1,5 +1,6 @@
-//! Who is taken for the cause when servers end: a table of cases, a storm of crashes with many
-//! innocent requests beside the cause, and logs that hear of the same in any order.
+//! Which requests are quarantined after crashes: a table of cases, a storm of crashes
+//! with many innocent requests beside the culprits, and logs that merge reports in any
+//! order.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -12,28 +13,29 @@
 /// A request that crashes servers.
 const CULPRIT: Fingerprint = 1;
 
-/// One that doesn't.
+/// A request that doesn't.
 const INNOCENT: Fingerprint = 2;
 
-/// Returns a time.
+/// Returns a time in milliseconds.
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// What happens to a request: (request, server, sent, ended, begun), times in milliseconds.
+/// A crash while a request ran: (request, server, sent, crashed, begun), with times in
+/// milliseconds.
 type Crash = (Fingerprint, IncarnationKey, u64, u64, bool);
 
-/// A log that has seen crashes, in their order.
+/// Creates a log that has recorded the crashes in order.
 fn log_of(crashes: &[Crash]) -> CrashLog {
     let mut log = CrashLog::default();
-    for (request, server, sent, ended, begun) in crashes {
+    for (request, server, sent, crashed, begun) in crashes {
         let progress = CallProgress { sent: ms(*sent), begun: *begun };
-        log.record(*request, *server, progress, ms(*ended));
+        log.record(*request, *server, progress, ms(*crashed));
     }
     log
 }
 
-/// The culprit runs alone on servers, one after the other.
+/// Returns crashes of the culprit alone on servers, one after the other.
 fn alone(servers: std::ops::Range<u32>) -> Vec<Crash> {
     servers
         .map(|server| {
@@ -44,24 +46,24 @@
 }
 
 #[test]
-fn servers_that_end_speak_against_whom_nothing_else_accounts_for() {
+fn crashes_without_a_better_explanation_lead_to_quarantine() {
     let beside = |request, server: u32, begun| {
-        let ended = u64::from(server) * 100 + 60;
-        (request, server, ended.saturating_sub(500), ended, begun)
+        let crashed = u64::from(server) * 100 + 60;
+        (request, server, crashed.saturating_sub(500), crashed, begun)
     };
     let with = |more: Vec<Crash>| [alone(0..3), more].concat();
     let cases: Vec<(&str, Vec<Crash>, Fingerprint, bool)> = vec![
-        ("two servers may be chance", alone(0..2), CULPRIT, false),
-        ("three are not", alone(0..3), CULPRIT, true),
-        ("one that is unknown", alone(0..3), INNOCENT, false),
+        ("two crashes may be a coincidence", alone(0..2), CULPRIT, false),
+        ("three crashes are not", alone(0..3), CULPRIT, true),
+        ("an unknown request", alone(0..3), INNOCENT, false),
         (
-            "the same end, seen by three instances",
+            "the same crash, seen by three instances",
             (0..3).map(|_| (CULPRIT, 7, 0, 60, false)).collect(),
             CULPRIT,
             false,
         ),
         (
-            "three copies on a rack that loses its power",
+            "three copies in a rack that loses power",
             (0..3)
                 .map(|server| (CULPRIT, server, 0, 200 + u64::from(server), false))
                 .collect(),
@@ -69,7 +71,7 @@
             false,
         ),
         (
-            "one copy after the other, though quick",
+            "three copies in quick succession",
             (0..3)
                 .map(|at| (CULPRIT, at as u32, at * 10, at * 10 + 9, false))
                 .collect(),
@@ -77,7 +79,7 @@
             true,
         ),
         (
-            "three copies side by side that end one after the other",
+            "three copies at the same time whose servers crash one after another",
             (0..3)
                 .map(|at| (CULPRIT, at as u32, 0, 60 + at * 50, false))
                 .collect(),
@@ -85,7 +87,7 @@
             true,
         ),
         (
-            "streams that crash each server in the midst of the answer",
+            "streams that crash each server in the middle of the response",
             (0..3)
                 .map(|at| (CULPRIT, at as u32, at * 900, at * 900 + 800, true))
                 .collect(),
@@ -93,7 +95,7 @@
             true,
         ),
         (
-            "one that ran beside the cause twice, and on a third server that ended",
+            "a request that ran beside the culprit twice, and on a third server that crashed",
             [
                 alone(0..4),
                 vec![
@@ -107,7 +109,7 @@
             false,
         ),
         (
-            "one that was always beside the cause, and had begun at one server",
+            "a request that always ran beside the culprit, and had begun at one server",
             with(vec![
                 beside(INNOCENT, 0, true),
                 beside(INNOCENT, 1, false),
@@ -117,7 +119,7 @@
             false,
         ),
         (
-            "the cause of that",
+            "the culprit in that case",
             with(vec![
                 beside(INNOCENT, 0, true),
                 beside(INNOCENT, 1, false),
@@ -127,7 +129,7 @@
             true,
         ),
         (
-            "two causes that always fall together: both are kept away at the fifth server",
+            "two culprits that always run together: both are quarantined at the fifth server",
             (0..6)
                 .flat_map(|at: u64| {
                     let culprit = (CULPRIT, at as u32, at * 100, at * 100 + 60, false);
@@ -145,13 +147,13 @@
 }
 
 #[test]
-fn a_whole_answer_clears_and_later_crashes_count_anew() {
+fn a_complete_response_clears_a_request_of_earlier_crashes_only() {
     let mut log = log_of(&alone(0..3));
     let reports = log.clear(CULPRIT, ms(1000));
     assert_eq!(reports.len(), 3);
     assert!(!log.is_quarantined(CULPRIT));
-    assert!(log.clear(CULPRIT, ms(1100)).is_empty(), "it is told once");
-    // A report of before that comes late changes nothing.
+    assert!(log.clear(CULPRIT, ms(1100)).is_empty(), "it is reported once");
+    // An earlier report that arrives late changes nothing.
     let late = CrashReport { cleared: false, ..reports[0] };
     assert!(!log.apply(&late, ms(1200)));
     for server in 10..13 {
@@ -163,10 +165,10 @@
 }
 
 #[test]
-fn quarantine_lasts_while_the_request_comes() {
+fn quarantine_lasts_while_the_request_keeps_arriving() {
     let mut log = log_of(&alone(0..3));
     let minute = Duration::from_secs(60);
-    assert!(log.renew(CULPRIT, minute / 2).is_empty(), "peers know it still");
+    assert!(log.renew(CULPRIT, minute / 2).is_empty(), "peers have seen it recently");
     for turn in 1..60 {
         let now = minute * turn + ms(1000);
         assert_eq!(log.renew(CULPRIT, now).len(), 3);
@@ -178,7 +180,7 @@
 }
 
 #[test]
-fn many_suspects_do_not_drive_out_one_in_quarantine() {
+fn many_suspects_do_not_displace_a_quarantined_one() {
     let mut log = log_of(&alone(0..3));
     for request in 0..5000u32 {
         let now = ms(1000 + u64::from(request));
@@ -189,87 +191,89 @@
     assert!(log.suspect_count() <= 1024);
 }
 
-/// Two hundred seconds of eighteen engines with twenty requests each, and culprits that come at
-/// some moment and then again and again until they are in quarantine. Requests that fell with a server go to another one, three times at
-/// most. Returns how many innocent ones there were, how many of them were in quarantine at
-/// any time, and how many servers ended.
+/// Simulates 200 seconds of eighteen engines with twenty requests each, and culprits that
+/// arrive at some moment and then again and again until they are quarantined. Requests
+/// that were running on a crashed server go to another one, at most three times. Returns
+/// the number of innocent requests, how many of these were ever quarantined, and how many
+/// servers crashed.
 fn storm(culprits: u128, seed: u64) -> (usize, usize, usize) {
     let mut random = StdRng::seed_from_u64(seed);
     let mut log = CrashLog::default();
     let mut running: BTreeMap<u32, Vec<(Fingerprint, u32, u64)>> = BTreeMap::new();
-    let (mut next, mut starts, mut ended) = (1_000_000u128, 18u32, 0);
+    let (mut next, mut next_server, mut crashed) = (1_000_000u128, 18u32, 0);
     let mut refused = HashSet::new();
-    let mut open: Vec<u32> = (0..18).collect();
+    let mut servers: Vec<u32> = (0..18).collect();
     let first: Vec<u64> =
         (0..culprits).map(|_| random.random_range(0..190_000)).collect();
     for now in (0..200_000u64).step_by(5) {
-        // Each engine is kept at twenty; a tenth of the requests end well in 100 ms.
-        for server in &open {
-            let at = running.entry(*server).or_default();
-            at.retain(|(request, _, _)| {
+        // Each engine is kept at twenty requests; a tenth of them end without a fault in
+        // 100 ms.
+        for server in &servers {
+            let running_here = running.entry(*server).or_default();
+            running_here.retain(|(request, _, _)| {
                 let ends = random.random_bool(0.005);
                 if ends {
                     log.clear(*request, ms(now));
                 }
                 !ends
             });
-            while at.len() < 20 {
+            while running_here.len() < 20 {
                 next += 1;
-                at.push((next, 0, now));
+                running_here.push((next, 0, now));
             }
         }
-        for (place, first) in first.iter().enumerate() {
-            let culprit = 1 + place as Fingerprint;
-            let comes = now >= *first && (now - first) % 110 < 5;
-            if !comes || log.is_quarantined(culprit) {
+        for (index, first) in first.iter().enumerate() {
+            let culprit = 1 + index as Fingerprint;
+            let arrives = now >= *first && (now - first) % 110 < 5;
+            if !arrives || log.is_quarantined(culprit) {
                 continue;
             }
-            let place = random.random_range(0..open.len());
-            let server = open[place];
-            let fallen = running.remove(&server).unwrap_or_default();
-            ended += 1;
+            let index = random.random_range(0..servers.len());
+            let server = servers[index];
+            let interrupted = running.remove(&server).unwrap_or_default();
+            crashed += 1;
             let sent = now.saturating_sub(60);
             let progress = CallProgress { sent: ms(sent), begun: false };
             log.record(culprit, server, progress, ms(now));
-            for (request, _, sent) in &fallen {
+            for (request, _, sent) in &interrupted {
                 let begun = now > sent + 100;
                 let progress = CallProgress { sent: ms(*sent), begun };
                 log.record(*request, server, progress, ms(now));
             }
-            open[place] = starts;
-            starts += 1;
-            for (request, tries, _) in fallen {
+            servers[index] = next_server;
+            next_server += 1;
+            for (request, tries, _) in interrupted {
                 if log.is_quarantined(request) {
                     refused.insert(request);
                 } else if tries < 3 {
-                    let to = open[random.random_range(0..open.len())];
-                    running.entry(to).or_default().push((request, tries + 1, now));
+                    let target = servers[random.random_range(0..servers.len())];
+                    running.entry(target).or_default().push((request, tries + 1, now));
                 }
             }
         }
     }
-    ((next - 1_000_000) as usize, refused.len(), ended)
+    ((next - 1_000_000) as usize, refused.len(), crashed)
 }
 
 #[test]
 fn innocent_requests_beside_a_storm_of_crashes_are_served() {
     for culprits in [1u128, 5, 20] {
-        let (mut all, mut refused, mut ended) = (0, 0, 0);
+        let (mut all, mut refused, mut crashed) = (0, 0, 0);
         for seed in 0..5 {
-            let (innocent, wrongly, servers) = storm(culprits, seed);
+            let (innocent, wrongly, crashes) = storm(culprits, seed);
             all += innocent;
             refused += wrongly;
-            ended += servers;
+            crashed += crashes;
         }
         println!(
-            "{culprits} culprits: {refused} of {all} innocent refused, {ended} ended"
+            "{culprits} culprits: {refused} of {all} innocent refused, {crashed} servers crashed"
         );
-        assert!(ended <= 5 * culprits as usize * 5, "{ended} servers ended");
+        assert!(crashed <= 5 * culprits as usize * 5, "{crashed} servers crashed");
         assert!(refused * 10_000 <= all, "{refused} of {all} innocent requests refused");
     }
 }
 
-/// Reports of a few requests at a few servers, some of them cleared.
+/// Generates reports of a few requests at a few servers, some of them cleared.
 fn reports() -> impl Strategy<Value = Vec<CrashReport>> {
     let one = (0u128..4, 0u32..8, 0u32..2000, any::<bool>(), any::<bool>());
     let report =
@@ -286,8 +290,8 @@
 }
 
 proptest! {
-    /// Whatever is heard in whatever order, and twice, logs that exchange all that they hold
-    /// hold the same, and agree on who has been cleared.
+    /// Logs that have merged reports in any order, some twice, are equal once each has
+    /// merged all reports of the other.
     #[test]
     fn logs_that_exchange_all_agree(one in reports(), other in reports()) {
         let now = ms(10_000);
--- a/crates/flaxtide-policy/tests/regression.rs
+++ b/crates/flaxtide-policy/tests/regression.rs
@@ -1,4 +1,5 @@
-//! Regression bounds on the policy bench: figures that the seed makes exact.
+//! Regression bounds on the simulated scenarios of the policy bench. A seed makes the
+//! figures exact.
 
 #[path = "../benches/lab/mod.rs"]
 mod lab;
@@ -6,25 +7,25 @@
 use flaxtide_policy::PolicyOptions;
 use lab::{PolicyKind, RunScore, SCENARIOS, run};
 
-/// The class of the booking clerks.
+/// The index of the class `grid-draft` in the scenarios.
 const GRID_DRAFT: usize = 0;
 
-/// The seeds; no bound holds for one only.
+/// The seeds; every bound must hold for each.
 const SEEDS: [u64; 2] = [1, 2];
 
 /// A bound for the decision core in one scenario.
 struct Bound {
-    /// The scenario's name.
+    /// The name of the scenario.
     scenario: &'static str,
-    /// The least attainment of grid drafts.
+    /// The lowest attainment of the class at index [`GRID_DRAFT`].
     grid: f64,
-    /// The least goodput, in parts of the upper bound's.
+    /// The lowest goodput, as a fraction of the ideal policy's.
     goodput: f64,
-    /// The most wasted work, in parts of all tokens.
+    /// The most wasted tokens, as a fraction of all tokens.
     wasted: f64,
 }
 
-/// The bounds, a little below what was measured; see `docs/MEASUREMENTS.md`.
+/// The bounds, slightly below the measured values; see `docs/MEASUREMENTS.md`.
 const BOUNDS: [Bound; 5] = [
     Bound {
         scenario: "steady 70%",
