--- a/crates/flaxtide-entry/src/duty/board.rs
+++ b/crates/flaxtide-entry/src/duty/shared.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use flaxtide_core::{DataCentreName, MilliClock, OrganisationName, WallClock};
-use flaxtide_fleet::{DutyExchange, FleetKey, UsageNews, UsageNotice, fleet_key};
+use flaxtide_fleet::{FleetKey, UnsentUsage, UsageExchange, UsageNotice, fleet_key};
 use flaxtide_policy::{
-    ScalingRules, ServerStock, UsageCounts, UsageLedger, UsageSource, UsageTally,
+    ScalingRules, ServerCounts, UsageCounts, UsageLedger, UsageSource, UsageTally,
     WindowNumber, WindowTotal, window_of,
 };
 
@@ -25,7 +25,7 @@
     /// How many requests a server works on at once.
     pub(crate) slots: u32,
     /// The servers that serve.
-    pub(crate) stocks: BTreeMap<DataCentreName, ServerStock>,
+    pub(crate) stocks: BTreeMap<DataCentreName, ServerCounts>,
 }
 
 /// What a holder has to know of the rules and the servers.
@@ -41,18 +41,18 @@
 
 /// What the threads share.
 #[derive(Debug)]
-pub(crate) struct DutyBoard {
+pub(crate) struct SharedDuties {
     /// The clock.
     clock: MilliClock,
     /// The length of a window.
     window: Duration,
     /// What changes.
-    state: Mutex<BoardState>,
+    state: Mutex<DutyState>,
 }
 
 /// What changes.
 #[derive(Debug)]
-struct BoardState {
+struct DutyState {
     /// The time of day.
     wall: WallClock,
     /// What this instance has counted.
@@ -78,13 +78,13 @@
     open: BTreeMap<FleetKey, (Duration, Vec<(FleetKey, u32)>)>,
 }
 
-impl DutyBoard {
+impl SharedDuties {
     /// Starts with nothing counted.
     pub(crate) fn new(window: Duration) -> Self {
         let clock = MilliClock::real();
         let mut wall = WallClock::new(clock.clone());
         wall.sample_system();
-        let state = Mutex::new(BoardState {
+        let state = Mutex::new(DutyState {
             wall,
             ledger: UsageLedger::default(),
             open: BTreeMap::new(),
@@ -219,16 +219,16 @@
     }
 
     /// Locks the state. A panic elsewhere doesn't spoil it.
-    fn lock(&self) -> MutexGuard<'_, BoardState> {
+    fn lock(&self) -> MutexGuard<'_, DutyState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl DutyExchange for DutyBoard {
-    fn news(&self, fence: u64) -> UsageNews {
+impl UsageExchange for SharedDuties {
+    fn unsent(&self, fence: u64) -> UnsentUsage {
         let state = self.lock();
-        let (windows, mark) = state.ledger.news(fence);
-        UsageNews {
+        let (windows, mark) = state.ledger.unconfirmed(fence);
+        UnsentUsage {
             told_until_ms: state.wall.now().as_millis() as u64,
             windows,
             open: state.open.iter().map(|(key, count)| (*key, *count)).collect(),
@@ -240,7 +240,7 @@
         self.lock().ledger.confirm(fence, mark);
     }
 
-    fn hear(&self, notice: UsageNotice) -> bool {
+    fn receive(&self, notice: UsageNotice) -> bool {
         let now = self.clock.now();
         let mut state = self.lock();
         let current = window_of(state.wall.now(), self.window);
@@ -251,7 +251,7 @@
         } else {
             heard.open.insert(name, (now, notice.open));
         }
-        heard.tally.hear(
+        heard.tally.record_report(
             UsageSource { name, epoch: notice.epoch },
             fleet_key(&notice.from.data_centre),
             Duration::from_millis(notice.told_until_ms),
--- a/crates/flaxtide-entry/src/duty/view.rs
+++ b/crates/flaxtide-entry/src/duty/view.rs
@@ -4,13 +4,13 @@
 
 use flaxtide_core::DataCentreName;
 use flaxtide_fleet::fleet_key;
-use flaxtide_policy::ServerStock;
+use flaxtide_policy::ServerCounts;
 
-use super::board::{DutyBoard, DutyView, ScaledService};
+use super::shared::{DutyView, ScaledService, SharedDuties};
 use crate::state::TrafficState;
 
 /// Shows the thread of the duties what a holder has to know, if this instance may be one.
-pub(crate) fn show_duties(state: &TrafficState, board: &DutyBoard) {
+pub(crate) fn update_duty_view(state: &TrafficState, board: &SharedDuties) {
     if !board.wants_view() {
         return;
     }
@@ -35,8 +35,8 @@
 fn stocks_of(
     state: &TrafficState,
     service: &str,
-) -> BTreeMap<DataCentreName, ServerStock> {
-    let mut stocks: BTreeMap<DataCentreName, ServerStock> = BTreeMap::new();
+) -> BTreeMap<DataCentreName, ServerCounts> {
+    let mut stocks: BTreeMap<DataCentreName, ServerCounts> = BTreeMap::new();
     for listed in state.directory.borrow().of_service(service) {
         let entry = &listed.entry;
         let stock = stocks.entry(entry.data_centre.clone()).or_default();
--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use flaxtide_core::{RequestId, ServerId};
-use flaxtide_policy::{RetryVerdict, RouteChoice, RouteFault};
+use flaxtide_policy::{RetryDecision, RouteChoice, RouteFault};
 
 use crate::contract::RequestHead;
 use crate::crash::server_has_ended;
 use crate::duty::CallUsage;
-use crate::exchange::{AnswerStart, CallerRequest, ServerTry, exchange};
-use crate::reply::{CallerAnswer, OwnReply};
+use crate::exchange::{CallerRequest, ResponseStart, ServerTry, exchange};
+use crate::reply::{CallerResponse, LocalReply};
 use crate::routes::ClassMatch;
 use crate::state::TrafficState;
 
@@ -55,13 +55,13 @@
 }
 
 /// What became of one try.
-pub(crate) enum TryEnd {
+pub(crate) enum AttemptOutcome {
     /// The answer has started.
-    Started(AnswerStart),
+    Started(ResponseStart),
     /// A server failed it.
     Fault(RouteFault),
     /// Its time is over.
-    TimeOver,
+    TimedOut,
     /// It isn't sent: servers end under it.
     Quarantined,
 }
@@ -99,7 +99,7 @@
     }
 
     /// Logs how the request ended, once.
-    pub(crate) fn end(&self, end: &'static str, status: u16) {
+    pub(crate) fn record_end(&self, end: &'static str, status: u16) {
         if self.ended.replace(true) {
             return;
         }
@@ -110,13 +110,13 @@
         log::info!(
             request = self.attempt, class = self.class.class().name, outcome = end,
             status, late = self.late_cause().unwrap_or_default(),
-            target_ms = self.class.class().target.as_millis() as u64, first_ms = first, pause_ms = self.longest_pause.get().as_millis() as u64, spent_ms = spent, may_have_run = self.may_have_run.get();
+            target_ms = self.class.class().latency_target.as_millis() as u64, first_ms = first, pause_ms = self.longest_pause.get().as_millis() as u64, spent_ms = spent, may_have_run = self.may_have_run.get();
             "end"
         );
     }
 
     /// Counts a whole answer that missed its target.
-    pub(crate) fn note_late(&self) {
+    pub(crate) fn record_missed_target(&self) {
         if let Some(cause) = self.late_cause() {
             self.state.metrics.late.with_label_values(&[cause]).inc();
         }
@@ -125,7 +125,7 @@
     /// Returns by what an answer missed its target: its first event, or a pause.
     fn late_cause(&self) -> Option<&'static str> {
         let class = self.class.class();
-        if self.first.get().is_some_and(|first| first > class.target) {
+        if self.first.get().is_some_and(|first| first > class.latency_target) {
             return Some("first");
         }
         let paused =
@@ -151,36 +151,36 @@
     }
 
     /// Returns how much time is left.
-    pub(crate) fn left(&self) -> Duration {
+    pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_sub(self.state.now())
     }
 
     /// Makes an answer of the instance's own, which ends the request.
     pub(crate) fn reply(
         &self,
-        reply: OwnReply,
+        reply: LocalReply,
         retry_after: Option<Duration>,
-    ) -> CallerAnswer {
+    ) -> CallerResponse {
         let answer = reply.answer(retry_after);
-        self.end(reply.name(), answer.status().as_u16());
+        self.record_end(reply.name(), answer.status().as_u16());
         answer
     }
 
     /// Answers a request that a server failed and that isn't tried again.
-    pub(crate) fn give_up(&self, fault: RouteFault) -> CallerAnswer {
+    pub(crate) fn give_up(&self, fault: RouteFault) -> CallerResponse {
         if self.may_have_run.get() {
             let reply = match fault {
-                RouteFault::Silent => OwnReply::TimedOut,
-                _ => OwnReply::ServerFailed,
+                RouteFault::Silent => LocalReply::TimedOut,
+                _ => LocalReply::ServerFailed,
             };
             return self.reply(reply, None);
         }
-        let retry_after = self.left() / RETRY_PART;
-        self.reply(OwnReply::NoServer, Some(retry_after.min(LATEST_RETRY)))
+        let retry_after = self.time_left() / RETRY_PART;
+        self.reply(LocalReply::NoServer, Some(retry_after.min(LATEST_RETRY)))
     }
 
     /// Answers a request under which servers end.
-    pub(crate) fn quarantine(&self, request: &CallerRequest) -> CallerAnswer {
+    pub(crate) fn quarantine(&self, request: &CallerRequest) -> CallerResponse {
         self.state.quarantine.renew(&self.state, request);
         log::info!(
             request = self.attempt, class = self.class.class().name,
@@ -188,17 +188,17 @@
             "quarantined"
         );
         if self.may_have_run.get() {
-            return self.reply(OwnReply::ServerFailed, None);
+            return self.reply(LocalReply::ServerFailed, None);
         }
-        self.reply(OwnReply::Quarantined, None)
+        self.reply(LocalReply::Quarantined, None)
     }
 
     /// Answers a request whose time is over.
-    pub(crate) fn time_over(&self) -> CallerAnswer {
+    pub(crate) fn time_over(&self) -> CallerResponse {
         if self.may_have_run.get() {
-            return self.reply(OwnReply::TimedOut, None);
+            return self.reply(LocalReply::TimedOut, None);
         }
-        self.reply(OwnReply::TooLate, Some(LATEST_RETRY))
+        self.reply(LocalReply::TooLate, Some(LATEST_RETRY))
     }
 
     /// Sends the request to a server and waits for the start of the answer, as long as the
@@ -207,16 +207,16 @@
         &self,
         request: &CallerRequest,
         choice: &RouteChoice,
-        patience: Option<Duration>,
+        silence_timeout: Option<Duration>,
         last_event: Option<u64>,
-    ) -> TryEnd {
-        let left = self.left();
+    ) -> AttemptOutcome {
+        let left = self.time_left();
         if left.is_zero() {
-            return TryEnd::TimeOver;
+            return AttemptOutcome::TimedOut;
         }
         // It may have been found to crash servers while it waited.
         if self.state.quarantine.holds(request) {
-            return TryEnd::Quarantined;
+            return AttemptOutcome::Quarantined;
         }
         self.server.set(Some(choice.server));
         self.sent.set(self.state.now());
@@ -236,20 +236,21 @@
         let sent = exchange(&self.state, request, attempt);
         let mut sent = std::pin::pin!(sent);
         loop {
-            let left = self.left();
-            let wait = patience.map_or(left, |patience| patience.min(left));
+            let left = self.time_left();
+            let wait =
+                silence_timeout.map_or(left, |silence_timeout| silence_timeout.min(left));
             let until = self.state.now() + wait;
             match self.state.wait_until(until, &mut sent).await {
-                Some(Ok(start)) => return TryEnd::Started(start),
-                Some(Err(fault)) => return TryEnd::Fault(fault),
-                None if wait < left && !self.left().is_zero() => {
+                Some(Ok(start)) => return AttemptOutcome::Started(start),
+                Some(Err(fault)) => return AttemptOutcome::Fault(fault),
+                None if wait < left && !self.time_left().is_zero() => {
                     if self.may_break_off(false) {
-                        return TryEnd::Fault(RouteFault::Silent);
+                        return AttemptOutcome::Fault(RouteFault::Silent);
                     }
                 }
                 None => {
                     self.may_have_run.set(true);
-                    return TryEnd::TimeOver;
+                    return AttemptOutcome::TimedOut;
                 }
             }
         }
@@ -258,7 +259,7 @@
     /// Tells whether the request may leave a server that is silent.
     pub(crate) fn may_break_off(&self, resumable: bool) -> bool {
         self.state
-            .ask(|core, now| core.may_break_off(self.request, resumable, now))
+            .with_router(|core, now| core.may_abort_silent(self.request, resumable, now))
     }
 
     /// Records it if the server of a request has ended under it.
@@ -266,7 +267,7 @@
         let (RouteFault::Broken, Some(server)) = (fault, self.server.get()) else {
             return;
         };
-        let progress = self.state.ask(|core, _| core.progress(self.request));
+        let progress = self.state.with_router(|core, _| core.progress(self.request));
         let Some(progress) = progress else { return };
         if server_has_ended(&self.state, server).await {
             self.state.quarantine.record(&self.state, request, server, progress);
@@ -274,12 +275,12 @@
     }
 
     /// Tells the router of a fault. Returns whether the request is tried again.
-    pub(crate) async fn fail(
+    pub(crate) async fn handle_fault(
         &self,
         request: &CallerRequest,
         fault: RouteFault,
         resumable: bool,
-    ) -> RetryVerdict {
+    ) -> RetryDecision {
         self.note_crash(request, fault).await;
         if !fault.not_run() {
             self.may_have_run.set(true);
@@ -288,11 +289,11 @@
         if let (RouteFault::Silent, Some(server)) = (fault, self.server.get()) {
             self.state.links.doubt(server);
         }
-        let mut verdict = RetryVerdict::End;
+        let mut verdict = RetryDecision::Stop;
         let quarantined = self.state.quarantine.holds(request);
-        self.state.decide(|core, now| {
+        self.state.run_router(|core, now| {
             if quarantined {
-                return core.abandon(self.request, fault, now);
+                return core.fail_without_retry(self.request, fault, now);
             }
             let (decided, actions) = core.fail(self.request, fault, resumable, now);
             verdict = decided;
@@ -302,8 +303,8 @@
         self.state.metrics.faults.with_label_values(&[&label]).inc();
         let server = self.server.get().and_then(|server| self.state.server_name(server));
         log::info!(
-            request = self.attempt, server = server.unwrap_or_default(), fault = label, again = verdict == RetryVerdict::Again,
-            left_ms = self.left().as_millis() as u64;
+            request = self.attempt, server = server.unwrap_or_default(), fault = label, again = verdict == RetryDecision::Retry,
+            left_ms = self.time_left().as_millis() as u64;
             "fault"
         );
         verdict
@@ -312,9 +313,9 @@
 
 impl Drop for OpenCall {
     fn drop(&mut self) {
-        self.end("caller_left", 0);
+        self.record_end("caller_left", 0);
         self.state.forget(self.request);
-        self.state.decide(|core, now| core.leave(self.request, now));
+        self.state.run_router(|core, now| core.cancel(self.request, now));
         self.state.open.set(self.state.open.get() - 1);
         self.state.metrics.open_calls.set(self.state.open.get() as i64);
     }
--- a/crates/flaxtide-policy/src/pushback/group.rs
+++ b/crates/flaxtide-policy/src/pushback/group.rs
@@ -10,7 +10,7 @@
 use std::cmp::Reverse;
 
 use super::statement::RequestRate;
-use crate::rendezvous::numbered_weight;
+use crate::rendezvous::rendezvous_weight;
 
 /// A key computed from the name of an entry instance.
 pub type InstanceKey = u32;
@@ -81,7 +81,7 @@
             // Instances in the server's data centre go first, as a network partition is
             // least likely to separate them from it.
             let far = member.data_centre != data_centre;
-            (far, Reverse(numbered_weight(name_hash, u64::from(member.instance))))
+            (far, Reverse(rendezvous_weight(name_hash, u64::from(member.instance))))
         };
         let own = order(&self.own);
         let preceding = self.members.iter().filter(|member| order(member) < own).count();
@@ -101,8 +101,9 @@
         if self.other_data_centres.contains(&data_centre) {
             return false;
         }
-        let weight = |candidate: DataCentreKey| {
-            (numbered_weight(name_hash, candidate.into()), candidate)
+        let weight =
+            |candidate: DataCentreKey| {
+            (rendezvous_weight(name_hash, candidate.into()), candidate)
         };
         let own = weight(self.own.data_centre);
         self.other_data_centres.iter().all(|other| weight(*other) < own)
--- a/crates/flaxtide-policy/src/router/mod.rs
+++ b/crates/flaxtide-policy/src/router/mod.rs
@@ -29,11 +29,11 @@
     CallProgress, PartKey, PromptPart, PromptShape, RouteCall, RouteFault,
 };
 pub use self::choose::{PartFetch, RouteChoice, RouteReason};
-pub use self::load::{LEVELS, LevelTokens, PeerKey, PeerLoad, ServerLoad};
+pub use self::load::{LevelTokens, PeerKey, PeerLoad, ServerLoad, URGENCY_LEVELS};
 pub use self::options::RouteOptions;
-pub use self::pushback::{PushbackCount, StatementNote};
-pub use self::read::ReadNote;
-pub use self::retry::RetryVerdict;
+pub use self::pushback::{PushbackCount, StatementChange};
+pub use self::read::PrefillRecord;
+pub use self::retry::RetryDecision;
 pub use self::server::{EngineShape, RoutedServer};
 
 use self::budget::RetryWindow;
@@ -48,7 +48,7 @@
 
 /// A request that waits for a server is refused after this part of its target: the rest is
 /// left for its caller's next try.
-pub const WAIT_PART: u32 = 2;
+pub const QUEUE_WAIT_DIVISOR: u32 = 2;
 
 /// Something to be done about a request.
 #[derive(Debug, Clone, PartialEq)]
@@ -61,7 +61,7 @@
         choice: RouteChoice,
         /// How long the server may be silent before the request goes elsewhere; without
         /// it, the request stays.
-        patience: Option<Duration>,
+        silence_timeout: Option<Duration>,
     },
     /// Refuse it: it hasn't run.
     Refuse {
@@ -78,13 +78,13 @@
 
 /// What the router has come to believe of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ServerNote {
+pub struct HealthChange {
     /// The server.
     pub server: ServerId,
     /// Whether it gets work.
-    pub well: bool,
+    pub healthy: bool,
     /// The decayed part of its requests that failed.
-    pub failures: f64,
+    pub failure_rate: f64,
     /// How long ago anything came from it.
     pub heard_ago: Duration,
 }
@@ -206,7 +206,7 @@
     }
 
     /// Takes in what a peer has at servers: all of it.
-    pub fn hear_peer(&mut self, peer: PeerKey, loads: &[PeerLoad], now: Duration) {
+    pub fn set_peer_loads(&mut self, peer: PeerKey, loads: &[PeerLoad], now: Duration) {
         for pool in self.pools.values_mut() {
             for (id, server) in &mut pool.servers {
                 let load = loads.iter().find(|load| load.server == *id);
@@ -216,7 +216,7 @@
     }
 
     /// Takes in what a peer saw servers read.
-    pub fn hear_reads(&mut self, reads: &[(ServerId, PartKey)], now: Duration) {
+    pub fn record_peer_prefills(&mut self, reads: &[(ServerId, PartKey)], now: Duration) {
         for (server, part) in reads {
             if let Some(server) = find_server(&mut self.pools, *server) {
                 server.hear_read(*part, now);
@@ -225,12 +225,12 @@
     }
 
     /// Returns the shared parts that servers have read lately for this instance.
-    pub fn own_reads(&mut self, now: Duration) -> Vec<ReadNote> {
+    pub fn recent_prefills(&mut self, now: Duration) -> Vec<PrefillRecord> {
         self.reads.recent(&self.options, now)
     }
 
     /// Takes in that a peer has found servers silent.
-    pub fn hear_rumours(&mut self, servers: &[ServerId], now: Duration) {
+    pub fn record_silence_reports(&mut self, servers: &[ServerId], now: Duration) {
         for pool in self.pools.values_mut() {
             for server in servers {
                 if let Some(server) = pool.servers.get_mut(server) {
@@ -291,7 +291,7 @@
     }
 
     /// Takes in that anything came from the server of a request.
-    pub fn heard(&mut self, request: RequestId, now: Duration) {
+    pub fn record_response_data(&mut self, request: RequestId, now: Duration) {
         let Some(call) = self.calls.get_mut(&request) else { return };
         let CallPlace::Running { server, since, .. } = call.place else { return };
         let first = call.hear(now);
@@ -341,7 +341,7 @@
 
     /// Takes in that a request ended without an answer of use to the router: its caller
     /// has gone, or its time is over.
-    pub fn leave(&mut self, request: RequestId, now: Duration) -> Vec<RouteAction> {
+    pub fn cancel(&mut self, request: RequestId, now: Duration) -> Vec<RouteAction> {
         let Some(call) = self.calls.remove(&request) else { return vec![] };
         self.free(&call, now);
         self.take_actions()
@@ -358,7 +358,7 @@
     }
 
     /// Returns of which servers it believes something else than at the last review.
-    pub fn review(&mut self, now: Duration) -> Vec<ServerNote> {
+    pub fn health_changes(&mut self, now: Duration) -> Vec<HealthChange> {
         let mut notes = vec![];
         for pool in self.pools.keys().copied().collect::<Vec<PoolId>>() {
             let staying = self.staying(pool);
@@ -372,10 +372,10 @@
                     continue;
                 }
                 server.believed_well = is_well;
-                notes.push(ServerNote {
+                notes.push(HealthChange {
                     server: *id,
-                    well: is_well,
-                    failures: server.health.failures(),
+                    healthy: is_well,
+                    failure_rate: server.health.failures(),
                     heard_ago: now.saturating_sub(server.health.heard()),
                 });
             }
@@ -385,7 +385,7 @@
 
     /// Tells whether any request waits for a server.
     #[must_use]
-    pub fn waits(&self) -> bool {
+    pub fn has_waiting_requests(&self) -> bool {
         self.pools
             .values()
             .any(|pool| pool.queue.len() > 0 || !pool.retries.is_empty())
@@ -432,7 +432,7 @@
         call.ahead = choice.ahead;
         let movable = call.call.repeatable && call.runs + 1 < call.call.run_limit;
         let expected = choice.expected;
-        let patience = movable.then(|| {
+        let silence_timeout = movable.then(|| {
             let usual = expected.mul_f64(self.options.patience_factor);
             usual.max(self.options.shortest_patience)
         });
@@ -444,7 +444,8 @@
             let long = call.call.prompt.is_long(&self.options);
             server.load.start(request, long, &self.calls, now);
         }
-        self.actions.push(RouteAction::Dispatch { request, choice, patience });
+        self.actions
+            .push(RouteAction::Dispatch { request, choice, silence_timeout });
     }
 
     /// Returns what has been decided.
--- a/crates/flaxtide-policy/tests/pushback.rs
+++ b/crates/flaxtide-policy/tests/pushback.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use flaxtide_policy::{
-    GroupMember, InstanceGroup, RefusalCause, RequestRate, RetryVerdict, RouteAction,
+    GroupMember, InstanceGroup, RefusalCause, RequestRate, RetryDecision, RouteAction,
     RouteCall, RouteCore, RouteFault, RouteOptions, ServerStatement, StatedRate,
 };
 
@@ -59,7 +59,7 @@
     for request in first..first + count {
         let arrival = RouteCall { give_up: now + ms(1), ..call(request, 100, true) };
         let actions = core.arrive(arrival, now);
-        if server_of(&actions).is_some() && core.passes_gate(request, now) {
+        if server_of(&actions).is_some() && core.permit_send(request, now) {
             sent += 1;
             core.finish(request, now);
         }
@@ -75,11 +75,11 @@
     for change in ["backoff", "rate", "leaving", "unlisted"] {
         let mut core = core_alone(1);
         let server = server_of(&core.arrive(call(1, 100, true), ms(0))).unwrap();
-        assert!(core.passes_gate(1, ms(0)));
+        assert!(core.permit_send(1, ms(0)));
         let now = ms(5);
         match change {
-            "backoff" => _ = core.hear_statement(server, backoff(1000), ms(1), now),
-            "rate" => _ = core.hear_statement(server, limited(0.5), ms(1), now),
+            "backoff" => _ = core.record_statement(server, backoff(1000), ms(1), now),
+            "rate" => _ = core.record_statement(server, limited(0.5), ms(1), now),
             "leaving" => {
                 let mut left = engine(server);
                 left.leaving = true;
@@ -87,11 +87,11 @@
             }
             _ => _ = core.set_servers(POOL, &[], now),
         }
-        assert!(!core.passes_gate(1, now), "{change}");
+        assert!(!core.permit_send(1, now), "{change}");
         // The request goes to another server, which isn't charged to the retry budget.
         core.set_servers(POOL, &[engine(server), engine(server + 1)], now);
         let (verdict, actions) = core.fail(1, RouteFault::Withheld, false, now);
-        assert_eq!(verdict, RetryVerdict::Again, "{change}");
+        assert_eq!(verdict, RetryDecision::Retry, "{change}");
         assert_eq!(server_of(&actions), Some(server + 1), "{change}");
     }
 }
@@ -99,12 +99,12 @@
 #[test]
 fn a_request_takes_one_token_of_a_rate() {
     let mut core = core_alone(1);
-    core.hear_statement(0, limited(1.0), ms(0), ms(1));
+    core.record_statement(0, limited(1.0), ms(0), ms(1));
     let now = ms(1001);
     assert!(server_of(&core.arrive(call(1, 100, true), now)).is_some());
     // A request is written again if its kept connection turns out to be closed.
-    assert!(core.passes_gate(1, now));
-    assert!(core.passes_gate(1, now));
+    assert!(core.permit_send(1, now));
+    assert!(core.permit_send(1, now));
     assert_eq!(count_sent(&mut core, 2, 5, now), 0);
     assert_eq!(count_sent(&mut core, 10, 5, now + ms(1000)), 1);
 }
@@ -112,7 +112,7 @@
 #[test]
 fn tokens_saved_while_idle_allow_no_burst() {
     let mut core = core_alone(1);
-    core.hear_statement(0, limited(2.0), ms(0), ms(1));
+    core.record_statement(0, limited(2.0), ms(0), ms(1));
     assert_eq!(count_sent(&mut core, 1, 20, ms(60_000)), 1);
 }
 
@@ -130,8 +130,8 @@
     ];
     for (statement, sent, expected) in cases {
         let mut core = core_alone(1);
-        core.hear_statement(0, limited(1.0), ms(50), ms(100));
-        core.hear_statement(0, statement, sent, ms(150));
+        core.record_statement(0, limited(1.0), ms(50), ms(100));
+        core.record_statement(0, statement, sent, ms(150));
         let (rate, _) = core.stated_rate(0).unwrap();
         assert_eq!(rate.map(RequestRate::per_second), expected, "{statement:?}");
     }
@@ -140,10 +140,10 @@
 #[test]
 fn an_unreadable_or_missing_rate_changes_nothing() {
     let mut core = core_alone(1);
-    core.hear_statement(0, limited(1.0), ms(50), ms(100));
+    core.record_statement(0, limited(1.0), ms(50), ms(100));
     for rate in [StatedRate::Unreadable, StatedRate::Unstated] {
         let unread = ServerStatement { rate, ..no_statement() };
-        assert_eq!(core.hear_statement(0, unread, ms(110), ms(150)), None);
+        assert_eq!(core.record_statement(0, unread, ms(110), ms(150)), None);
         assert!(core.stated_rate(0).unwrap().0.is_some());
     }
 }
@@ -151,8 +151,8 @@
 #[test]
 fn a_statement_outlives_a_gap_in_the_server_list() {
     let mut core = core_alone(2);
-    core.hear_statement(0, limited(1.0), ms(0), ms(1));
-    core.hear_statement(1, backoff(30_000), ms(0), ms(1));
+    core.record_statement(0, limited(1.0), ms(0), ms(1));
+    core.record_statement(1, backoff(30_000), ms(0), ms(1));
     core.set_servers(POOL, &[], ms(10));
     core.set_servers(POOL, &[engine(0), engine(1)], ms(20));
     core.set_group(alone(), ms(20));
@@ -163,12 +163,12 @@
 fn no_response_shortens_a_backoff() {
     let mut core = core_alone(1);
     core.arrive(call(1, 100, true), ms(0));
-    core.hear_statement(0, backoff(2000), ms(0), ms(10));
+    core.record_statement(0, backoff(2000), ms(0), ms(10));
     // A response in flight ends without a fault, and another one asks for a shorter
     // backoff.
-    core.hear_statement(0, no_statement(), ms(5), ms(20));
+    core.record_statement(0, no_statement(), ms(5), ms(20));
     core.finish(1, ms(20));
-    core.hear_statement(0, backoff(100), ms(15), ms(30));
+    core.record_statement(0, backoff(100), ms(15), ms(30));
     assert_eq!(count_sent(&mut core, 2, 5, ms(2005)), 0);
     assert_eq!(count_sent(&mut core, 10, 5, ms(2010)), 5);
 }
@@ -177,7 +177,7 @@
 fn a_backoff_is_capped() {
     let longest = RouteOptions::default().longest_rest;
     let mut core = core_alone(1);
-    core.hear_statement(0, backoff(1000 * 60 * 60 * 24 * 365), ms(0), ms(0));
+    core.record_statement(0, backoff(1000 * 60 * 60 * 24 * 365), ms(0), ms(0));
     assert_eq!(count_sent(&mut core, 1, 5, longest - ms(1)), 0);
     assert_eq!(count_sent(&mut core, 10, 5, longest), 5);
 }
@@ -185,8 +185,8 @@
 #[test]
 fn while_all_servers_back_off_callers_are_refused_at_once_with_the_earliest_end() {
     let mut core = core_alone(2);
-    core.hear_statement(0, backoff(3000), ms(0), ms(0));
-    core.hear_statement(1, backoff(2000), ms(0), ms(0));
+    core.record_statement(0, backoff(3000), ms(0), ms(0));
+    core.record_statement(1, backoff(2000), ms(0), ms(0));
     let arrival = RouteCall { give_up: ms(250), ..call(1, 100, true) };
     let actions = core.arrive(arrival, ms(0));
     let [RouteAction::Refuse { reason, retry_after, .. }] = &actions[..] else {
@@ -204,13 +204,13 @@
 fn a_request_refused_by_one_server_is_not_retried_at_others_that_back_off() {
     let mut core = core_alone(3);
     for server in 0..3 {
-        core.hear_statement(server, backoff(500_000), ms(0), ms(0));
+        core.record_statement(server, backoff(500_000), ms(0), ms(0));
     }
     core.set_servers(POOL, &[engine(0), engine(1), engine(2), engine(3)], ms(1));
     let arrival = RouteCall { deadline: ms(1000), ..call(1, 100, true) };
     assert_eq!(server_of(&core.arrive(arrival, ms(1))), Some(3));
     let (verdict, _) = core.fail(1, RouteFault::Full, false, ms(2));
-    assert_eq!(verdict, RetryVerdict::End);
+    assert_eq!(verdict, RetryDecision::Stop);
 }
 
 /// An instance that was frozen sees no live peers for a moment and would take the whole
@@ -228,7 +228,7 @@
     };
     let mut core = core_with(1);
     core.set_group(group(2), ms(0));
-    core.hear_statement(0, limited(100.0), ms(0), ms(0));
+    core.record_statement(0, limited(100.0), ms(0), ms(0));
     let sent_in_a_second = |core: &mut RouteCore, members, from: u64| -> usize {
         let steps = (0..100u64).map(|step| {
             let now = ms(from + step * 10);
