--- a/crates/flaxtide-policy/src/core/admit.rs
+++ b/crates/flaxtide-policy/src/core/admit.rs
@@ -84,10 +84,10 @@
         give_up: Duration,
         now: Duration,
     ) -> Result<(), (FailureReason, Duration)> {
-        let soonest = now + give_up;
+        let give_up_at = now + give_up;
         if self
             .non_leaving_servers(pool)
-            .any(|server| server.in_service(soonest))
+            .any(|server| server.in_service(give_up_at))
         {
             return Ok(());
         }
@@ -238,8 +238,8 @@
     /// Converts the expected wait into the `retry_after` of a refusal, with jitter and
     /// bounds.
     pub(super) fn retry_after(&mut self, seconds: f64) -> Duration {
-        let spread = 1.0 + RETRY_JITTER * self.random.random::<f64>();
-        let delay = Duration::from_secs_f64((seconds * spread).clamp(0.0, 3600.0));
+        let jitter = 1.0 + RETRY_JITTER * self.random.random::<f64>();
+        let delay = Duration::from_secs_f64((seconds * jitter).clamp(0.0, 3600.0));
         let delay = delay.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         Duration::from_millis(delay.as_millis() as u64)
     }
--- a/crates/flaxtide-policy/src/pushback/bucket.rs
+++ b/crates/flaxtide-policy/src/pushback/bucket.rs
@@ -36,8 +36,8 @@
         self.tokens(now) >= 1.0
     }
 
-    /// Returns when the next request may be sent; `None` if the rate is zero or too low
-    /// to tell.
+    /// Returns when the next request may be sent; `None` if the rate is zero or so low
+    /// that the time can't be represented.
     pub(crate) fn ready_at(&self, now: Duration) -> Option<Duration> {
         let missing = (1.0 - self.tokens(now)).max(0.0);
         if missing == 0.0 {
--- a/crates/flaxtide-policy/src/pushback/group.rs
+++ b/crates/flaxtide-policy/src/pushback/group.rs
@@ -47,8 +47,8 @@
 ///     other_data_centres: vec![],
 /// };
 /// let rate = RequestRate::from_per_second(2.2).unwrap();
-/// let parts = (0..9).map(|own| group(own).rate_share(7, 1, rate));
-/// assert!((parts.sum::<f64>() - 2.2).abs() < 1e-6);
+/// let shares = (0..9).map(|own| group(own).rate_share(7, 1, rate));
+/// assert!((shares.sum::<f64>() - 2.2).abs() < 1e-6);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InstanceGroup {
@@ -80,8 +80,8 @@
         let order = |member: &GroupMember| {
             // Instances in the server's data centre go first, as a network partition is
             // least likely to separate them from it.
-            let far = member.data_centre != data_centre;
-            (far, Reverse(rendezvous_weight(name_hash, u64::from(member.instance))))
+            let remote = member.data_centre != data_centre;
+            (remote, Reverse(rendezvous_weight(name_hash, u64::from(member.instance))))
         };
         let own = order(&self.own);
         let preceding = self.members.iter().filter(|member| order(member) < own).count();
@@ -101,8 +101,7 @@
         if self.other_data_centres.contains(&data_centre) {
             return false;
         }
-        let weight =
-            |candidate: DataCentreKey| {
+        let weight = |candidate: DataCentreKey| {
             (rendezvous_weight(name_hash, candidate.into()), candidate)
         };
         let own = weight(self.own.data_centre);
--- a/crates/flaxtide-policy/src/pushback/limit.rs
+++ b/crates/flaxtide-policy/src/pushback/limit.rs
@@ -12,7 +12,7 @@
 
 /// This instance's share of the rate that a server states for all instances.
 #[derive(Debug, Clone)]
-pub(crate) struct ServerRateLimit {
+pub(crate) struct RateLimit {
     /// The rate for all instances together.
     pub(crate) rate: RequestRate,
     /// The share that is used now, in requests a second.
@@ -23,7 +23,7 @@
     bucket: TokenBucket,
 }
 
-impl ServerRateLimit {
+impl RateLimit {
     /// Creates a limit with an empty bucket.
     pub(crate) fn new(rate: RequestRate, share: f64, now: Duration) -> Self {
         Self {
@@ -74,8 +74,8 @@
         self.bucket.is_ready(now)
     }
 
-    /// Returns when the next request may be sent; `None` if the share is zero or too low
-    /// to tell.
+    /// Returns when the next request may be sent; `None` if the share is zero or so low
+    /// that the time can't be represented.
     pub(crate) fn ready_at(&self, now: Duration) -> Option<Duration> {
         self.bucket.ready_at(now)
     }
--- a/crates/flaxtide-policy/src/pushback/report.rs
+++ b/crates/flaxtide-policy/src/pushback/report.rs
@@ -83,7 +83,7 @@
     pub fn apply(&mut self, report: &PushbackReport, now: Duration) -> ReportEffect {
         let PushbackReport { rate, leaving, .. } = *report;
         let heard = report.heard_at(now);
-        let Some(last) = self.statements.get_mut(&report.server) else {
+        let Some(statement) = self.statements.get_mut(&report.server) else {
             self.evict_if_full(now);
             self.statements.insert(
                 report.server,
@@ -92,16 +92,16 @@
             return ReportEffect::Changed;
         };
         // A server that is leaving stays so, whichever report is newer.
-        let starts_leaving = leaving && !last.leaving;
-        if starts_leaving || heard > last.heard_at {
-            last.updated_at = now;
+        let starts_leaving = leaving && !statement.leaving;
+        if starts_leaving || heard > statement.heard_at {
+            statement.updated_at = now;
         }
-        last.leaving |= leaving;
-        let outdated = rate != last.rate && heard <= last.heard_at;
-        let changes = rate != last.rate && !outdated;
+        statement.leaving |= leaving;
+        let outdated = rate != statement.rate && heard <= statement.heard_at;
+        let changes = rate != statement.rate && !outdated;
         if !outdated {
-            last.rate = rate;
-            last.heard_at = heard.max(last.heard_at);
+            statement.rate = rate;
+            statement.heard_at = heard.max(statement.heard_at);
         }
         match (starts_leaving || changes, outdated) {
             (true, _) => ReportEffect::Changed,
@@ -117,23 +117,22 @@
         server: IncarnationKey,
         now: Duration,
     ) -> Option<PushbackReport> {
-        let last = self.statements.get(&server)?;
-        let age = now.saturating_sub(last.heard_at).as_millis();
+        let statement = self.statements.get(&server)?;
+        let age = now.saturating_sub(statement.heard_at).as_millis();
         let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
-        let LastStatement { rate, leaving, .. } = *last;
+        let LastStatement { rate, leaving, .. } = *statement;
         Some(PushbackReport { server, rate, age_ms, leaving })
     }
 
     /// Returns reports of servers that state a rate or are leaving, at most `max`.
-    /// Statements without a newer report within [`RETENTION`] are left out.
+    /// Statements without a newer report within two minutes are left out.
     #[must_use]
     pub fn reports(&self, max: usize, now: Duration) -> Vec<PushbackReport> {
-        let recent = |last: &LastStatement| now < last.updated_at + RETENTION;
-        let said = self
-            .statements
-            .iter()
-            .filter(|(_, last)| (last.rate.is_some() || last.leaving) && recent(last));
-        let reports = said.filter_map(|(server, _)| self.report_of(*server, now));
+        let recent = |statement: &LastStatement| now < statement.updated_at + RETENTION;
+        let relevant = self.statements.iter().filter(|(_, statement)| {
+            (statement.rate.is_some() || statement.leaving) && recent(statement)
+        });
+        let reports = relevant.filter_map(|(server, _)| self.report_of(*server, now));
         reports.take(max).collect()
     }
 
@@ -143,8 +142,12 @@
         if self.statements.len() < MAX_SERVERS {
             return;
         }
-        self.statements.retain(|_, last| now < last.updated_at + RETENTION);
-        let oldest = self.statements.iter().min_by_key(|(_, last)| last.updated_at);
+        self.statements
+            .retain(|_, statement| now < statement.updated_at + RETENTION);
+        let oldest = self
+            .statements
+            .iter()
+            .min_by_key(|(_, statement)| statement.updated_at);
         let oldest = oldest.map(|(server, _)| *server);
         if let Some(server) = oldest.filter(|_| self.statements.len() >= MAX_SERVERS) {
             self.statements.remove(&server);
--- a/crates/flaxtide-policy/src/pushback/server.rs
+++ b/crates/flaxtide-policy/src/pushback/server.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use super::limit::ServerRateLimit;
+use super::limit::RateLimit;
 use super::report::ReportEffect;
 use super::statement::{RequestRate, StatedRate};
 
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct ServerPushback {
     /// The limit from the rate that the server states; `None` if it states none.
-    limit: Option<ServerRateLimit>,
+    limit: Option<RateLimit>,
     /// When any instance last heard the rate, or its absence, from the server.
     rate_heard_at: Duration,
     /// Until when the server has asked this instance not to send requests.
@@ -26,7 +26,7 @@
 
     /// Returns this instance's share of the rate, in requests a second.
     pub(crate) fn share(&self) -> Option<f64> {
-        self.limit.as_ref().map(ServerRateLimit::share)
+        self.limit.as_ref().map(RateLimit::share)
     }
 
     /// Applies the rate stated in the response to a request that was sent at `sent`.
@@ -90,9 +90,7 @@
         match (&mut self.limit, rate) {
             (limit, None) => *limit = None,
             (Some(limit), Some(rate)) => limit.set(rate, share(rate), now),
-            (limit, Some(rate)) => {
-                *limit = Some(ServerRateLimit::new(rate, share(rate), now))
-            }
+            (limit, Some(rate)) => *limit = Some(RateLimit::new(rate, share(rate), now)),
         }
         true
     }
@@ -125,7 +123,7 @@
         }
     }
 
-    /// Returns whether the server has asked for no requests now.
+    /// Returns whether the backoff that the server asked for is still in force.
     pub(crate) fn is_backing_off(&self, now: Duration) -> bool {
         now < self.backoff_until
     }
@@ -137,7 +135,7 @@
     }
 
     /// Returns when the next request may be sent; `None` if the share of the rate is zero
-    /// or too low to tell.
+    /// or so low that the time can't be represented.
     pub(crate) fn ready_at(&self, now: Duration) -> Option<Duration> {
         let ready = self.limit.as_ref().map_or(Some(now), |limit| limit.ready_at(now))?;
         Some(ready.max(self.backoff_until))
--- a/crates/flaxtide-policy/src/quarantine/log.rs
+++ b/crates/flaxtide-policy/src/quarantine/log.rs
@@ -103,7 +103,7 @@
     }
 
     /// Records that a quarantined request has arrived again. Returns the reports for
-    /// peers, if the request was last seen more than [`RENEWAL_PERIOD`] ago.
+    /// peers, if the request was last seen more than a minute ago.
     pub fn renew(&mut self, fingerprint: Fingerprint, now: Duration) -> Vec<CrashReport> {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return vec![] };
         if now < suspect.last_seen() + RENEWAL_PERIOD {
@@ -200,7 +200,7 @@
         })
     }
 
-    /// Drops requests that were last seen more than [`RETENTION`] ago.
+    /// Drops requests that were last seen more than ten minutes ago.
     pub fn expire(&mut self, now: Duration) {
         let old = self
             .suspects
