--- a/crates/flaxtide-policy/src/action.rs
+++ b/crates/flaxtide-policy/src/action.rs
@@ -58,11 +58,13 @@
     pub server: ServerId,
     /// The rule by which it was chosen.
     pub rule: ChoiceRule,
-    /// The estimated load of the server, in requests per slot.
+    /// The load of the server with this request, in requests per slot, multiplied by how
+    /// slow the server is compared with its pool.
     pub load: f64,
-    /// The second-best server that was compared, and its load.
+    /// The second-best server that was compared, and its load in the same unit.
     pub runner_up: Option<(ServerId, f64)>,
-    /// How many servers had a free slot.
+    /// How many servers could be chosen: with a free slot, and without an earlier failure
+    /// of the request.
     pub eligible: usize,
 }
 
@@ -73,6 +75,6 @@
     Affinity,
     /// It has the lowest load of a few servers drawn at random.
     Sampled,
-    /// It is the only server with a free slot.
+    /// It is the only server that could be chosen.
     Only,
 }
--- a/crates/flaxtide-policy/src/choice.rs
+++ b/crates/flaxtide-policy/src/choice.rs
@@ -23,7 +23,7 @@
     pub(crate) now: Duration,
 }
 
-/// The servers of one pool, with statistics that are updated now and then.
+/// The servers of one pool, with statistics that `PoolState::refresh` updates.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ServerPool {
     /// The servers of the pool.
@@ -106,8 +106,8 @@
     })
 }
 
-/// Returns the load of a server, multiplied by how slow it is compared with the median of
-/// its pool.
+/// Returns the load of a server with one more request, in requests per slot, multiplied
+/// by how slow the server is compared with the median of its pool.
 fn server_cost(
     server: &BackendServer,
     pool: &ServerPool,
--- a/crates/flaxtide-policy/src/claim.rs
+++ b/crates/flaxtide-policy/src/claim.rs
@@ -12,7 +12,7 @@
 use flaxtide_core::AttemptId;
 use serde::{Deserialize, Serialize};
 
-/// The number of further writes and reads after the first write before an attempt gives
+/// The most writes and reads that follow the first write of an attempt before it gives
 /// up.
 const RETRY_LIMIT: u8 = 3;
 
@@ -101,7 +101,7 @@
     attempt: AttemptId,
     /// The hash of the request's body.
     body_hash: u64,
-    /// The current state.
+    /// What the attempt does next, or how it ended.
     state: AttemptState,
     /// How many further writes and reads are allowed.
     retries_left: u8,
@@ -122,7 +122,7 @@
     Ended(EndReason),
 }
 
-/// Why an attempt ended.
+/// Why an attempt ended; [`ClaimStep`] says what follows.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum EndReason {
     /// The claim failed, and the attempt's row may be in the table or get there.
@@ -210,13 +210,15 @@
     }
 
     /// Gives up before the request is sent, because its deadline has passed or the
-    /// instance stops. Has no effect on an attempt that has ended.
+    /// instance stops. Ends in [`ClaimStep::Abandon`] if the row may be in the table, or
+    /// else in [`ClaimStep::Refuse`]. Has no effect on an attempt that has ended.
     pub fn abandon(&mut self) {
         if matches!(self.state, AttemptState::Ended(_)) {
             return;
         }
-        let open = self.write_pending || matches!(self.state, AttemptState::Held(_));
-        let reason = if open { EndReason::Abandoned } else { EndReason::Refused };
+        let may_hold_row =
+            self.write_pending || matches!(self.state, AttemptState::Held(_));
+        let reason = if may_hold_row { EndReason::Abandoned } else { EndReason::Refused };
         self.state = AttemptState::Ended(reason);
     }
 
@@ -299,7 +301,7 @@
             TableReply::Written { .. } => self.settled = true,
             TableReply::Found(Some((row, version))) => {
                 let own = row.attempt == self.row.attempt;
-                let open = match row.phase {
+                let needs_write = match row.phase {
                     RowPhase::Held => own,
                     // A write of this attempt may be in flight that expects the released
                     // row of another attempt. It fails only if the row gets a new
@@ -308,7 +310,7 @@
                     RowPhase::Done { .. } => false,
                 };
                 self.expected = Some(*version);
-                self.settled = !open;
+                self.settled = !needs_write;
             }
             TableReply::Found(None) => {
                 // If the outcome finds no row, the platform has expired it, and nothing
--- a/crates/flaxtide-policy/src/core/admit.rs
+++ b/crates/flaxtide-policy/src/core/admit.rs
@@ -91,6 +91,7 @@
         {
             return Ok(());
         }
+        // Without a server there is no wait to predict, so the delay is fixed.
         Err((FailureReason::NoServer, Duration::from_secs(1)))
     }
 
@@ -239,6 +240,7 @@
     /// bounds.
     pub(super) fn retry_after(&mut self, seconds: f64) -> Duration {
         let jitter = 1.0 + RETRY_JITTER * self.random.random::<f64>();
+        // `from_secs_f64` panics on a negative or very large value.
         let delay = Duration::from_secs_f64((seconds * jitter).clamp(0.0, 3600.0));
         let delay = delay.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         Duration::from_millis(delay.as_millis() as u64)
--- a/crates/flaxtide-policy/src/core/dispatch.rs
+++ b/crates/flaxtide-policy/src/core/dispatch.rs
@@ -55,7 +55,7 @@
     /// that it takes only a small part of the capacity.
     fn dispatch_starved(&mut self, pool: PoolId, now: Duration) -> bool {
         let Some(state) = self.pools.get(&pool) else { return false };
-        if state.turns_since_starved < self.options.starvation_turns {
+        if state.dispatches_since_starved < self.options.starvation_turns {
             return false;
         }
         let bound = |class| {
@@ -67,17 +67,17 @@
             return false;
         }
         if let Some(state) = self.pools.get_mut(&pool) {
-            state.turns_since_starved = 0;
+            state.dispatches_since_starved = 0;
         }
         true
     }
 
-    /// Dispatches the next request in queue order, or refuses it if it would miss its
-    /// deadline.
+    /// Dispatches the next request in queue order, or refuses it if it would expire
+    /// before its first token.
     fn dispatch_next(&mut self, pool: PoolId, now: Duration) -> bool {
         let Some(state) = self.pools.get(&pool) else { return false };
         let Some(head) = state.queue.next() else { return false };
-        if self.would_miss_deadline(pool, &head, now) {
+        if self.would_expire(pool, &head, now) {
             self.remove_waiting(head.entry.request);
             self.refuse_expired(head.entry.request, pool);
             return true;
@@ -99,7 +99,8 @@
         let weight = organisation.map_or(1, |rule| rule.priority);
         if let Some(state) = self.pools.get_mut(&pool) {
             state.queue.pop(head, weight, now);
-            state.turns_since_starved = state.turns_since_starved.saturating_add(1);
+            state.dispatches_since_starved =
+                state.dispatches_since_starved.saturating_add(1);
         }
         self.dispatch(request, choice, tier, now);
         true
@@ -107,7 +108,7 @@
 
     /// Returns whether a request that has waited would get its first token only after its
     /// expiry.
-    fn would_miss_deadline(&self, pool: PoolId, head: &QueueHead, now: Duration) -> bool {
+    fn would_expire(&self, pool: PoolId, head: &QueueHead, now: Duration) -> bool {
         if now == head.entry.arrived {
             return false;
         }
--- a/crates/flaxtide-policy/src/core/mod.rs
+++ b/crates/flaxtide-policy/src/core/mod.rs
@@ -40,7 +40,7 @@
 pub struct DecisionCore {
     /// The tunable options.
     options: PolicyOptions,
-    /// The settings in force.
+    /// The rules in force.
     rules: RuleSet,
     /// The backend servers of the data centre.
     servers: ServerTable,
@@ -53,7 +53,7 @@
     /// The token buckets of organisations that have a rate limit.
     rate_limits: HashMap<OrganisationId, OrganisationLimit>,
     /// The arrivals of each rate-limited organisation since
-    /// [`take_usage`](Self::take_usage) was last called.
+    /// [`take_arrival_counts`](Self::take_arrival_counts) was last called.
     arrival_counts: BTreeMap<OrganisationId, u32>,
     /// Estimates of response lengths and service times.
     estimates: WorkEstimates,
@@ -76,12 +76,13 @@
     pub waiting: BTreeMap<TierRank, usize>,
     /// This instance's requests at servers, by tier.
     pub running: BTreeMap<TierRank, u32>,
-    /// This instance's share of the pool's slots.
+    /// The slots that this instance can use now, at the servers of the pool that are in
+    /// service and not on probation.
     pub capacity: u32,
 }
 
 impl DecisionCore {
-    /// Creates a core without settings. Cores with equal seeds decide alike.
+    /// Creates a core without rules. Cores with equal seeds decide alike.
     #[must_use]
     pub fn new(options: PolicyOptions, seed: u64) -> Self {
         let retry_budget = RetryBudget::new(options.retry_ratio, options.retry_burst);
@@ -187,7 +188,7 @@
         self.calls.len()
     }
 
-    /// Puts new settings in force. Open requests keep the tier and expiry that they were
+    /// Puts new rules in force. Open requests keep the tier and expiry that they were
     /// admitted with.
     fn set_rules(&mut self, rules: RuleSet, now: Duration) {
         self.servers.set_rules(&rules.servers);
@@ -209,7 +210,7 @@
 
     /// Returns how many requests of each rate-limited organisation arrived since the last
     /// call, refused ones included.
-    pub fn take_usage(&mut self) -> BTreeMap<OrganisationId, u32> {
+    pub fn take_arrival_counts(&mut self) -> BTreeMap<OrganisationId, u32> {
         std::mem::take(&mut self.arrival_counts)
     }
 
@@ -224,7 +225,7 @@
         self.dispatch_all(now);
     }
 
-    /// Sets the number of live instances and the slot shares to use while no granted
+    /// Sets the number of live instances, and the slot shares to use while no granted
     /// share is in force.
     fn set_peers(&mut self, live: u32, fallbacks: &[(ServerId, u32)], now: Duration) {
         self.live_instances = live.max(1);
@@ -254,7 +255,7 @@
         limit.set_share(share, until);
     }
 
-    /// Returns the rule of a class, if the settings have one.
+    /// Returns the rule of a class, if there is one.
     fn class_rule(&self, class: ClassId) -> Option<&ClassRule> {
         self.rules.classes.get(&class)
     }
--- a/crates/flaxtide-policy/src/core/outcome.rs
+++ b/crates/flaxtide-policy/src/core/outcome.rs
@@ -104,6 +104,7 @@
             // server's fault.
             ServerFault::Stalled if running.tier > 0 => {}
             ServerFault::Stalled => {
+                // One second per token is assumed before any token has been measured.
                 let seconds = server.token_seconds().unwrap_or(1.0);
                 server.add_token_seconds(seconds * STALL_SLOWDOWN);
             }
--- a/crates/flaxtide-policy/src/core/pool.rs
+++ b/crates/flaxtide-policy/src/core/pool.rs
@@ -15,7 +15,7 @@
 /// How often the statistics of a pool are updated.
 const REFRESH_PERIOD: Duration = Duration::from_millis(100);
 
-/// The tier whose usable slots count as the capacity of a pool.
+/// The rank of the highest tier. Its usable slots count as the capacity of a pool.
 const TOP_TIER: TierRank = 0;
 
 /// A pool of servers with its queue.
@@ -29,13 +29,13 @@
     pub(crate) retries: Vec<RequestId>,
     /// The mean time from dispatch to the first token, in seconds.
     pub(crate) first_token: DecayedMean,
-    /// This instance's share of the slots of the servers that are in service and not on
-    /// probation.
+    /// The slots that this instance can use now, at the servers that are in service and
+    /// not on probation.
     pub(crate) capacity: u32,
     /// This instance's requests at servers, by tier.
     pub(crate) running: BTreeMap<TierRank, u32>,
     /// The dispatches since one was last given to a starved class.
-    pub(crate) turns_since_starved: u32,
+    pub(crate) dispatches_since_starved: u32,
     /// When the statistics were last updated; `None` before the first time.
     refreshed_at: Option<Duration>,
 }
@@ -94,8 +94,8 @@
         self.set_probation(servers, options, &token_times);
     }
 
-    /// Puts servers with a high time per token on probation, slowest first, up to the
-    /// allowed fraction of the pool.
+    /// Decides which servers are on probation: those with a high time per token, slowest
+    /// first, up to the allowed fraction of the pool.
     fn set_probation(
         &self,
         servers: &mut ServerTable,
--- a/crates/flaxtide-policy/src/event.rs
+++ b/crates/flaxtide-policy/src/event.rs
@@ -9,7 +9,7 @@
 /// Something that happened to a request, a server or the instance.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PolicyEvent {
-    /// New settings are in force.
+    /// New rules, derived from new settings, are in force.
     Rules(RuleSet),
     /// A request arrived.
     Arrive(CallArrival),
@@ -84,7 +84,7 @@
     RateShare {
         /// The organisation concerned.
         organisation: OrganisationId,
-        /// The share as a fraction, from 0 to 1.
+        /// The share as a fraction of the rate, from 0 to 1.
         share: f64,
         /// When the share expires.
         until: Duration,
@@ -109,7 +109,7 @@
     /// The hash of the prompt's prefix; `None` if the prefix is too short to be worth
     /// caching.
     pub prefix: Option<u64>,
-    /// How long the request may wait before it is refused; `None` for the value of its
+    /// How long the request may wait before it expires; `None` for the value of its
     /// class.
     pub give_up: Option<Duration>,
     /// The target for the time to first token; `None` for the value of its class.
--- a/crates/flaxtide-policy/src/lease.rs
+++ b/crates/flaxtide-policy/src/lease.rs
@@ -225,6 +225,7 @@
             return self.holder_step(held, now);
         }
         let Some(last_access) = self.last_access else { return LeaseStep::Read };
+        // The lease is only acquired right after a read, at the same `now`.
         if now == last_access && self.is_free(now) {
             return self.acquire_step();
         }
@@ -237,6 +238,8 @@
     /// Returns what the holder should do next.
     fn holder_step(&self, held: HeldLease, now: Duration) -> LeaseStep {
         if self.unconfirmed.is_some() {
+            // After an unconfirmed write the row is read first, and the next write follows
+            // at the same `now`.
             if self.last_access != Some(now) {
                 let due = self.is_due(now, self.timing.check_period);
                 return if due { LeaseStep::Read } else { LeaseStep::Wait };
@@ -263,8 +266,10 @@
     /// Returns whether the lease can be acquired, according to the last read.
     fn is_free(&self, now: Duration) -> bool {
         // A table restored from a backup may not know the current holder, and that holder
-        // may release the lease. The holder before it, which may be this instance or its
-        // previous incarnation, must not take the lease back within a term.
+        // may release the lease early. The holder before it, which may be this instance
+        // or its previous incarnation, must not be the next one within a term. So a
+        // released lease is free for this instance only a term after it started or its
+        // own last lease expired.
         let last = self.started.max(self.held_until);
         let settled = now >= last + self.timing.term;
         let Some((row, _, since)) = &self.last_row else {
--- a/crates/flaxtide-policy/src/lib.rs
+++ b/crates/flaxtide-policy/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! A [`DecisionCore`] takes [`PolicyEvent`]s and their times, and returns
 //! [`PolicyAction`]s. It starts no thread, opens no socket, reads no clock and uses no
-//! global random source: the same events and seed give the same actions.
+//! global random source: the same events and seed give the same actions. In names, a call
+//! is one request of a caller, from its arrival to its end.
 //!
 //! The crate also holds the pure logic that instances share: [`divide_slots`] and
 //! [`rendezvous_order`], the [`ClaimAttempt`] that makes a request run at most once, and
--- a/crates/flaxtide-policy/src/limit.rs
+++ b/crates/flaxtide-policy/src/limit.rs
@@ -13,7 +13,7 @@
     tokens: f64,
     /// When `tokens` was last computed.
     updated_at: Duration,
-    /// This instance's share of the rate, and when it expires.
+    /// This instance's share of the rate, as a fraction, and when it expires.
     share: Option<(f64, Duration)>,
 }
 
@@ -27,15 +27,15 @@
         }
     }
 
-    /// Sets this instance's share of the rate, which expires at `until`.
+    /// Sets this instance's share of the rate, as a fraction that expires at `until`.
     pub(crate) fn set_share(&mut self, share: f64, until: Duration) {
         self.share = Some((share, until));
     }
 
     /// Takes a token for a request, or returns how long until there is one.
     ///
-    /// `rate` is the limit over all instances. Without a share in force, this instance
-    /// may use an equal part for each of `live` instances.
+    /// `rate` is the limit over all instances. Without a share in force, it is divided
+    /// equally among `live` instances.
     pub(crate) fn admit(
         &mut self,
         rate: u32,
@@ -55,6 +55,7 @@
             self.tokens -= 1.0;
             return Ok(());
         }
+        // The bounds keep the wait finite for a rate near zero.
         let wait = (1.0 - self.tokens) / rate.max(1e-3);
         Err(Duration::from_secs_f64(wait.min(60.0)))
     }
--- a/crates/flaxtide-policy/src/pushback/bucket.rs
+++ b/crates/flaxtide-policy/src/pushback/bucket.rs
@@ -59,7 +59,7 @@
     /// Returns the tokens at `now`.
     fn tokens(&self, now: Duration) -> f64 {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
-        // Rounding must not leave a token that is due slightly short of one.
+        // Added so that a token that is due isn't slightly below 1.0 after rounding.
         const ROUNDING: f64 = 1e-9;
         (self.tokens + elapsed * self.rate + ROUNDING).min(self.capacity())
     }
--- a/crates/flaxtide-policy/src/pushback/group.rs
+++ b/crates/flaxtide-policy/src/pushback/group.rs
@@ -1,11 +1,11 @@
 //! How instances share the rate that a backend server states for all of them together.
 //!
-//! The rate may be lower than the number of instances. Equal shares would then be too
-//! small to use, and the tokens saved by all instances would be spent as one burst. So a
-//! few instances, the owners, share the whole rate, and the others send nothing. Each
-//! instance computes the owners from the instances it sees alive, by rendezvous hashing:
-//! no call is needed before a request is sent, and losing an instance moves only its own
-//! shares.
+//! The rate may be lower than one request a second for each instance. Equal shares would
+//! then be too small to use, and the tokens saved by all instances would be spent as one
+//! burst. So a few instances, the owners, share the whole rate, and the others send
+//! nothing. Each instance computes the owners from the instances it sees alive, by
+//! rendezvous hashing: no call is needed before a request is sent, and losing an instance
+//! moves only its own shares.
 
 use std::cmp::Reverse;
 
@@ -23,8 +23,8 @@
 /// owner.
 const MIN_OWNERS: usize = 2;
 
-/// The rate at which requests are still sent to a server that states a rate of zero, in
-/// requests a second, to learn when it accepts requests again.
+/// The lowest rate at which requests are sent to a server that states a rate of zero or
+/// below this, in requests a second, to learn when it accepts requests again.
 const MIN_RATE: f64 = 0.05;
 
 /// An instance that is known by name.
@@ -36,7 +36,7 @@
     pub data_centre: DataCentreKey,
 }
 
-/// The instances that are seen alive.
+/// The live instances as seen by one of them.
 ///
 /// ```
 /// use flaxtide_policy::{GroupMember, InstanceGroup, RequestRate};
@@ -88,10 +88,11 @@
         if preceding < count { rate / count as f64 } else { 0.0 }
     }
 
-    /// Returns whether the members share the rates of the servers in a data centre.
-    /// Members of a single data centre share the rates of its own servers, and of a data
-    /// centre without live instances if their data centre comes first in rendezvous
-    /// order.
+    /// Returns whether the members share the rate of a server in `data_centre`. If all
+    /// live instances are members, they share the rates of all servers. If they are the
+    /// instances of one data centre, they share the rates of its own servers. They also
+    /// share the rate of a server in a data centre without live instances, if their own
+    /// data centre comes first in rendezvous order.
     fn shares_servers_of(&self, name_hash: u64, data_centre: DataCentreKey) -> bool {
         let has_members =
             self.members.iter().any(|member| member.data_centre == data_centre);
--- a/crates/flaxtide-policy/src/pushback/limit.rs
+++ b/crates/flaxtide-policy/src/pushback/limit.rs
@@ -5,7 +5,7 @@
 use super::bucket::TokenBucket;
 use super::statement::RequestRate;
 
-/// How long a larger share must be due before it is used. Its former owner may still be
+/// How long a larger share stays pending before it is used. Its former owner may still be
 /// using it, and an instance that was frozen briefly sees no live peers and computes too
 /// large a share.
 const INCREASE_DELAY: Duration = Duration::from_secs(2);
@@ -17,7 +17,7 @@
     pub(crate) rate: RequestRate,
     /// The share that is used now, in requests a second.
     share: f64,
-    /// A larger share that is due, and since when.
+    /// A larger share that isn't used yet, and since when it has been pending.
     pending_increase: Option<(f64, Duration)>,
     /// The bucket that enforces the share.
     bucket: TokenBucket,
@@ -54,7 +54,7 @@
         self.bucket.set_rate(share, now);
     }
 
-    /// Starts to use a larger share once it has been due for [`INCREASE_DELAY`].
+    /// Starts to use a larger share once it has been pending for [`INCREASE_DELAY`].
     pub(crate) fn apply_increase(&mut self, now: Duration) {
         let Some((share, since)) = self.pending_increase else { return };
         if now >= since + INCREASE_DELAY {
--- a/crates/flaxtide-policy/src/pushback/schedule.rs
+++ b/crates/flaxtide-policy/src/pushback/schedule.rs
@@ -10,10 +10,10 @@
 /// How often peers are told again of a rate that a server keeps stating.
 const RENEWAL_PERIOD: Duration = Duration::from_secs(30);
 
-/// How long after a server stops stating a rate peers are told so a second time. A report
-/// of the rate that was delayed on the way seems newer than it is, so it can override the
-/// first notice. An instance that sends nothing to the server would then keep the rate
-/// for good.
+/// The delay after which peers are told a second time that a server no longer states a
+/// rate. A report of the rate that was delayed on the way seems newer than it is, so it
+/// can override the first notice. An instance that sends nothing to the server would then
+/// keep the rate for good.
 const CONFIRMATION_DELAY: Duration = Duration::from_secs(3);
 
 /// Decides when peers are told what servers state.
--- a/crates/flaxtide-policy/src/pushback/server.rs
+++ b/crates/flaxtide-policy/src/pushback/server.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Starts to use a larger share of the rate once it is due.
+    /// Starts to use a larger share of the rate once it has been pending for long enough.
     pub(crate) fn tick(&mut self, now: Duration) {
         if let Some(limit) = &mut self.limit {
             limit.apply_increase(now);
@@ -141,7 +141,8 @@
         Some(ready.max(self.backoff_until))
     }
 
-    /// Takes a token for one request. Returns whether it may be sent.
+    /// Takes a token for one request. Returns whether there was one; doesn't check the
+    /// backoff.
     pub(crate) fn take(&mut self, now: Duration) -> bool {
         self.limit.as_mut().is_none_or(|limit| limit.take(now))
     }
--- a/crates/flaxtide-policy/src/pushback/statement.rs
+++ b/crates/flaxtide-policy/src/pushback/statement.rs
@@ -49,15 +49,15 @@
 /// The rate that a response states for all callers of the server together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum StatedRate {
-    /// The response states no limit.
+    /// The response states that there is no limit, by leaving it out.
     #[default]
     Unlimited,
     /// The response states this limit.
     Limited(RequestRate),
     /// The stated limit can't be parsed, and the last known one stays in force.
     Unreadable,
-    /// The response doesn't count, as errors and refusals may leave the limit out; the
-    /// last known one stays in force.
+    /// The response is an error or a refusal, which may leave the limit out; the last
+    /// known one stays in force.
     Unstated,
 }
 
--- a/crates/flaxtide-policy/src/quarantine/log.rs
+++ b/crates/flaxtide-policy/src/quarantine/log.rs
@@ -16,16 +16,17 @@
 /// and each further crash costs all requests that run there.
 const CRASH_LIMIT: usize = 3;
 
-/// A request that was running in this many independent crashes is quarantined even if
-/// other requests explain them: an innocent request doesn't meet so many by chance.
-const CERTAIN_CRASH_LIMIT: usize = 5;
+/// A request with this many independent crashes is quarantined even if other requests
+/// explain them: an innocent request doesn't meet so many by chance.
+const UNCONDITIONAL_CRASH_LIMIT: usize = 5;
 
 /// How long a request is remembered after it was last seen. Longer than callers wait
 /// between two tries of the same request.
 const RETENTION: Duration = Duration::from_secs(600);
 
-/// How often instances tell each other that a quarantined request still arrives. Short
-/// against [`RETENTION`], so that the quarantine ends at about the same time everywhere.
+/// How often instances tell each other that a quarantined request still arrives. Much
+/// shorter than [`RETENTION`], so that the quarantine ends at about the same time
+/// everywhere.
 const RENEWAL_PERIOD: Duration = Duration::from_secs(60);
 
 /// The most requests that are remembered. They take 0.3 MB, and are more than run on
@@ -87,13 +88,13 @@
         if !fingerprints.contains(&report.fingerprint) {
             fingerprints.push(report.fingerprint);
         }
-        self.evict_weakest();
+        self.evict_lowest_score();
         is_new
     }
 
-    /// Records that a request has got a complete response, so it didn't cause the crashes
-    /// in which it ran. Returns the reports for peers; none if no crashes were held
-    /// against it.
+    /// Records that a server has sent a complete response to a request, which therefore
+    /// didn't cause the crashes in which it ran. Returns the reports for peers; none if
+    /// no crashes were held against it.
     pub fn clear(&mut self, fingerprint: Fingerprint, now: Duration) -> Vec<CrashReport> {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else { return vec![] };
         if !suspect.clear() {
@@ -124,7 +125,7 @@
         let independent_crashes = |explained: &dyn Fn(IncarnationKey) -> bool| {
             suspect.independent_crashes(explained)
         };
-        independent_crashes(&|_| false) >= CERTAIN_CRASH_LIMIT
+        independent_crashes(&|_| false) >= UNCONDITIONAL_CRASH_LIMIT
             || independent_crashes(&|server| self.has_stronger_suspect(server, score))
                 >= CRASH_LIMIT
     }
@@ -214,15 +215,15 @@
 
     /// If there are too many requests, drops the one with the lowest score. So a caller
     /// whose every request crashes a server can't displace those in quarantine.
-    fn evict_weakest(&mut self) {
+    fn evict_lowest_score(&mut self) {
         if self.suspects.len() <= MAX_SUSPECTS {
             return;
         }
-        let least = self
+        let lowest = self
             .suspects
             .iter()
             .min_by_key(|(_, it)| (it.score(), it.last_seen()));
-        if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
+        if let Some(fingerprint) = lowest.map(|(fingerprint, _)| *fingerprint) {
             self.remove(fingerprint);
         }
     }
--- a/crates/flaxtide-policy/src/quarantine/report.rs
+++ b/crates/flaxtide-policy/src/quarantine/report.rs
@@ -22,7 +22,7 @@
     pub idle_ms: u32,
     /// Whether the server had begun to respond to the request.
     pub begun: bool,
-    /// Whether the request has got a complete response since, so that it didn't cause
-    /// this crash.
+    /// Whether the request has got a complete response from another server since, so that
+    /// it didn't cause this crash.
     pub cleared: bool,
 }
--- a/crates/flaxtide-policy/src/quarantine/suspect.rs
+++ b/crates/flaxtide-policy/src/quarantine/suspect.rs
@@ -22,7 +22,7 @@
     at: Duration,
     /// Whether the server had begun to respond.
     begun: bool,
-    /// Whether the request has got a complete response since.
+    /// Whether the request has got a complete response from another server since.
     cleared: bool,
 }
 
@@ -36,9 +36,9 @@
     }
 }
 
-/// How much speaks for a request as the cause of crashes: the number of crashed servers
-/// that ran it, then how many of these hadn't begun to respond to it. A request that
-/// crashes servers does so on each, and mostly before the first token.
+/// The evidence that a request causes crashes: the number of crashed servers that ran it,
+/// then how many of these hadn't begun to respond to it. A request that crashes servers
+/// does so on each, and mostly before the first token.
 pub(super) type SuspicionScore = (usize, usize);
 
 /// A request that was running when servers crashed.
@@ -109,7 +109,8 @@
         counts.fold((0, 0), |sum, count| (sum.0 + count.0, sum.1 + count.1))
     }
 
-    /// Returns the number of independent crashes that aren't cleared or `explained`.
+    /// Returns the number of independent crashes that are neither cleared nor
+    /// `explained`.
     pub(super) fn independent_crashes(
         &self,
         explained: impl Fn(IncarnationKey) -> bool,
--- a/crates/flaxtide-policy/src/queue.rs
+++ b/crates/flaxtide-policy/src/queue.rs
@@ -19,7 +19,8 @@
 /// the others at the moment.
 const FAIRNESS_WINDOW: u64 = 2000 * VIRTUAL_SCALE as u64;
 
-/// At most this many organisations are compared to find the next request of a class.
+/// At most this many organisations are compared to find the next request of a class,
+/// which bounds the time that this takes.
 const MAX_COMPARED_FLOWS: usize = 16;
 
 /// A waiting request.
@@ -66,7 +67,7 @@
 struct Flow {
     /// The requests, oldest first.
     entries: VecDeque<QueueEntry>,
-    /// The virtual time from which the next request may be served.
+    /// The virtual time at which the next request starts; lower tags are served first.
     start_tag: u64,
 }
 
--- a/crates/flaxtide-policy/src/server.rs
+++ b/crates/flaxtide-policy/src/server.rs
@@ -75,7 +75,7 @@
         self.servers.iter().enumerate()
     }
 
-    /// Applies new settings. Servers that are still listed keep their state.
+    /// Applies new rules. Servers that are still listed keep their state.
     pub(crate) fn set_rules(&mut self, rules: &BTreeMap<ServerId, ServerRule>) {
         self.servers.retain(|server| rules.contains_key(&server.server));
         for (id, rule) in rules {
@@ -95,7 +95,7 @@
     }
 }
 
-/// The highest tier.
+/// The rank of the highest tier. Its requests may use slots that lower tiers occupy.
 const TOP_TIER: TierRank = 0;
 
 /// The number of tiers that are counted separately; lower ones count as the last of
@@ -163,8 +163,8 @@
 
     /// Returns how many slots this instance may use. Without a granted share, as when the
     /// instance that divides the server's slots can't be reached, that is the fallback
-    /// share and the fraction `idle_part` of the slots that are idle in the last report.
-    /// It isn't all of these, as other instances see the same report.
+    /// share plus the fraction `idle_part` of the slots that are idle in a recent report.
+    /// Not all idle slots count, as other instances see the same report.
     pub(crate) fn usable_slots(
         &self,
         tier: TierRank,
--- a/crates/flaxtide-policy/src/share.rs
+++ b/crates/flaxtide-policy/src/share.rs
@@ -15,8 +15,8 @@
 /// The demand of the highest tier is met first, or divided in proportion if it exceeds
 /// the slots. Remaining slots go to the next tier in the same way, and slots without
 /// demand are divided equally. Fractions of a slot are rounded by rendezvous order for
-/// `key`, so that over many servers each instance gets its share. The shares always add
-/// up to `slots`.
+/// `key`, which identifies the server, so that over many servers each instance gets its
+/// share. The shares always add up to `slots`.
 ///
 /// ```
 /// use flaxtide_policy::{SlotDemand, divide_slots};
@@ -55,7 +55,8 @@
     round_shares(slots, key, members, &exact_shares)
 }
 
-/// Returns the share of the member at `index` while no demands are known.
+/// Returns the share of the member at `index` while no demands are known. `key`
+/// identifies the server.
 ///
 /// ```
 /// use flaxtide_policy::equal_share;
--- a/crates/flaxtide-policy/tests/invariants.rs
+++ b/crates/flaxtide-policy/tests/invariants.rs
@@ -143,35 +143,35 @@
                     !self.leaving.contains(&choice.server),
                     "a request was dispatched to a leaving server"
                 );
-                let tracked = self.requests.get_mut(request).unwrap();
-                assert!(!tracked.ended, "{request} was dispatched after its end");
-                assert_eq!(tracked.server, None, "{request} is at two servers");
+                let entry = self.requests.get_mut(request).unwrap();
+                assert!(!entry.ended, "{request} was dispatched after its end");
+                assert_eq!(entry.server, None, "{request} is at two servers");
                 assert!(
-                    tracked.repeatable || !tracked.may_have_run,
+                    entry.repeatable || !entry.may_have_run,
                     "{request} may run twice"
                 );
-                assert!(tracked.repeatable || silence_timeout.is_none());
-                tracked.server = Some(choice.server);
+                assert!(entry.repeatable || silence_timeout.is_none());
+                entry.server = Some(choice.server);
             }
             PolicyAction::Refuse { request, retry_after, .. } => {
-                let tracked = self.requests.get_mut(request).unwrap();
-                assert!(!tracked.ended, "{request} ended twice");
-                assert_eq!(tracked.server, None, "{request} was refused while it ran");
+                let entry = self.requests.get_mut(request).unwrap();
+                assert!(!entry.ended, "{request} ended twice");
+                assert_eq!(entry.server, None, "{request} was refused while it ran");
                 assert!(
-                    !tracked.may_have_run,
+                    !entry.may_have_run,
                     "{request} was refused although it may have run"
                 );
                 assert!(!retry_after.is_zero());
-                tracked.ended = true;
+                entry.ended = true;
             }
             PolicyAction::GiveUp { request, .. } => {
-                let tracked = self.requests.get_mut(request).unwrap();
-                assert!(!tracked.ended, "{request} ended twice");
+                let entry = self.requests.get_mut(request).unwrap();
+                assert!(!entry.ended, "{request} ended twice");
                 assert!(
-                    tracked.may_have_run,
+                    entry.may_have_run,
                     "{request} was given up although it can't have run"
                 );
-                tracked.ended = true;
+                entry.ended = true;
             }
         }
     }
@@ -181,7 +181,7 @@
         let matching: Vec<u64> = self
             .requests
             .iter()
-            .filter(|(_, tracked)| holds(tracked))
+            .filter(|(_, entry)| holds(entry))
             .map(|(id, _)| *id)
             .collect();
         (!matching.is_empty()).then(|| matching[pick % matching.len()])
@@ -192,13 +192,13 @@
         match *step {
             Step::Arrive(class, organisation, repeatable) => {
                 let request = self.requests.len() as u64;
-                let tracked = TrackedRequest {
+                let entry = TrackedRequest {
                     repeatable,
                     server: None,
                     may_have_run: false,
                     ended: false,
                 };
-                self.requests.insert(request, tracked);
+                self.requests.insert(request, entry);
                 self.send_event(PolicyEvent::Arrive(CallArrival {
                     request,
                     pool: 0,
@@ -212,18 +212,18 @@
                 }));
             }
             Step::End(pick, fault) => {
-                let Some(request) = self.pick(pick, |tracked| tracked.server.is_some())
+                let Some(request) = self.pick(pick, |entry| entry.server.is_some())
                 else {
                     return;
                 };
-                let tracked = self.requests.get_mut(&request).unwrap();
-                let server = tracked.server.take();
+                let entry = self.requests.get_mut(&request).unwrap();
+                let server = entry.server.take();
                 let Some(fault) = fault else {
-                    tracked.ended = true;
+                    entry.ended = true;
                     self.send_event(PolicyEvent::Finish { request, tokens: 20 });
                     return;
                 };
-                tracked.may_have_run |=
+                entry.may_have_run |=
                     matches!(fault, ServerFault::Broken | ServerFault::Stalled);
                 if fault == ServerFault::Leaving {
                     self.leaving.extend(server);
@@ -231,7 +231,7 @@
                 self.send_event(PolicyEvent::Fail { request, fault, passed_on: 0 });
             }
             Step::FirstToken(pick) => {
-                let Some(request) = self.pick(pick, |tracked| tracked.server.is_some())
+                let Some(request) = self.pick(pick, |entry| entry.server.is_some())
                 else {
                     return;
                 };
@@ -239,9 +239,9 @@
             }
             Step::CallerGone(pick) => {
                 let Some(request) = self.pick(pick, |entry| !entry.ended) else { return };
-                let tracked = self.requests.get_mut(&request).unwrap();
-                tracked.ended = true;
-                tracked.server = None;
+                let entry = self.requests.get_mut(&request).unwrap();
+                entry.ended = true;
+                entry.server = None;
                 self.send_event(PolicyEvent::CallerGone { request });
             }
             Step::Report(server, load) => {
@@ -276,19 +276,17 @@
 
     /// Checks what must hold between steps.
     fn check_state(&self) {
-        let open = self.requests.values().filter(|tracked| !tracked.ended).count();
+        let open = self.requests.values().filter(|entry| !entry.ended).count();
         assert_eq!(
             self.core.open_calls(),
             open,
             "a request is lost or not removed at its end"
         );
-        let running_requests: usize = self
-            .requests
-            .values()
-            .filter(|tracked| tracked.server.is_some())
-            .count();
-        let running: u32 = self.core.slots(self.now).values().map(|slots| slots.1).sum();
-        assert_eq!(running as usize, running_requests, "slots are lost or not freed");
+        let expected: usize =
+            self.requests.values().filter(|entry| entry.server.is_some()).count();
+        let used_slots: u32 =
+            self.core.slots(self.now).values().map(|slots| slots.1).sum();
+        assert_eq!(used_slots as usize, expected, "slots are lost or not freed");
     }
 }
 
--- a/crates/flaxtide-policy/tests/lease.rs
+++ b/crates/flaxtide-policy/tests/lease.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn holders_follow_each_other_with_growing_fences() {
+fn holders_follow_each_other_with_increasing_fencing_tokens() {
     // Instance 0 is frozen from second 10 to second 40, and instance 1 loses the replies
     // to its writes in second 25.
     let mut row: Row = None;
@@ -51,10 +51,14 @@
             }
         }
     }
-    assert!(orders.windows(2).all(|pair| pair[0].2 <= pair[1].2), "fences never fall");
+    assert!(
+        orders.windows(2).all(|pair| pair[0].2 <= pair[1].2),
+        "a fencing token decreased"
+    );
     let holders: Vec<usize> = orders.iter().map(|order| order.1).collect();
     assert!(holders.contains(&0) && holders.contains(&1));
-    // Where the holder changes, there is time for the old holder's orders to arrive.
+    // Where the holder changes, there is time for the old holder's orders to arrive:
+    // twice the longest delivery.
     let changes = orders.windows(2).filter(|pair| pair[0].1 != pair[1].1);
     for pair in changes {
         assert!(pair[1].0 >= pair[0].0 + 2000, "{pair:?}");
--- a/crates/flaxtide-policy/tests/lease_model.rs
+++ b/crates/flaxtide-policy/tests/lease_model.rs
@@ -1,6 +1,9 @@
 //! Tests the lease against a model of the store with reordered, lost and delayed calls,
-//! restarts and restored backups. All events of two instances are explored to a limited
-//! depth, and random sequences run with three.
+//! freezes, restarts and restored backups. Guards against two instances using the same
+//! fencing token, tokens that decrease, and a former holder that returns within a term.
+//! Sequences of events of two instances are explored up to a depth and a number of
+//! states, and random sequences run with three. A frozen instance is one without events
+//! for a while.
 
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -9,10 +12,10 @@
 use proptest::prelude::*;
 
 /// How far time moves in one tick.
-const STEP: Duration = Duration::from_secs(1);
+const TICK: Duration = Duration::from_secs(1);
 
-/// The position of the store's era in a fencing token.
-const ERA_BITS: u32 = 32;
+/// The era of the store is in the bits of a fencing token from this one up.
+const ERA_SHIFT: u32 = 32;
 
 /// A write in flight, which the store may apply late or never.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -36,10 +39,11 @@
     watches: Vec<LeaseWatch>,
     incarnations: Vec<u32>,
     now: Duration,
-    /// The instance that has used each fence, and the highest fence that was used.
+    /// The instance that has used each fencing token, and the highest token that was
+    /// used.
     fence_users: BTreeMap<u64, usize>,
     highest_fence: u64,
-    /// Every use of a fence, oldest first: the instance and the time.
+    /// Every use of a fencing token, oldest first: the instance and the time.
     fence_uses: Vec<(usize, Duration)>,
 }
 
@@ -57,11 +61,11 @@
     DelayWrite(usize),
     /// The oldest delayed write is applied, if its condition still holds.
     DeliverWrite,
-    /// An instance uses its fence.
+    /// An instance uses its fencing token.
     UseFence(usize),
     /// An instance restarts.
     Restart(usize),
-    /// An instance takes a higher fence.
+    /// An instance takes a higher fencing token.
     AdvanceFence(usize),
     /// An instance releases the lease.
     Release(usize),
@@ -115,7 +119,7 @@
     fn step(&mut self, index: usize, answered: bool, applied: bool) {
         let now = self.now;
         if self.watches[index].step(now) == LeaseStep::Read {
-            self.watches[index].record_used_fence(self.era << ERA_BITS);
+            self.watches[index].record_used_fence(self.era << ERA_SHIFT);
             let row = self.row.clone();
             self.watches[index].record_read(row, now);
         }
@@ -141,7 +145,7 @@
 
     fn apply(&mut self, event: ModelEvent) {
         match event {
-            ModelEvent::Tick => self.now += STEP,
+            ModelEvent::Tick => self.now += TICK,
             ModelEvent::Step(index) => self.step(index, true, true),
             ModelEvent::LoseReply(index) => self.step(index, false, true),
             ModelEvent::DelayWrite(index) => self.step(index, false, false),
@@ -162,8 +166,7 @@
             ModelEvent::Restore => {
                 self.row.clone_from(&self.backup);
                 self.era += 1;
-                // A restored store may assign versions again, but never one that it
-                // assigned in an earlier era.
+                // Versions of the new era differ from those of all earlier eras.
                 self.next_version += 1000;
                 if let Some((_, version)) = &mut self.row {
                     *version = self.next_version;
@@ -173,14 +176,14 @@
         }
     }
 
-    /// Makes an instance use its fence, and checks that it may.
+    /// Makes an instance use its fencing token, and checks that it may.
     fn use_fence(&mut self, index: usize) {
         let Some(fence) = self.watches[index].fence(self.now, true) else { return };
         let user = *self.fence_users.entry(fence).or_insert(index);
-        assert_eq!(user, index, "two holders of fence {fence}");
+        assert_eq!(user, index, "two holders of fencing token {fence}");
         if fence < self.highest_fence {
-            // The platform refuses the fence. This can only happen after a restore.
-            assert!(self.era > 0, "fence {fence} after {}", self.highest_fence);
+            // The platform refuses the token. This can only happen after a restore.
+            assert!(self.era > 0, "fencing token {fence} after {}", self.highest_fence);
             self.watches[index].record_lost();
             return;
         }
@@ -193,12 +196,13 @@
             let returned = earlier && other != index;
             assert!(
                 !returned || self.may_return(index, at),
-                "instance {index} returned too early"
+                "instance {index} used a fencing token again within a term"
             );
         }
     }
 
-    /// Returns whether an instance may use a fence again after another instance has.
+    /// Returns whether an instance may use a fencing token again after another instance
+    /// has.
     fn may_return(&self, index: usize, _other: Duration) -> bool {
         // At least a term must have passed since its last use before the other
         // instance's.
@@ -225,14 +229,14 @@
 fn timing() -> LeaseTiming {
     LeaseTiming {
         term: Duration::from_secs(4),
-        poll_period: STEP,
-        check_period: STEP,
-        longest_delivery: STEP,
+        poll_period: TICK,
+        check_period: TICK,
+        longest_delivery: TICK,
     }
 }
 
 #[test]
-fn no_reachable_state_has_two_holders_of_a_fence() {
+fn no_reachable_state_has_two_holders_of_a_fencing_token() {
     // Explores every order of events of two instances, with lost replies, delayed writes
     // and restarts.
     const DEPTH: usize = 9;
@@ -285,7 +289,7 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn fences_never_decrease_and_have_one_holder(
+    fn fencing_tokens_never_decrease_and_have_one_holder(
         events in prop::collection::vec(any_event(), 1..250),
     ) {
         let mut world = World::new();
@@ -295,7 +299,7 @@
     }
 
     #[test]
-    fn a_restored_store_gives_no_fence_to_two_holders(
+    fn a_restored_store_gives_no_fencing_token_to_two_holders(
         before in prop::collection::vec(any_event(), 1..80),
         between in prop::collection::vec(any_event(), 1..60),
         after in prop::collection::vec(any_event(), 1..120),
@@ -323,14 +327,14 @@
     let mut world = World::new();
     world.step(0, true, true);
     for _ in 0..6 {
-        world.now += STEP;
+        world.now += TICK;
         world.step(0, true, true);
         world.step(1, true, true);
     }
     world.apply(ModelEvent::Release(0));
     world.step(0, true, true);
     assert!(world.watches[0].is_released(world.now));
-    world.now += STEP;
+    world.now += TICK;
     world.step(1, true, true);
     assert_eq!(world.watches[1].fence(world.now, true), Some(2));
 }
@@ -338,16 +342,16 @@
 #[test]
 fn an_expired_holder_does_not_take_over_from_its_successor_within_a_term() {
     let mut world = World::new();
-    // Instance 0 renews the lease without getting the reply, uses its fence and then
-    // stops responding.
-    let renewed_unknowingly =
+    // Instance 0 renews the lease without getting the reply, uses its fencing token and
+    // then stops responding.
+    let renewed_without_reply =
         [ModelEvent::Step(0), ModelEvent::Tick, ModelEvent::LoseReply(0)];
-    let expires = [ModelEvent::Step(1), ModelEvent::Tick, ModelEvent::UseFence(0)];
+    let uses_fence = [ModelEvent::Step(1), ModelEvent::Tick, ModelEvent::UseFence(0)];
     let taken_over = [ModelEvent::Tick; 3];
     let released = [ModelEvent::Step(1), ModelEvent::UseFence(1), ModelEvent::Release(1)];
     let returns = [ModelEvent::Step(1), ModelEvent::Step(0), ModelEvent::UseFence(0)];
     for event in
-        [renewed_unknowingly, expires, taken_over, released, returns].as_flattened()
+        [renewed_without_reply, uses_fence, taken_over, released, returns].as_flattened()
     {
         world.apply(*event);
     }
--- a/crates/flaxtide-policy/tests/pushback.rs
+++ b/crates/flaxtide-policy/tests/pushback.rs
@@ -90,8 +90,8 @@
         assert!(!core.permit_send(1, now), "{change}");
         // The request goes to another server, which isn't charged to the retry budget.
         core.set_servers(POOL, &[engine(server), engine(server + 1)], now);
-        let (verdict, actions) = core.fail(1, RouteFault::Withheld, false, now);
-        assert_eq!(verdict, RetryDecision::Retry, "{change}");
+        let (decision, actions) = core.fail(1, RouteFault::Withheld, false, now);
+        assert_eq!(decision, RetryDecision::Retry, "{change}");
         assert_eq!(server_of(&actions), Some(server + 1), "{change}");
     }
 }
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_unreadable_or_missing_rate_changes_nothing() {
+fn an_unreadable_rate_or_an_uncounted_response_changes_nothing() {
     let mut core = core_alone(1);
     core.record_statement(0, limited(1.0), ms(50), ms(100));
     for rate in [StatedRate::Unreadable, StatedRate::Unstated] {
@@ -200,6 +200,7 @@
     assert_eq!(server_of(&core.tick(ms(2000))), Some(1));
 }
 
+/// A request whose deadline ends before any backoff would otherwise be held for nothing.
 #[test]
 fn a_request_refused_by_one_server_is_not_retried_at_others_that_back_off() {
     let mut core = core_alone(3);
@@ -209,8 +210,8 @@
     core.set_servers(POOL, &[engine(0), engine(1), engine(2), engine(3)], ms(1));
     let arrival = RouteCall { deadline: ms(1000), ..call(1, 100, true) };
     assert_eq!(server_of(&core.arrive(arrival, ms(1))), Some(3));
-    let (verdict, _) = core.fail(1, RouteFault::Full, false, ms(2));
-    assert_eq!(verdict, RetryDecision::Stop);
+    let (decision, _) = core.fail(1, RouteFault::Full, false, ms(2));
+    assert_eq!(decision, RetryDecision::Stop);
 }
 
 /// An instance that was frozen sees no live peers for a moment and would take the whole
@@ -237,9 +238,14 @@
         });
         steps.sum()
     };
+    // A share of 50 a second and a burst of 12.5 allow at most 63 requests in a second. The
+    // whole rate and its burst of 25 allow 125.
     assert!(sent_in_a_second(&mut core, 2, 1000) <= 63);
-    assert!(sent_in_a_second(&mut core, 1, 2000) <= 63, "it grew at once");
+    assert!(sent_in_a_second(&mut core, 1, 2000) <= 63, "the share grew at once");
     let grown = sent_in_a_second(&mut core, 1, 5000);
     assert!((90..=125).contains(&grown), "{grown}");
-    assert!(sent_in_a_second(&mut core, 2, 6000) <= 76, "it didn't shrink");
+    assert!(
+        sent_in_a_second(&mut core, 2, 6000) <= 76,
+        "the share didn't shrink at once"
+    );
 }
--- a/crates/flaxtide-policy/tests/quarantine.rs
+++ b/crates/flaxtide-policy/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are quarantined after crashes: a table of cases, a storm of crashes
+//! Which requests are quarantined after crashes: a table of cases, a series of crashes
 //! with many innocent requests beside the culprits, and logs that merge reports in any
 //! order.
 
@@ -13,7 +13,7 @@
 /// A request that crashes servers.
 const CULPRIT: Fingerprint = 1;
 
-/// A request that doesn't.
+/// A request that crashes no server.
 const INNOCENT: Fingerprint = 2;
 
 /// Returns a time in milliseconds.
@@ -71,7 +71,7 @@
             false,
         ),
         (
-            "three copies in quick succession",
+            "three copies in quick succession, each sent after the last crash",
             (0..3)
                 .map(|at| (CULPRIT, at as u32, at * 10, at * 10 + 9, false))
                 .collect(),
@@ -133,6 +133,7 @@
             (0..6)
                 .flat_map(|at: u64| {
                     let culprit = (CULPRIT, at as u32, at * 100, at * 100 + 60, false);
+                    // In this case the request is a second culprit.
                     let second = (INNOCENT, at as u32, at * 100, at * 100 + 60, true);
                     if at < 5 { vec![culprit, second] } else { vec![culprit] }
                 })
@@ -169,11 +170,11 @@
     let mut log = log_of(&alone(0..3));
     let minute = Duration::from_secs(60);
     assert!(log.renew(CULPRIT, minute / 2).is_empty(), "peers have seen it recently");
-    for turn in 1..60 {
-        let now = minute * turn + ms(1000);
+    for minutes in 1..60 {
+        let now = minute * minutes + ms(1000);
         assert_eq!(log.renew(CULPRIT, now).len(), 3);
         log.expire(now);
-        assert!(log.is_quarantined(CULPRIT), "after {turn} minutes");
+        assert!(log.is_quarantined(CULPRIT), "after {minutes} minutes");
     }
     log.expire(minute * 71);
     assert!(log.is_empty());
@@ -196,7 +197,7 @@
 /// that were running on a crashed server go to another one, at most three times. Returns
 /// the number of innocent requests, how many of these were ever quarantined, and how many
 /// servers crashed.
-fn storm(culprits: u128, seed: u64) -> (usize, usize, usize) {
+fn simulate_crashes(culprits: u128, seed: u64) -> (usize, usize, usize) {
     let mut random = StdRng::seed_from_u64(seed);
     let mut log = CrashLog::default();
     let mut running: BTreeMap<u32, Vec<(Fingerprint, u32, u64)>> = BTreeMap::new();
@@ -256,11 +257,11 @@
 }
 
 #[test]
-fn innocent_requests_beside_a_storm_of_crashes_are_served() {
+fn innocent_requests_beside_a_series_of_crashes_are_served() {
     for culprits in [1u128, 5, 20] {
         let (mut all, mut refused, mut crashed) = (0, 0, 0);
         for seed in 0..5 {
-            let (innocent, wrongly, crashes) = storm(culprits, seed);
+            let (innocent, wrongly, crashes) = simulate_crashes(culprits, seed);
             all += innocent;
             refused += wrongly;
             crashed += crashes;
--- a/crates/flaxtide-policy/tests/regression.rs
+++ b/crates/flaxtide-policy/tests/regression.rs
@@ -1,5 +1,5 @@
-//! Regression bounds on the simulated scenarios of the policy bench. A seed makes the
-//! figures exact.
+//! Regression bounds on the simulated scenarios of the policy bench. The figures are
+//! reproducible, as each run is seeded.
 
 #[path = "../benches/lab/mod.rs"]
 mod lab;
@@ -18,42 +18,42 @@
     /// The name of the scenario.
     scenario: &'static str,
     /// The lowest attainment of the class at index [`GRID_DRAFT`].
-    grid: f64,
+    attainment: f64,
     /// The lowest goodput, as a fraction of the ideal policy's.
     goodput: f64,
     /// The most wasted tokens, as a fraction of all tokens.
     wasted: f64,
 }
 
-/// The bounds, slightly below the measured values; see `docs/MEASUREMENTS.md`.
+/// The bounds, slightly looser than the measured values; see `docs/MEASUREMENTS.md`.
 const BOUNDS: [Bound; 5] = [
     Bound {
         scenario: "steady 70%",
-        grid: 0.99,
+        attainment: 0.99,
         goodput: 0.99,
         wasted: 0.001,
     },
     Bound {
         scenario: "burst of grid-draft 1.5x",
-        grid: 0.97,
+        attainment: 0.97,
         goodput: 0.97,
         wasted: 0.001,
     },
     Bound {
         scenario: "stragglers",
-        grid: 0.99,
+        attainment: 0.99,
         goodput: 0.98,
         wasted: 0.02,
     },
     Bound {
         scenario: "crashes",
-        grid: 0.99,
+        attainment: 0.99,
         goodput: 0.98,
         wasted: 0.02,
     },
     Bound {
         scenario: "skewed balancer",
-        grid: 0.99,
+        attainment: 0.99,
         goodput: 0.96,
         wasted: 0.001,
     },
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn figures_stay_within_their_bounds() {
+fn scenarios_stay_within_their_bounds() {
     for seed in SEEDS {
         for bound in &BOUNDS {
             let name = bound.scenario;
@@ -74,7 +74,7 @@
             let ideal = score(name, PolicyKind::Ideal, seed);
             let goodput = own.goodput() / ideal.goodput();
             assert!(
-                own.attainment(GRID_DRAFT) >= bound.grid,
+                own.attainment(GRID_DRAFT) >= bound.attainment,
                 "{name}, seed {seed}: {own:?}"
             );
             assert!(goodput >= bound.goodput, "{name}, seed {seed}: {goodput}");
--- a/crates/flaxtide/src/decide.rs
+++ b/crates/flaxtide/src/decide.rs
@@ -74,7 +74,7 @@
             DecisionMessage::Summarise { take_usage, reply } => {
                 let now = self.shared.now();
                 let usage = match take_usage {
-                    true => self.core.take_usage(),
+                    true => self.core.take_arrival_counts(),
                     false => BTreeMap::new(),
                 };
                 let (pools, slots) = (self.core.summary(), self.core.slots(now));
