--- a/crates/flaxtide-policy/src/core/mod.rs
+++ b/crates/flaxtide-policy/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! The decision core: events and the time go in, actions come out.
+//! The decision core: a state machine that turns events and their times into actions.
 
 mod admit;
 mod dispatch;
@@ -19,15 +19,16 @@
 use crate::budget::RetryBudget;
 use crate::estimate::WorkEstimates;
 use crate::event::PolicyEvent;
-use crate::limit::RateLimit;
+use crate::limit::OrganisationLimit;
 use crate::options::PolicyOptions;
 use crate::rule::{ClassRule, RuleSet};
 use crate::server::{BackendServer, ServerTable};
 
-/// How often every pool is looked at, whatever happens.
-const PUMP_PERIOD: Duration = Duration::from_millis(50);
+/// How often every pool is checked for requests that can be dispatched, whatever events
+/// arrive.
+const DISPATCH_PERIOD: Duration = Duration::from_millis(50);
 
-/// Decides about every request of one entry instance.
+/// Admits, queues and dispatches every request of one entry instance.
 ///
 /// ```
 /// use std::time::Duration;
@@ -37,40 +38,41 @@
 /// ```
 #[derive(Debug)]
 pub struct DecisionCore {
-    /// The tunable constants.
+    /// The tunable options.
     options: PolicyOptions,
-    /// The rules in force.
+    /// The settings in force.
     rules: RuleSet,
-    /// The backend servers.
+    /// The backend servers of the data centre.
     servers: ServerTable,
     /// The pools with their queues.
     pools: BTreeMap<PoolId, PoolState>,
-    /// The requests that have neither been answered nor given up.
+    /// The open requests: those that wait or are at a server.
     calls: HashMap<RequestId, CallRecord>,
-    /// When each waiting request is given up.
+    /// The waiting requests by the time at which they are given up.
     expiries: BTreeSet<(Duration, RequestId)>,
-    /// The limits of organisations.
-    limits: HashMap<OrganisationId, RateLimit>,
-    /// How many requests of each limited organisation came.
-    usage: BTreeMap<OrganisationId, u32>,
-    /// Estimates of answer lengths and service times.
+    /// The token buckets of organisations that have a rate limit.
+    rate_limits: HashMap<OrganisationId, OrganisationLimit>,
+    /// The arrivals of each rate-limited organisation since
+    /// [`take_usage`](Self::take_usage) was last called.
+    arrival_counts: BTreeMap<OrganisationId, u32>,
+    /// Estimates of response lengths and service times.
     estimates: WorkEstimates,
-    /// What may be spent on retries.
-    budget: RetryBudget,
-    /// When every pool was last looked at.
-    pumped: Duration,
-    /// The source of randomness.
+    /// Limits retries of requests that may have run.
+    retry_budget: RetryBudget,
+    /// When all pools were last checked by [`dispatch_if_due`](Self::dispatch_if_due).
+    last_dispatch: Duration,
+    /// The seeded random number generator.
     random: ChaCha8Rng,
-    /// How many instances of the data centre are alive, this one included.
-    live: u32,
-    /// What has been decided in the current event.
+    /// The number of live instances in the data centre, this one included.
+    live_instances: u32,
+    /// The actions decided so far while an event is handled.
     actions: Vec<PolicyAction>,
 }
 
-/// What a pool looks like from outside.
+/// The current load of a pool, as shown in status reports.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PoolSummary {
-    /// Waiting requests by tier.
+    /// The waiting requests, by tier.
     pub waiting: BTreeMap<TierRank, usize>,
     /// This instance's requests at servers, by tier.
     pub running: BTreeMap<TierRank, u32>,
@@ -79,10 +81,10 @@
 }
 
 impl DecisionCore {
-    /// Starts a core without any rules.
+    /// Creates a core without settings. Cores with equal seeds decide alike.
     #[must_use]
     pub fn new(options: PolicyOptions, seed: u64) -> Self {
-        let budget = RetryBudget::new(options.retry_ratio, options.retry_burst);
+        let retry_budget = RetryBudget::new(options.retry_ratio, options.retry_burst);
         Self {
             options,
             rules: RuleSet::default(),
@@ -90,18 +92,19 @@
             pools: BTreeMap::new(),
             calls: HashMap::new(),
             expiries: BTreeSet::new(),
-            limits: HashMap::new(),
-            usage: BTreeMap::new(),
+            rate_limits: HashMap::new(),
+            arrival_counts: BTreeMap::new(),
             estimates: WorkEstimates::default(),
-            budget,
+            retry_budget,
             random: ChaCha8Rng::seed_from_u64(seed),
-            pumped: Duration::ZERO,
-            live: 1,
+            last_dispatch: Duration::ZERO,
+            live_instances: 1,
             actions: vec![],
         }
     }
 
-    /// Takes in what happened at `now` and returns what is to be done, in order.
+    /// Handles an event that happened at `now` and returns the resulting actions, in
+    /// order.
     pub fn handle(&mut self, event: PolicyEvent, now: Duration) -> Vec<PolicyAction> {
         self.expire(now);
         match event {
@@ -120,7 +123,7 @@
             }
             PolicyEvent::Report(report) => {
                 if let Some(server) = self.servers.get_mut(report.server) {
-                    server.report(report);
+                    server.record_report(report);
                 }
             }
             PolicyEvent::ServerLeaving { server, leaving } => {
@@ -134,31 +137,32 @@
             PolicyEvent::Peers { live, fallbacks } => {
                 self.set_peers(live, &fallbacks, now);
             }
-            PolicyEvent::RateShare { organisation, part, until } => {
-                self.set_rate_part(organisation, part, until, now);
+            PolicyEvent::RateShare { organisation, share, until } => {
+                self.set_rate_share(organisation, share, until, now);
             }
             PolicyEvent::Tick => {}
         }
-        self.pump_due(now);
+        self.dispatch_if_due(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// Dispatches what time alone makes possible, such as a retry whose server is back:
-    /// with every event, but not too often. Ticks may be starved by other events.
-    fn pump_due(&mut self, now: Duration) {
-        if now >= self.pumped + PUMP_PERIOD {
-            self.pumped = now;
-            self.pump_all(now);
+    /// Dispatches requests that became dispatchable by the passing of time alone, such as
+    /// a retry whose server is in service again. Runs on any event, at most once in
+    /// [`DISPATCH_PERIOD`], because ticks may be delayed by other events.
+    fn dispatch_if_due(&mut self, now: Duration) {
+        if now >= self.last_dispatch + DISPATCH_PERIOD {
+            self.last_dispatch = now;
+            self.dispatch_all(now);
         }
     }
 
-    /// Returns when [`PolicyEvent::Tick`] is next needed, if any request waits.
+    /// Returns when [`PolicyEvent::Tick`] is next needed; `None` while no request waits.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Duration> {
         self.expiries.first().map(|(at, _)| *at)
     }
 
-    /// Returns how each pool stands.
+    /// Returns the current load of each pool.
     #[must_use]
     pub fn summary(&self) -> BTreeMap<PoolId, PoolSummary> {
         self.pools
@@ -167,7 +171,7 @@
             .collect()
     }
 
-    /// Returns this instance's share of each server's slots, and how many it uses.
+    /// Returns, for each server, this instance's share of its slots and how many it uses.
     #[must_use]
     pub fn slots(&self, now: Duration) -> BTreeMap<ServerId, (u32, u32)> {
         let entry = |server: &BackendServer| (server.share(now), server.running());
@@ -177,38 +181,39 @@
             .collect()
     }
 
-    /// Returns how many requests are waiting or at servers.
+    /// Returns the number of requests that are waiting or at servers.
     #[must_use]
     pub fn open_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Puts new rules in force. Requests keep what was in force when they came.
+    /// Puts new settings in force. Open requests keep the tier and expiry that they were
+    /// admitted with.
     fn set_rules(&mut self, rules: RuleSet, now: Duration) {
         self.servers.set_rules(&rules.servers);
         for state in self.pools.values_mut() {
             state.servers.members.clear();
-            state.servers.places.clear();
+            state.servers.indices.clear();
         }
-        for (place, server) in self.servers.iter() {
+        for (index, server) in self.servers.iter() {
             for pool in &server.pools {
                 let pool = &mut self.pools.entry(*pool).or_default().servers;
                 pool.members.push(server.server);
-                pool.places.push(place);
+                pool.indices.push(index);
             }
         }
         self.rules = rules;
         self.refresh_all(now);
-        self.pump_all(now);
+        self.dispatch_all(now);
     }
 
-    /// Returns how many requests of each limited organisation came since the last call,
-    /// refused ones included.
+    /// Returns how many requests of each rate-limited organisation arrived since the last
+    /// call, refused ones included.
     pub fn take_usage(&mut self) -> BTreeMap<OrganisationId, u32> {
-        std::mem::take(&mut self.usage)
+        std::mem::take(&mut self.arrival_counts)
     }
 
-    /// Takes in whether a server is leaving.
+    /// Records whether a server is leaving.
     fn set_leaving(&mut self, server: ServerId, leaving: bool, now: Duration) {
         let Some(server) = self.servers.get_mut(server) else { return };
         if server.leaving == leaving {
@@ -216,39 +221,40 @@
         }
         server.leaving = leaving;
         self.refresh_all(now);
-        self.pump_all(now);
+        self.dispatch_all(now);
     }
 
-    /// Sets how many instances are alive, and the shares that hold without news.
+    /// Sets the number of live instances and the slot shares to use while no granted
+    /// share is in force.
     fn set_peers(&mut self, live: u32, fallbacks: &[(ServerId, u32)], now: Duration) {
-        self.live = live.max(1);
+        self.live_instances = live.max(1);
         for (server, slots) in fallbacks {
             if let Some(server) = self.servers.get_mut(*server) {
-                server.fallback = *slots;
+                server.fallback_share = *slots;
             }
         }
         self.refresh_all(now);
-        self.pump_all(now);
+        self.dispatch_all(now);
     }
 
-    /// Sets this instance's part of an organisation's rate.
-    fn set_rate_part(
+    /// Sets this instance's share of an organisation's rate limit.
+    fn set_rate_share(
         &mut self,
         organisation: OrganisationId,
-        part: f64,
+        share: f64,
         until: Duration,
         now: Duration,
     ) {
         let Some(rule) = self.rules.organisations.get(&organisation) else { return };
         let Some(rate) = rule.requests_per_second else { return };
         let limit = self
-            .limits
+            .rate_limits
             .entry(organisation)
-            .or_insert_with(|| RateLimit::new(f64::from(rate) * part, now));
-        limit.set_part(part, until);
+            .or_insert_with(|| OrganisationLimit::new(f64::from(rate) * share, now));
+        limit.set_share(share, until);
     }
 
-    /// Returns a class's rule, if it has one.
+    /// Returns the rule of a class, if the settings have one.
     fn class_rule(&self, class: ClassId) -> Option<&ClassRule> {
         self.rules.classes.get(&class)
     }
--- a/crates/flaxtide-policy/src/lease.rs
+++ b/crates/flaxtide-policy/src/lease.rs
@@ -1,25 +1,27 @@
-//! A lease with a fencing number (Kleppmann, "How to do distributed locking", 2016), over
-//! one row of the platform's table.
+//! A lease with fencing tokens (Kleppmann, "How to do distributed locking", 2016), kept
+//! in one row of the platform's table.
 //!
-//! Only time spans of one's own clock count. A holder counts its lease from before it asked
-//! for it; everyone else takes it over only after having seen the same version of the row
-//! for a whole term. So the old lease is over before the new one begins. A holder that stops
-//! says so in the row, and the lease is free at once.
+//! Clocks of instances are never compared: each instance measures time spans on its own
+//! clock. A holder counts its term from before it sent the write that acquired or renewed
+//! the lease. Any other instance takes the lease over only after it has seen the same
+//! version of the row for a whole term. So the old lease has expired before the new one
+//! begins. A holder that stops marks the row as released, and the lease can be taken at
+//! once.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How long a lease holds, and how it is kept.
+/// The term of a lease and the periods at which it is read and renewed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTiming {
     /// How long a lease holds without being renewed.
     pub term: Duration,
-    /// How often a lease is renewed, and looked at by those who don't hold it.
+    /// How often the holder renews the lease, and other instances read its row.
     pub poll_period: Duration,
-    /// How soon the row is read again after a write without an answer.
+    /// How soon the row is read again after a write whose result is unknown.
     pub check_period: Duration,
-    /// An order takes at most so long to reach a server, or doesn't.
+    /// An order that hasn't reached its server after this time never will.
     pub longest_delivery: Duration,
 }
 
@@ -34,35 +36,36 @@
     }
 }
 
-/// What the table holds for a lease.
+/// The row of a lease in the platform's table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Who holds it: a name and an epoch, so that a restarted instance is another.
+    /// The holder's name and epoch; a restarted instance has another epoch, so it is
+    /// another holder.
     pub holder: String,
-    /// The fencing number; each holder has a higher one than the one before.
+    /// The fencing token; each holder uses a higher one than the holder before it.
     pub fence: u64,
-    /// Whether the holder has given it up.
+    /// Whether the holder has released the lease.
     #[serde(default)]
     pub released: bool,
 }
 
-/// What to do about a lease.
+/// What an instance should do next about a lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseStep {
     /// Nothing for now.
     Wait,
     /// Read the row.
     Read,
-    /// Write the row if the table's row has this version; nothing means no row.
+    /// Write the row if the version in the table is as expected.
     Write {
-        /// The version that must be found.
+        /// The version that the table must hold; `None` if it must hold no row.
         expected: Option<u64>,
-        /// The row.
+        /// The row to write.
         row: LeaseRow,
     },
 }
 
-/// One instance's view of a lease.
+/// One instance's view of a lease: decides when to read, acquire, renew and release it.
 ///
 /// ```
 /// use std::time::Duration;
@@ -77,132 +80,139 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct LeaseWatch {
-    /// Who looks.
-    own: String,
-    /// How long things take.
+    /// The name and epoch of this instance, as written into the row.
+    holder: String,
+    /// The term and periods of the lease.
     timing: LeaseTiming,
-    /// Since when it has looked.
+    /// When this instance started to watch the lease.
     started: Duration,
-    /// Each fencing number of its own is above this.
-    floor: u64,
-    /// The row as last seen, with its version, and since when it has been so.
-    seen: Option<(LeaseRow, u64, Duration)>,
-    /// When the row was last read or written.
-    looked: Option<Duration>,
-    /// The lease, while this instance holds it.
+    /// The highest fencing token that may have been used; new ones are higher.
+    highest_fence: u64,
+    /// The row as last read or written, its version, and when that version was first
+    /// seen.
+    last_row: Option<(LeaseRow, u64, Duration)>,
+    /// When the row was last read or written; `None` if it should be accessed at once.
+    last_access: Option<Duration>,
+    /// The lease, if this instance acquired it and hasn't lost it since. It may have
+    /// expired.
     held: Option<HeldLease>,
-    /// Until when it may have held the lease last.
+    /// When the last lease of this instance expires or expired.
     held_until: Duration,
-    /// A write of which it isn't known whether it has taken effect.
-    unknown: Option<UnknownWrite>,
-    /// What the holder is to change in the row.
-    change: Option<LeaseChange>,
+    /// A write whose result is unknown.
+    unconfirmed: Option<UnconfirmedWrite>,
+    /// What the holder's next write should change besides renewing the lease.
+    pending_change: Option<LeaseChange>,
 }
 
-/// A lease that is held.
+/// A lease that was acquired by this instance.
 #[derive(Debug, Clone, Copy)]
 struct HeldLease {
-    /// The fencing number.
+    /// The fencing token.
     fence: u64,
     /// The version of the row.
     version: u64,
-    /// When it was got.
-    since: Duration,
-    /// From when it was last renewed: before that was asked for.
-    from: Duration,
+    /// When the lease was acquired.
+    acquired_at: Duration,
+    /// When the write that last renewed the lease was sent; the term counts from then.
+    renewed_at: Duration,
 }
 
-/// A write without an answer.
+/// A write whose result is unknown.
 #[derive(Debug, Clone, Copy)]
-struct UnknownWrite {
-    /// The fencing number in it.
+struct UnconfirmedWrite {
+    /// The fencing token that it writes.
     fence: u64,
-    /// When it was first asked for.
-    asked: Duration,
+    /// When the first of such writes was sent.
+    requested_at: Duration,
 }
 
 /// A change that a holder makes with its next write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaseChange {
-    /// A higher fencing number.
-    Renumber,
-    /// The end of the lease.
+    /// Take a higher fencing token.
+    AdvanceFence,
+    /// Release the lease.
     Release,
 }
 
 impl LeaseWatch {
-    /// Starts without knowing anything.
+    /// Creates a watch that hasn't read the row yet.
     #[must_use]
-    pub fn new(own: String, timing: LeaseTiming, now: Duration) -> Self {
+    pub fn new(holder: String, timing: LeaseTiming, now: Duration) -> Self {
         Self {
-            own,
+            holder,
             timing,
             started: now,
-            floor: 0,
-            seen: None,
-            looked: None,
+            highest_fence: 0,
+            last_row: None,
+            last_access: None,
             held: None,
             held_until: Duration::ZERO,
-            unknown: None,
-            change: None,
+            unconfirmed: None,
+            pending_change: None,
         }
     }
 
-    /// Keeps each fencing number of this instance above a number that may have been used, as
-    /// by a holder that a store which came back from a copy has forgotten. A lease under a lower
-    /// number is lost.
-    pub fn raise_min_fence(&mut self, used: u64) {
-        self.floor = self.floor.max(used);
+    /// Records that fencing tokens up to `used` may have been used, for example by a
+    /// holder that a table restored from a backup doesn't know. A lease with such a token
+    /// is lost.
+    pub fn record_used_fence(&mut self, used: u64) {
+        self.highest_fence = self.highest_fence.max(used);
         if self.held.is_some_and(|held| held.fence <= used) {
             self.held = None;
         }
-        self.unknown = self.unknown.filter(|write| write.fence > used);
+        self.unconfirmed = self.unconfirmed.filter(|write| write.fence > used);
     }
 
-    /// Has the holder take a higher fencing number, so that what it has sent under the present
-    /// one is refused if it arrives later.
+    /// Makes the holder take a higher fencing token, so that servers refuse what was sent
+    /// with the current one and arrives after the change.
     pub fn advance_fence(&mut self) {
-        if self.held.is_some() && self.change.is_none() {
-            self.change = Some(LeaseChange::Renumber);
+        if self.held.is_some() && self.pending_change.is_none() {
+            self.pending_change = Some(LeaseChange::AdvanceFence);
         }
     }
 
-    /// Has the holder write the row at once.
+    /// Makes the holder renew the lease at its next step, without waiting for the poll
+    /// period.
     pub fn renew(&mut self) {
         if self.held.is_some() {
-            self.looked = None;
+            self.last_access = None;
         }
     }
 
-    /// Records that somebody else has used a higher fencing number: the lease is lost, whatever
-    /// the row says.
+    /// Records that another instance has used a higher fencing token. The lease is lost,
+    /// whatever the row says.
     pub fn record_lost(&mut self) {
         self.held = None;
-        self.seen = None;
-        self.unknown = None;
-        self.change = self.change.filter(|change| *change == LeaseChange::Release);
+        self.last_row = None;
+        self.unconfirmed = None;
+        self.pending_change =
+            self.pending_change.filter(|change| *change == LeaseChange::Release);
     }
 
-    /// Returns whether the lease holds, and gets another number.
+    /// Returns whether the lease holds but its holder is taking a higher fencing token.
     #[must_use]
     pub fn is_advancing_fence(&self, now: Duration) -> bool {
-        self.change == Some(LeaseChange::Renumber) && self.current(now).is_some()
+        self.pending_change == Some(LeaseChange::AdvanceFence)
+            && self.current_lease(now).is_some()
     }
 
-    /// Gives the lease up, and stands for it no more.
+    /// Releases the lease, if held, and stops this instance from acquiring it again.
     pub fn release(&mut self) {
-        self.change = Some(LeaseChange::Release);
+        self.pending_change = Some(LeaseChange::Release);
     }
 
-    /// Returns whether nothing is left to be done after a release.
+    /// Returns whether [`release`](Self::release) was called and the lease isn't held any
+    /// more.
     #[must_use]
     pub fn is_released(&self, now: Duration) -> bool {
-        self.change == Some(LeaseChange::Release) && self.current(now).is_none()
+        self.pending_change == Some(LeaseChange::Release)
+            && self.current_lease(now).is_none()
     }
 
-    /// Returns the lease, if it holds.
-    fn current(&self, now: Duration) -> Option<HeldLease> {
-        self.held.filter(|held| now < held.from + self.timing.term)
+    /// Returns the lease, if it hasn't expired.
+    fn current_lease(&self, now: Duration) -> Option<HeldLease> {
+        self.held.filter(|held| now < held.renewed_at + self.timing.term)
     }
 
     /// Returns what to do next.
@@ -211,12 +221,12 @@
         if self.is_released(now) {
             return LeaseStep::Wait;
         }
-        if let Some(held) = self.current(now) {
-            return self.step_of_holder(held, now);
+        if let Some(held) = self.current_lease(now) {
+            return self.holder_step(held, now);
         }
-        let Some(looked) = self.looked else { return LeaseStep::Read };
-        if now == looked && self.is_free(now) {
-            return self.take();
+        let Some(last_access) = self.last_access else { return LeaseStep::Read };
+        if now == last_access && self.is_free(now) {
+            return self.acquire_step();
         }
         if self.is_due(now, self.timing.poll_period) {
             return LeaseStep::Read;
@@ -224,149 +234,154 @@
         LeaseStep::Wait
     }
 
-    /// Returns what a holder is to do next.
-    fn step_of_holder(&self, held: HeldLease, now: Duration) -> LeaseStep {
-        if self.unknown.is_some() {
-            if self.looked != Some(now) {
+    /// Returns what the holder should do next.
+    fn holder_step(&self, held: HeldLease, now: Duration) -> LeaseStep {
+        if self.unconfirmed.is_some() {
+            if self.last_access != Some(now) {
                 let due = self.is_due(now, self.timing.check_period);
                 return if due { LeaseStep::Read } else { LeaseStep::Wait };
             }
-        } else if self.change.is_none() && !self.is_due(now, self.timing.poll_period) {
+        } else if self.pending_change.is_none()
+            && !self.is_due(now, self.timing.poll_period)
+        {
             return LeaseStep::Wait;
         }
-        let renumbered = self.change == Some(LeaseChange::Renumber);
+        let advances = self.pending_change == Some(LeaseChange::AdvanceFence);
         let row = LeaseRow {
-            holder: self.own.clone(),
-            fence: held.fence + u64::from(renumbered),
-            released: self.change == Some(LeaseChange::Release),
+            holder: self.holder.clone(),
+            fence: held.fence + u64::from(advances),
+            released: self.pending_change == Some(LeaseChange::Release),
         };
         LeaseStep::Write { expected: Some(held.version), row }
     }
 
-    /// Returns whether so long has passed since the last look.
+    /// Returns whether the row was last accessed at least `period` ago.
     fn is_due(&self, now: Duration, period: Duration) -> bool {
-        self.looked.is_none_or(|looked| now >= looked + period)
+        self.last_access.is_none_or(|last_access| now >= last_access + period)
     }
 
-    /// Returns whether the lease may be taken, as of the last look.
+    /// Returns whether the lease can be acquired, according to the last read.
     fn is_free(&self, now: Duration) -> bool {
-        // A store that came back from a copy may not know the present holder, and that holder may
-        // give the lease up. The holder before it isn't to follow: this instance, or its last life.
+        // A table restored from a backup may not know the current holder, and that holder
+        // may release the lease. The holder before it, which may be this instance or its
+        // previous incarnation, must not take the lease back within a term.
         let last = self.started.max(self.held_until);
         let settled = now >= last + self.timing.term;
-        let Some((row, _, since)) = &self.seen else {
-            // Nobody has a number yet.
-            return self.floor == 0 || settled;
+        let Some((row, _, since)) = &self.last_row else {
+            // No holder is known to have used a fencing token yet.
+            return self.highest_fence == 0 || settled;
         };
         (row.released && settled) || now >= *since + self.timing.term
     }
 
-    /// Returns the step that takes the lease.
-    fn take(&self) -> LeaseStep {
-        let expected = self.seen.as_ref().map(|(_, version, _)| *version);
+    /// Returns the write that acquires the lease.
+    fn acquire_step(&self) -> LeaseStep {
+        let expected = self.last_row.as_ref().map(|(_, version, _)| *version);
         let row = LeaseRow {
-            holder: self.own.clone(),
+            holder: self.holder.clone(),
             fence: self.next_fence(),
             released: false,
         };
         LeaseStep::Write { expected, row }
     }
 
-    /// Returns a fencing number above all that are known to have been used.
+    /// Returns a fencing token that is higher than all that may have been used.
     fn next_fence(&self) -> u64 {
-        let last = self.seen.as_ref().map_or(0, |(row, _, _)| row.fence);
-        last.max(self.floor) + 1
+        let last = self.last_row.as_ref().map_or(0, |(row, _, _)| row.fence);
+        last.max(self.highest_fence) + 1
     }
 
-    /// Records the row as it is in the table.
+    /// Records the result of a read: the row and its version, if there is one.
     pub fn record_read(&mut self, row: Option<(LeaseRow, u64)>, now: Duration) {
-        self.looked = Some(now);
+        self.last_access = Some(now);
         let Some((row, version)) = row else {
             self.held = None;
-            self.seen = None;
+            self.last_row = None;
             return;
         };
         let unchanged = match self.held {
             Some(held) => held.version == version,
-            None => self.seen.as_ref().is_some_and(|(_, last, _)| *last == version),
+            None => self.last_row.as_ref().is_some_and(|(_, last, _)| *last == version),
         };
         if !unchanged {
-            // A write that had no answer has taken effect, or never will.
-            let write = self.unknown.take();
+            // An unconfirmed write has taken effect by now, or can't any more.
+            let write = self.unconfirmed.take();
             let written = write.filter(|write| {
-                row.holder == self.own && row.fence == write.fence && !row.released
+                row.holder == self.holder && row.fence == write.fence && !row.released
             });
-            match written.filter(|write| now < write.asked + self.timing.term) {
-                Some(write) => self.hold(write.fence, version, write.asked),
+            match written.filter(|write| now < write.requested_at + self.timing.term) {
+                Some(write) => self.set_held(write.fence, version, write.requested_at),
                 None => self.held = None,
             }
         }
-        let same = self.seen.as_ref().is_some_and(|(_, last, _)| *last == version);
+        let same = self.last_row.as_ref().is_some_and(|(_, last, _)| *last == version);
         if !same {
-            self.seen = Some((row, version, now));
+            self.last_row = Some((row, version, now));
         }
     }
 
-    /// Records whether the write of a row that was asked for at `asked` made a new version;
-    /// nothing if the table's row was another, or no answer came.
+    /// Records the result of a write that was sent at `requested_at`: the new version of
+    /// the row, or `None` if the condition failed or no reply came.
     pub fn record_write(
         &mut self,
         row: &LeaseRow,
         version: Option<u64>,
-        asked: Duration,
+        requested_at: Duration,
     ) {
-        self.looked = Some(asked);
+        self.last_access = Some(requested_at);
         let Some(version) = version else {
-            // Whether it took effect shows at the next look. Until then it counts from the
-            // first of such writes.
-            let first = self.unknown.map_or(asked, |write| write.asked);
-            self.unknown = Some(UnknownWrite { fence: row.fence, asked: first });
+            // The next read shows whether the write took effect. If it did, the term
+            // counts from the first of the unconfirmed writes, as any of them may be the
+            // one.
+            let first = self.unconfirmed.map_or(requested_at, |write| write.requested_at);
+            self.unconfirmed =
+                Some(UnconfirmedWrite { fence: row.fence, requested_at: first });
             if self.held.is_none() {
-                self.looked = None;
+                self.last_access = None;
             }
             return;
         };
-        self.unknown = None;
+        self.unconfirmed = None;
         if row.released {
             self.held = None;
             return;
         }
-        self.hold(row.fence, version, asked);
-        // The last writer may take it again a term later.
-        self.seen = Some((row.clone(), version, asked));
+        self.set_held(row.fence, version, requested_at);
+        // After a term without changes this instance, too, may acquire the lease again.
+        self.last_row = Some((row.clone(), version, requested_at));
     }
 
-    /// Holds the lease from a time on.
-    fn hold(&mut self, fence: u64, version: u64, from: Duration) {
-        if self.change == Some(LeaseChange::Renumber)
+    /// Records that the lease is held, with its term counted from `renewed_at`.
+    fn set_held(&mut self, fence: u64, version: u64, renewed_at: Duration) {
+        if self.pending_change == Some(LeaseChange::AdvanceFence)
             && self.held.is_some_and(|held| held.fence < fence)
         {
-            self.change = None;
+            self.pending_change = None;
         }
-        let since = self.held.map_or(from, |held| held.since);
-        self.held = Some(HeldLease { fence, version, since, from });
-        self.held_until = from + self.timing.term;
-        self.floor = self.floor.max(fence);
+        let acquired_at = self.held.map_or(renewed_at, |held| held.acquired_at);
+        self.held = Some(HeldLease { fence, version, acquired_at, renewed_at });
+        self.held_until = renewed_at + self.timing.term;
+        self.highest_fence = self.highest_fence.max(fence);
     }
 
-    /// Returns the fencing number with which an order may be sent now, if any.
+    /// Returns the fencing token with which an order may be sent now; `None` if none may.
     ///
-    /// A server that checks fencing numbers may get orders while the lease holds. One that
-    /// doesn't gets them only while they are sure to arrive within the lease, and after all
-    /// orders of the holder before have arrived or got lost.
+    /// A server that checks fencing tokens may get orders while the lease holds. Others
+    /// get orders only while these are sure to arrive before the lease expires, and once
+    /// all orders of the previous holder have arrived or been lost.
     #[must_use]
     pub fn fence(&self, now: Duration, server_checks: bool) -> Option<u64> {
-        // While it gets another number, neither may be used.
-        if self.change.is_some() {
+        // While the token is being replaced, neither the old nor the new one may be used.
+        if self.pending_change.is_some() {
             return None;
         }
         let held = self.held?;
-        let end = held.from + self.timing.term;
+        let end = held.renewed_at + self.timing.term;
         let delivery = self.timing.longest_delivery;
         let (begin, end) = if server_checks {
-            (held.since, end)
+            (held.acquired_at, end)
         } else {
-            (held.since + delivery, end.saturating_sub(delivery))
+            (held.acquired_at + delivery, end.saturating_sub(delivery))
         };
         (now >= begin && now < end).then_some(held.fence)
     }
