--- a/crates/flaxtide-fleet/src/news.rs
+++ b/crates/flaxtide-fleet/src/news.rs
@@ -3,30 +3,30 @@
 use std::collections::VecDeque;
 
 /// The most keys whose news are kept for peers that haven't been told.
-const MOST_NEWS: usize = 512;
+const MAX_CHANGES: usize = 512;
 
 /// The keys of which an instance has news for its peers, numbered in order.
 #[derive(Debug)]
-pub(crate) struct NewsQueue<Key> {
+pub(crate) struct ChangeQueue<Key> {
     /// The keys, the newest last.
     entries: VecDeque<(u64, Key)>,
     /// The number of the last news.
     last: u64,
 }
 
-impl<Key> Default for NewsQueue<Key> {
+impl<Key> Default for ChangeQueue<Key> {
     fn default() -> Self {
         Self { entries: VecDeque::new(), last: 0 }
     }
 }
 
-impl<Key: Copy + PartialEq> NewsQueue<Key> {
+impl<Key: Copy + PartialEq> ChangeQueue<Key> {
     /// Adds news of a key.
     pub(crate) fn push(&mut self, key: Key) {
         self.last += 1;
         self.entries.retain(|(_, known)| *known != key);
         self.entries.push_back((self.last, key));
-        if self.entries.len() > MOST_NEWS {
+        if self.entries.len() > MAX_CHANGES {
             self.entries.pop_front();
         }
     }
--- a/crates/flaxtide-fleet/src/node/digest.rs
+++ b/crates/flaxtide-fleet/src/node/digest.rs
@@ -11,18 +11,18 @@
 use crate::wire::{GroupDigest, GroupHello, OwnLoad, PartRead};
 
 /// How many further contacts a digest names: enough to replace one that is lost.
-const CONTACTS_TOLD: usize = 2;
+const MAX_DIGEST_CONTACTS: usize = 2;
 
 /// How many parts of prompts a digest tells at most: those that a data centre of fifty
 /// instances reads in a second under load.
-const READS_TOLD: usize = 96;
+const MAX_DIGEST_READS: usize = 96;
 
 /// The bytes of a load or a read in a digest, about.
 const ENTRY_BYTES: f64 = 11.0;
 
 /// How many bytes of digests an instance asks for in a second, from all other data centres
 /// together: with its heartbeats within the 17 KB/s of control.
-const DIGEST_RATE: f64 = 6_000.0;
+const DIGEST_BYTES_PER_SECOND: f64 = 6_000.0;
 
 /// A question for a digest on its way to a contact.
 #[derive(Debug, Clone, PartialEq)]
@@ -37,20 +37,20 @@
 #[derive(Debug, Default)]
 pub(super) struct GroupReads {
     /// The reads, and when they were heard.
-    heard: VecDeque<(Duration, PartRead)>,
+    entries: VecDeque<(Duration, PartRead)>,
 }
 
 impl GroupReads {
     /// Records reads.
     pub(super) fn record(&mut self, reads: &[PartRead], now: Duration) {
-        self.heard.extend(reads.iter().map(|read| (now, *read)));
-        let surplus = self.heard.len().saturating_sub(READS_TOLD);
-        self.heard.drain(..surplus);
+        self.entries.extend(reads.iter().map(|read| (now, *read)));
+        let surplus = self.entries.len().saturating_sub(MAX_DIGEST_READS);
+        self.entries.drain(..surplus);
     }
 
     /// Returns the reads that were heard within a span, the newest first.
     fn within(&self, span: Duration, now: Duration) -> Vec<PartRead> {
-        let newest = self.heard.iter().rev();
+        let newest = self.entries.iter().rev();
         let recent = newest.take_while(|(at, _)| now < *at + span);
         recent.map(|(_, read)| *read).collect()
     }
@@ -60,7 +60,7 @@
     /// Returns the questions for digests that are due, one to a contact in each other data
     /// centre.
     pub fn due_hellos(&mut self, now: Duration) -> Vec<OutgoingHello> {
-        if self.group.joint || !self.uses_digests() {
+        if self.group.is_single || !self.uses_digests() {
             return vec![];
         }
         let contacts = self.due_contacts(now);
@@ -75,10 +75,10 @@
     /// Handles a question from another data centre. Returns this one's digest.
     pub fn handle_hello(&mut self, hello: &GroupHello, now: Duration) -> GroupDigest {
         self.record_hello(hello, now);
-        let home: Vec<&PeerRecord> = self.home_peers(now).collect();
+        let home: Vec<&PeerRecord> = self.live_data_centre_peers(now).collect();
         GroupDigest {
             hello: self.hello(now),
-            contacts: self.some_of(&home),
+            contacts: self.rotating_contacts(&home),
             loads: sum_loads(home.iter().map(|peer| &peer.loads), &self.status.loads),
             reads: self.recent_reads(now),
         }
@@ -98,8 +98,8 @@
         if let Some(group) = self.group.others.get_mut(&data_centre) {
             group.record_answer(now);
         }
-        self.servers_told = digest.loads.len();
-        if self.group.joint {
+        self.digest_load_count = digest.loads.len();
+        if self.group.is_single {
             // Its instances tell of themselves.
             return vec![];
         }
@@ -117,7 +117,7 @@
         let peers = self.reads.within(self.digest_period() * 2, now);
         let mut reads = self.status.reads.clone();
         reads.extend(peers);
-        reads.truncate(READS_TOLD);
+        reads.truncate(MAX_DIGEST_READS);
         reads
     }
 
@@ -125,9 +125,10 @@
     /// there is to tell, and the more others there are.
     pub(super) fn digest_period(&self) -> Duration {
         let groups = self.group.others.len() as f64;
-        let entries = self.servers_told as f64 + READS_TOLD as f64;
-        let period =
-            Duration::from_secs_f64(groups * entries * ENTRY_BYTES / DIGEST_RATE);
+        let entries = self.digest_load_count as f64 + MAX_DIGEST_READS as f64;
+        let period = Duration::from_secs_f64(
+            groups * entries * ENTRY_BYTES / DIGEST_BYTES_PER_SECOND,
+        );
         let timing = &self.timing;
         period.clamp(timing.shortest_digest_period, timing.longest_digest_period)
     }
@@ -139,20 +140,20 @@
             epoch: self.epoch,
             leaving: self.leaving,
             version: self.version(),
-            live: self.home_peers(now).count() as u16 + 1,
+            live: self.live_data_centre_peers(now).count() as u16 + 1,
             duty: self.duty,
         }
     }
 
     /// Records how an instance of another data centre is.
     fn record_hello(&mut self, hello: &GroupHello, now: Duration) {
-        if self.is_home(&hello.from) {
+        if self.in_own_data_centre(&hello.from) {
             return;
         }
         self.record_duty_holder(hello.duty);
         self.forget_seed(&hello.from);
         self.add_peer(hello.from.clone(), false);
-        let timeout = self.far_liveness_timeout();
+        let timeout = self.contact_liveness_timeout();
         if let Some(peer) = self.peers.get_mut(&hello.from.name) {
             peer.crashes.compare |= !peer.heard_within(now, timeout);
             peer.hear(hello.epoch, hello.leaving, hello.version, now);
@@ -162,18 +163,22 @@
     }
 
     /// Returns a few of the peers of this data centre, others each time.
-    fn some_of(&self, home: &[&PeerRecord]) -> Vec<PeerInfo> {
-        let start = self.rounds as usize * CONTACTS_TOLD % home.len().max(1);
-        let turn = home.iter().cycle().skip(start).take(CONTACTS_TOLD.min(home.len()));
+    fn rotating_contacts(&self, home: &[&PeerRecord]) -> Vec<PeerInfo> {
+        let start = self.rounds as usize * MAX_DIGEST_CONTACTS % home.len().max(1);
+        let turn = home
+            .iter()
+            .cycle()
+            .skip(start)
+            .take(MAX_DIGEST_CONTACTS.min(home.len()));
         turn.map(|peer| peer.info.clone()).collect()
     }
 
     /// Returns the live peers of this instance's data centre.
-    fn home_peers(&self, now: Duration) -> impl Iterator<Item = &PeerRecord> {
+    fn live_data_centre_peers(&self, now: Duration) -> impl Iterator<Item = &PeerRecord> {
         let timeout = self.liveness_timeout();
-        self.peers
-            .values()
-            .filter(move |peer| self.is_home(&peer.info) && peer.alive(now, timeout))
+        self.peers.values().filter(move |peer| {
+            self.in_own_data_centre(&peer.info) && peer.alive(now, timeout)
+        })
     }
 }
 
--- a/crates/flaxtide-fleet/src/node/divide.rs
+++ b/crates/flaxtide-fleet/src/node/divide.rs
@@ -18,7 +18,7 @@
     pub fn fallback_shares(&self, now: Duration) -> Vec<ServerShare> {
         let timeout = self.liveness_timeout();
         let counts = |peer: &&PeerRecord| {
-            self.is_near(peer)
+            self.in_own_group(peer)
                 && !peer.leaving
                 && (peer.listed || peer.alive(now, timeout))
         };
@@ -43,7 +43,7 @@
         let shares = self.shares_of(&self.own.name).into_iter();
         let shares = shares.map(|share| FleetNotice::Share(share, until));
         let own: Vec<FleetKey> = self.usage.keys().copied().collect();
-        let parts = self.parts_of(&self.own.name, &own).into_iter();
+        let parts = self.rate_parts_of(&self.own.name, &own).into_iter();
         shares
             .chain(parts.map(|part| FleetNotice::Rate(part, until)))
             .collect()
@@ -89,7 +89,7 @@
 
     /// Returns an instance's parts of the rates of some organisations, of those that this
     /// instance keeps.
-    pub(super) fn parts_of(
+    pub(super) fn rate_parts_of(
         &self,
         name: &str,
         organisations: &[FleetKey],
@@ -131,7 +131,7 @@
     /// Returns this data centre's part of a rate: by how many of the known instances
     /// stand in it.
     pub(super) fn data_centre_part(&self) -> f64 {
-        let near = self.peers.values().filter(|peer| self.is_near(peer)).count() + 1;
+        let near = self.peers.values().filter(|peer| self.in_own_group(peer)).count() + 1;
         near as f64 / (self.peers.len() + 1) as f64
     }
 }
--- a/crates/flaxtide-fleet/src/node/duty.rs
+++ b/crates/flaxtide-fleet/src/node/duty.rs
@@ -9,11 +9,11 @@
 
 /// How many instances stand for the duties if all are one group. If each data centre is one,
 /// one instance of each does.
-const CANDIDATES: usize = 3;
+const MAX_CANDIDATES: usize = 3;
 
 /// How long an instance that has just started waits before it stands for the duties: until it
 /// has met its peers, and knows that others do.
-const SETTLING: Duration = Duration::from_millis(1500);
+const STARTUP_DELAY: Duration = Duration::from_millis(1500);
 
 impl FleetNode {
     /// Records who holds the duties, if that is news: of two holders, the one with the higher
@@ -36,13 +36,13 @@
     /// few for a while is harmless.
     #[must_use]
     pub fn is_duty_candidate(&self, now: Duration) -> bool {
-        if self.leaving || now < SETTLING {
+        if self.leaving || now < STARTUP_DELAY {
             return false;
         }
-        let places = if self.group.joint { CANDIDATES } else { 1 };
-        let end = places.min(self.list_order.len());
-        let first = self.list_order[..end].iter();
-        self.list_order.is_empty()
+        let places = if self.group.is_single { MAX_CANDIDATES } else { 1 };
+        let end = places.min(self.reader_order.len());
+        let first = self.reader_order[..end].iter();
+        self.reader_order.is_empty()
             || first.into_iter().any(|place| self.live[*place] == self.own.name)
     }
 
--- a/crates/flaxtide-fleet/src/node/group.rs
+++ b/crates/flaxtide-fleet/src/node/group.rs
@@ -23,24 +23,24 @@
 
 /// For how long the last count of another data centre's instances holds. A data centre that
 /// is cut off goes on drawing on what all share, such as the retry budget.
-const COUNT_LIFE: Duration = Duration::from_secs(60);
+const COUNT_LIFETIME: Duration = Duration::from_secs(60);
 
 /// How long a contact may take to answer before another is called.
-const ANSWER_WAIT: Duration = Duration::from_secs(1);
+const CONTACT_ANSWER_WAIT: Duration = Duration::from_secs(1);
 
 /// For how long a fleet that was divided into groups stays so: until digests have told how
 /// large it is.
-const DIVIDED_AT_LEAST: Duration = Duration::from_secs(10);
+const MIN_DIVIDED_TIME: Duration = Duration::from_secs(10);
 
 /// A divided fleet becomes one group again below this part of the size at which it is
 /// divided, so that a few joins and leaves don't change it to and fro.
-const REUNITED_PART: f64 = 0.75;
+const REUNITE_FRACTION: f64 = 0.75;
 
 /// How an instance is grouped with others, and what it knows of other groups.
 #[derive(Debug)]
 pub(super) struct GroupState {
     /// Whether all known instances are one group.
-    pub(super) joint: bool,
+    pub(super) is_single: bool,
     /// Since when it has been so.
     since: Duration,
     /// What is known of each other data centre.
@@ -51,15 +51,15 @@
 #[derive(Debug, Default)]
 pub(super) struct OtherGroup {
     /// How many of its instances were last alive, and when that was heard.
-    live: Option<(u32, Duration)>,
+    live_count: Option<(u32, Duration)>,
     /// When a contact last answered.
-    answered: Option<Duration>,
+    answered_at: Option<Duration>,
     /// The settings version of the last digest to a contact.
-    told_version: SettingsVersion,
+    sent_version: SettingsVersion,
     /// Who held the duties by the last digest to a contact.
-    told_duty: Option<DutyHolder>,
+    sent_duty: Option<DutyHolder>,
     /// The last call to a contact, while it has no answer.
-    called: Option<ContactCall>,
+    pending_call: Option<ContactCall>,
 }
 
 /// A call to a contact.
@@ -74,19 +74,19 @@
 impl OtherGroup {
     /// Records that so many of its instances are alive.
     pub(super) fn record_count(&mut self, live: u32, now: Duration) {
-        self.live = Some((live, now));
+        self.live_count = Some((live, now));
     }
 
     /// Records that a contact has answered.
     pub(super) fn record_answer(&mut self, now: Duration) {
-        self.answered = Some(now);
-        self.called = None;
+        self.answered_at = Some(now);
+        self.pending_call = None;
     }
 
     /// Returns how many instances it has, as long as that may be believed.
     fn count(&self, now: Duration) -> Option<u32> {
-        let (live, at) = self.live?;
-        (now < at + COUNT_LIFE).then_some(live)
+        let (live, at) = self.live_count?;
+        (now < at + COUNT_LIFETIME).then_some(live)
     }
 }
 
@@ -94,7 +94,7 @@
     /// Starts as one group if the fleet may ever be one.
     pub(super) fn new(single_group_limit: u32) -> Self {
         Self {
-            joint: single_group_limit > 0,
+            is_single: single_group_limit > 0,
             since: Duration::ZERO,
             others: BTreeMap::new(),
         }
@@ -103,8 +103,8 @@
 
 impl FleetNode {
     /// Returns whether a peer belongs to this instance's group.
-    pub(super) fn is_near(&self, peer: &PeerRecord) -> bool {
-        self.group.joint || self.is_home(&peer.info)
+    pub(super) fn in_own_group(&self, peer: &PeerRecord) -> bool {
+        self.group.is_single || self.in_own_data_centre(&peer.info)
     }
 
     /// Returns whether data centres may be groups that know each other by digests. Otherwise
@@ -114,7 +114,7 @@
     }
 
     /// Returns whether an instance stands in this one's data centre.
-    pub(super) fn is_home(&self, info: &PeerInfo) -> bool {
+    pub(super) fn in_own_data_centre(&self, info: &PeerInfo) -> bool {
         info.data_centre == self.own.data_centre
     }
 
@@ -123,13 +123,13 @@
     #[must_use]
     pub fn fleet_size(&self, now: Duration) -> u32 {
         let near = self.live.len() as u32;
-        if self.group.joint {
+        if self.group.is_single {
             return near;
         }
         let others = &self.group.others;
         let count = |name: &DataCentreName| others.get(name).and_then(|it| it.count(now));
         let counted: u32 = others.keys().filter_map(&count).sum();
-        let far = self.peers.values().filter(|peer| !self.is_near(peer));
+        let far = self.peers.values().filter(|peer| !self.in_own_group(peer));
         let uncounted = far.filter(|peer| count(&peer.info.data_centre).is_none());
         near + counted + uncounted.count() as u32
     }
@@ -138,33 +138,36 @@
     /// shrunk.
     pub(super) fn regroup(&mut self, now: Duration) {
         let limit = self.timing.single_group_limit;
-        if self.group.joint {
+        if self.group.is_single {
             if self.peers.len() as u32 + 1 > limit {
-                self.set_joint(false, now);
-                self.forget_surplus();
+                self.set_single(false, now);
+                self.forget_surplus_contacts();
             }
             return;
         }
-        let kept_divided = now < self.group.since + DIVIDED_AT_LEAST;
+        let kept_divided = now < self.group.since + MIN_DIVIDED_TIME;
         if kept_divided || !self.uses_digests() {
             return;
         }
-        if f64::from(self.fleet_size(now)) < f64::from(limit) * REUNITED_PART {
-            self.set_joint(true, now);
+        if f64::from(self.fleet_size(now)) < f64::from(limit) * REUNITE_FRACTION {
+            self.set_single(true, now);
         }
     }
 
     /// Makes all known instances one group, or each data centre one.
-    fn set_joint(&mut self, joint: bool, now: Duration) {
-        self.group.joint = joint;
+    fn set_single(&mut self, is_single: bool, now: Duration) {
+        self.group.is_single = is_single;
         self.group.since = now;
     }
 
     /// Keeps a few contacts of each other data centre, those that were heard before others.
-    fn forget_surplus(&mut self) {
+    fn forget_surplus_contacts(&mut self) {
         let mut kept: BTreeMap<DataCentreName, usize> = BTreeMap::new();
-        let mut far: Vec<&PeerRecord> =
-            self.peers.values().filter(|peer| !self.is_home(&peer.info)).collect();
+        let mut far: Vec<&PeerRecord> = self
+            .peers
+            .values()
+            .filter(|peer| !self.in_own_data_centre(&peer.info))
+            .collect();
         let own_key = self.key();
         far.sort_by_key(|peer| {
             (peer.heard.is_none(), fleet_key(&peer.info.name) ^ own_key)
@@ -182,8 +185,8 @@
 
     /// Returns whether one more instance is to be known: any of the group, and a few of each
     /// other data centre.
-    pub(super) fn has_place_for(&self, info: &PeerInfo) -> bool {
-        if self.group.joint || !self.uses_digests() || self.is_home(info) {
+    pub(super) fn accepts_peer(&self, info: &PeerInfo) -> bool {
+        if self.group.is_single || !self.uses_digests() || self.in_own_data_centre(info) {
             return true;
         }
         self.peers_in(&info.data_centre).count() < CONTACTS_PER_GROUP
@@ -191,7 +194,7 @@
 
     /// Returns the contacts that are to get a digest now, one in each other data centre.
     pub(super) fn due_contacts(&mut self, now: Duration) -> Vec<PeerInfo> {
-        let far = self.peers.values().filter(|peer| !self.is_near(peer));
+        let far = self.peers.values().filter(|peer| !self.in_own_group(peer));
         let known: BTreeSet<DataCentreName> =
             far.map(|peer| peer.info.data_centre.clone()).collect();
         known
@@ -206,14 +209,14 @@
         let (version, duty) = (self.version(), self.duty);
         let replaceable = self.peers_in(other).count() > 1;
         let period = self.digest_period();
-        let wait = if replaceable { ANSWER_WAIT } else { period };
+        let wait = if replaceable { CONTACT_ANSWER_WAIT } else { period };
         let group = self.group.others.entry(other.clone()).or_default();
-        if group.called.as_ref().is_some_and(|call| now < call.at + wait) {
+        if group.pending_call.as_ref().is_some_and(|call| now < call.at + wait) {
             return None;
         }
-        let rested = group.answered.is_none_or(|at| now >= at + period);
-        let newer = version > group.told_version || duty > group.told_duty;
-        match group.called.take() {
+        let rested = group.answered_at.is_none_or(|at| now >= at + period);
+        let newer = version > group.sent_version || duty > group.sent_duty;
+        match group.pending_call.take() {
             Some(lost) if replaceable => {
                 self.peers.remove(&lost.contact);
             }
@@ -223,9 +226,9 @@
         let contact = self.contact(other)?.info.clone();
         let call = ContactCall { contact: contact.name.clone(), at: now };
         let group = self.group.others.entry(other.clone()).or_default();
-        group.called = Some(call);
-        group.told_version = version;
-        group.told_duty = duty;
+        group.pending_call = Some(call);
+        group.sent_version = version;
+        group.sent_duty = duty;
         Some(contact)
     }
 
@@ -255,7 +258,7 @@
 
     /// Returns after which silence a contact in another data centre isn't alive: it is heard
     /// with its digests or, without any, with heartbeats.
-    pub(super) fn far_liveness_timeout(&self) -> Duration {
+    pub(super) fn contact_liveness_timeout(&self) -> Duration {
         let digests = self.digest_period() * self.timing.missed_heartbeats;
         if self.uses_digests() { digests } else { self.liveness_timeout() }
     }
@@ -278,20 +281,21 @@
         now: Duration,
     ) -> Vec<PeerInfo> {
         let (near_timeout, far_timeout) =
-            (self.liveness_timeout(), self.far_liveness_timeout());
+            (self.liveness_timeout(), self.contact_liveness_timeout());
         // Without digests, this is the only way to know how many there are elsewhere.
-        let all = self.group.joint || !self.uses_digests();
+        let all = self.group.is_single || !self.uses_digests();
         let of_group = *data_centre == self.own.data_centre;
         let mut told: BTreeMap<&DataCentreName, usize> = BTreeMap::new();
         let known = self.peers.values();
         let known = known.filter(|peer| {
-            let timeout = if self.is_near(peer) { near_timeout } else { far_timeout };
+            let timeout =
+                if self.in_own_group(peer) { near_timeout } else { far_timeout };
             peer.listed || peer.alive(now, timeout)
         });
         let known = known.filter(|peer| {
             let count = told.entry(&peer.info.data_centre).or_default();
             *count += 1;
-            all || (of_group && self.is_near(peer)) || *count <= CONTACTS_PER_GROUP
+            all || (of_group && self.in_own_group(peer)) || *count <= CONTACTS_PER_GROUP
         });
         let infos = known.map(|peer| peer.info.clone());
         infos.chain([self.own.clone()]).collect()
--- a/crates/flaxtide-fleet/src/node/lists.rs
+++ b/crates/flaxtide-fleet/src/node/lists.rs
@@ -16,11 +16,11 @@
             return ListReader::Alone;
         }
         let count = self.reader_count();
-        if self.is_among(&self.list_order[..count]) {
+        if self.includes_self(&self.reader_order[..count]) {
             return ListReader::ForPeers;
         }
         let turn = fleet_key(&self.own.name) as usize % count;
-        self.address_at(self.list_order[turn])
+        self.address_at(self.reader_order[turn])
             .map_or(ListReader::Alone, ListReader::Peer)
     }
 
@@ -32,15 +32,15 @@
             return ListPlan { reader, ..ListPlan::default() };
         };
         let count = self.reader_count();
-        let end = (count + STANDBYS).min(self.list_order.len());
-        let places = &self.list_order[..end];
+        let end = (count + STANDBYS).min(self.reader_order.len());
+        let places = &self.reader_order[..end];
         let others = places.iter().filter_map(|place| self.address_at(*place));
         let peers = places.iter().filter_map(|place| self.peers.get(&self.live[*place]));
         ListPlan {
             reader,
             others: others.filter(|address| *address != asked_first).collect(),
             epochs: peers.filter_map(|peer| peer.epoch).collect(),
-            standby: self.is_among(&self.list_order[count..end]),
+            standby: self.includes_self(&self.reader_order[count..end]),
         }
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Returns whether this instance stands at one of these places.
-    fn is_among(&self, places: &[usize]) -> bool {
+    fn includes_self(&self, places: &[usize]) -> bool {
         places.iter().any(|place| self.live[*place] == self.own.name)
     }
 
--- a/crates/flaxtide-fleet/src/node/mod.rs
+++ b/crates/flaxtide-fleet/src/node/mod.rs
@@ -29,7 +29,7 @@
 use self::group::GroupState;
 pub use self::pushback::OutgoingPushback;
 use self::pushback::PushbackState;
-use self::roster::RosterCopy;
+use self::roster::CachedInstanceGroup;
 pub use self::settings::SettingsSource;
 use self::settings::SettingsState;
 pub use self::timing::FleetTiming;
@@ -43,21 +43,21 @@
 };
 
 /// The part that the newest count of use has in its rate.
-const NEWEST_USE: f64 = 0.2;
+const USAGE_SMOOTHING: f64 = 0.2;
 
 /// An instance watches at most this part more than its even part of the servers, as it
 /// tells every peer of each.
 const WATCH_SLACK: f64 = 0.05;
 
 /// A use below this rate is forgotten, in requests a second.
-const LEAST_USE: f64 = 1e-3;
+const MIN_USAGE_PER_SECOND: f64 = 1e-3;
 
 /// An unlisted peer that is silent for so many times the silence after which it isn't
 /// alive is forgotten.
-const FORGOTTEN_TIMEOUTS: u32 = 12;
+const FORGET_AFTER_TIMEOUTS: u32 = 12;
 
 /// Counts of a shorter time than this say little.
-const SHORTEST_COUNT: Duration = Duration::from_millis(50);
+const MIN_COUNT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A backend server of the data centre.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -143,7 +143,7 @@
     /// Who holds the duties that one instance has for all.
     duty: Option<DutyHolder>,
     /// How many servers the loads of the last digest of another data centre named.
-    servers_told: usize,
+    digest_load_count: usize,
     /// The peers that it knows of, by name.
     peers: BTreeMap<InstanceName, PeerRecord>,
     /// Where peers may be heard if nobody is known.
@@ -155,15 +155,15 @@
     /// Its own requests and use.
     status: NodeStatus,
     /// Its use of organisations that keepers haven't been told of.
-    untold: BTreeMap<FleetKey, u32>,
+    unsent_usage: BTreeMap<FleetKey, u32>,
     /// Its own use of organisations, in requests a second.
     usage: BTreeMap<FleetKey, f64>,
     /// When its use was last counted.
-    counted: Option<Duration>,
+    usage_counted_at: Option<Duration>,
     /// When it last sent heartbeats, and how often it has.
-    heartbeat_at: Option<Duration>,
+    last_round_at: Option<Duration>,
     /// Until when the heartbeats that were sent are paid for.
-    paid_until: Duration,
+    updates_allowed_at: Duration,
     /// Whether this instance has more at a server than it has told, by more than a little.
     has_updates: bool,
     /// How many rounds of heartbeats it has sent.
@@ -173,13 +173,13 @@
     /// The live instances of the data centre, this one included, in order.
     live: Vec<InstanceName>,
     /// The places in `live` of the instances in the order in which they read lists.
-    list_order: Vec<usize>,
+    reader_order: Vec<usize>,
     /// The servers that this instance watches.
     watched: Vec<FleetKey>,
     /// When it first had something to say of itself.
     started: Option<Duration>,
     /// Whom it saw alive when it last looked.
-    roster: Option<RosterCopy>,
+    cached_group: Option<CachedInstanceGroup>,
     /// Grows whenever what this instance watches or falls back on may have changed.
     generation: u64,
 }
@@ -196,7 +196,7 @@
             crashes: CrashState::default(),
             pushback: PushbackState::default(),
             duty: None,
-            servers_told: 0,
+            digest_load_count: 0,
             timing,
             leaving: false,
             settings: SettingsState::default(),
@@ -205,19 +205,19 @@
             servers: BTreeMap::new(),
             pool_slots: BTreeMap::new(),
             status: NodeStatus::default(),
-            untold: BTreeMap::new(),
+            unsent_usage: BTreeMap::new(),
             usage: BTreeMap::new(),
-            counted: None,
-            heartbeat_at: None,
-            paid_until: Duration::ZERO,
+            usage_counted_at: None,
+            last_round_at: None,
+            updates_allowed_at: Duration::ZERO,
             has_updates: false,
             rounds: 0,
             list_failed: true,
             live: vec![],
-            list_order: vec![],
+            reader_order: vec![],
             watched: vec![],
             started: None,
-            roster: None,
+            cached_group: None,
             generation: 0,
         }
     }
@@ -227,7 +227,7 @@
     pub fn set_instance_list(&mut self, list: Option<Vec<PeerInfo>>, now: Duration) {
         self.list_failed = list.is_none();
         let Some(list) = list else { return };
-        let before = self.listed_near();
+        let before = self.listed_group_peers();
         for peer in self.peers.values_mut() {
             peer.listed = false;
         }
@@ -236,7 +236,7 @@
         }
         let timeout = self.liveness_timeout();
         self.peers.retain(|_, peer| peer.listed || peer.alive(now, timeout));
-        if self.listed_near() != before {
+        if self.listed_group_peers() != before {
             self.generation += 1;
         }
     }
@@ -245,11 +245,11 @@
     /// its address stands in for it.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
-        self.meet_seeds();
+        self.add_seeds();
     }
 
     /// Meets the seeds.
-    fn meet_seeds(&mut self) {
+    fn add_seeds(&mut self) {
         for address in self.seeds.clone() {
             let known = self.peers.values().any(|peer| peer.info.address == address);
             if known || address == self.own.address {
@@ -264,28 +264,28 @@
     /// Forgets peers that no list has and that have been silent for long, and turns to the
     /// seeds if nobody is left. A group of all instances always turns to those it has
     /// forgotten: they may stand behind a cut, and nobody else would tell that it has ended.
-    fn forget_lost(&mut self, now: Duration) {
-        let timeout = self.liveness_timeout() * FORGOTTEN_TIMEOUTS;
+    fn forget_expired_peers(&mut self, now: Duration) {
+        let timeout = self.liveness_timeout() * FORGET_AFTER_TIMEOUTS;
         let gone = |peer: &PeerRecord| {
             !peer.listed && peer.heard.is_some_and(|heard| now >= heard + timeout)
         };
         self.peers.retain(|_, peer| !gone(peer));
-        if self.group.joint || !self.peers.values().any(|peer| peer.heard.is_some()) {
-            self.meet_seeds();
+        if self.group.is_single || !self.peers.values().any(|peer| peer.heard.is_some()) {
+            self.add_seeds();
         }
     }
 
     /// Returns the listed peers of the data centre.
-    fn listed_near(&self) -> Vec<InstanceName> {
+    fn listed_group_peers(&self) -> Vec<InstanceName> {
         let peers = self.peers.values();
-        let peers = peers.filter(|peer| peer.listed && self.is_near(peer));
+        let peers = peers.filter(|peer| peer.listed && self.in_own_group(peer));
         peers.map(|peer| peer.info.name.clone()).collect()
     }
 
     /// Records that an instance may be there.
     pub fn add_peer(&mut self, info: PeerInfo, listed: bool) {
         let known = self.peers.contains_key(&info.name);
-        if info.name == self.own.name || !(known || listed || self.has_place_for(&info)) {
+        if info.name == self.own.name || !(known || listed || self.accepts_peer(&info)) {
             return;
         }
         let peer = self
@@ -312,7 +312,7 @@
             }
         }
         self.servers = servers;
-        self.assign();
+        self.assign_watched();
     }
 
     /// Says that this instance is stopping.
@@ -324,38 +324,41 @@
     pub fn set_status(&mut self, status: NodeStatus, now: Duration) {
         self.started.get_or_insert(now);
         let since = self
-            .counted
+            .usage_counted_at
             .map_or(Duration::from_secs(1), |at| now.saturating_sub(at));
-        let seconds = since.max(SHORTEST_COUNT).as_secs_f64();
-        self.counted = Some(now);
+        let seconds = since.max(MIN_COUNT_INTERVAL).as_secs_f64();
+        self.usage_counted_at = Some(now);
         for rate in self.usage.values_mut() {
-            *rate *= 1.0 - NEWEST_USE;
+            *rate *= 1.0 - USAGE_SMOOTHING;
         }
         for usage in &status.usage {
             let rate = f64::from(usage.count) / seconds;
-            *self.usage.entry(usage.organisation).or_default() += NEWEST_USE * rate;
-            *self.untold.entry(usage.organisation).or_default() += u32::from(usage.count);
+            *self.usage.entry(usage.organisation).or_default() += USAGE_SMOOTHING * rate;
+            *self.unsent_usage.entry(usage.organisation).or_default() +=
+                u32::from(usage.count);
         }
-        self.usage.retain(|_, rate| *rate > LEAST_USE);
+        self.usage.retain(|_, rate| *rate > MIN_USAGE_PER_SECOND);
         let newly_silent = |key| !self.status.unresponsive.contains(key);
-        self.has_updates |=
-            adds_load(&self.status.loads, &status.loads, self.timing.update_units)
-                || status.unresponsive.iter().any(newly_silent);
+        self.has_updates |= has_load_increase(
+            &self.status.loads,
+            &status.loads,
+            self.timing.update_units,
+        ) || status.unresponsive.iter().any(newly_silent);
         self.status = status;
-        self.refresh(now);
+        self.update_live(now);
     }
 
     /// Returns how many instances of the group are known, this one included: each
     /// gets a heartbeat, whether it is heard or not.
-    pub(super) fn known_near(&self) -> u32 {
-        self.peers.values().filter(|peer| self.is_near(peer)).count() as u32 + 1
+    pub(super) fn known_group_size(&self) -> u32 {
+        self.peers.values().filter(|peer| self.in_own_group(peer)).count() as u32 + 1
     }
 
     /// Returns the time between two rounds of heartbeats.
     #[must_use]
     pub fn period(&self) -> Duration {
         let timing = &self.timing;
-        let period = timing.period_per_instance * self.known_near();
+        let period = timing.period_per_instance * self.known_group_size();
         period.clamp(
             timing.shortest_period.min(timing.longest_period),
             timing.longest_period,
@@ -364,11 +367,12 @@
 
     /// Works out whom this instance sees alive, and so what it watches. No vote is taken:
     /// each instance works it out from whom it hears.
-    fn refresh(&mut self, now: Duration) {
+    fn update_live(&mut self, now: Duration) {
         self.regroup(now);
         let timeout = self.liveness_timeout();
         let peers = self.peers.values();
-        let peers = peers.filter(|peer| self.is_near(peer) && peer.alive(now, timeout));
+        let peers =
+            peers.filter(|peer| self.in_own_group(peer) && peer.alive(now, timeout));
         let mut live: Vec<&InstanceName> = peers.map(|peer| &peer.info.name).collect();
         live.push(&self.own.name);
         live.sort_unstable();
@@ -376,12 +380,12 @@
             return;
         }
         self.live = live.into_iter().cloned().collect();
-        self.list_order = rendezvous_order(READER_KEY, &self.live);
-        self.assign();
+        self.reader_order = rendezvous_order(READER_KEY, &self.live);
+        self.assign_watched();
     }
 
     /// Works out which servers this instance watches.
-    fn assign(&mut self) {
+    fn assign_watched(&mut self) {
         let keys: Vec<u64> =
             self.servers.keys().map(|server| u64::from(*server)).collect();
         let owners = bounded_owners(&keys, &self.live, WATCH_SLACK);
@@ -425,7 +429,7 @@
 }
 
 /// Returns whether any server has more to read by so many units than it had.
-fn adds_load(before: &[OwnLoad], now: &[OwnLoad], units: u16) -> bool {
+fn has_load_increase(before: &[OwnLoad], now: &[OwnLoad], units: u16) -> bool {
     let sum = |load: &OwnLoad| {
         load.unread.iter().fold(0u16, |sum, part| sum.saturating_add(*part))
     };
--- a/crates/flaxtide-fleet/src/node/pushback.rs
+++ b/crates/flaxtide-fleet/src/node/pushback.rs
@@ -9,11 +9,11 @@
 use super::{FleetNode, FleetNotice};
 use crate::contact::PendingNotice;
 use crate::info::PeerInfo;
-use crate::news::NewsQueue;
+use crate::news::ChangeQueue;
 use crate::wire::PushbackNotice;
 
 /// The most reports in one message: 14 KB.
-const MOST_REPORTS: usize = 1024;
+const MAX_REPORTS: usize = 1024;
 
 /// A notice of what servers have said, on its way to a peer.
 #[derive(Debug, Clone, PartialEq)]
@@ -30,7 +30,7 @@
     /// All of it.
     log: PushbackLog,
     /// The servers of which this instance has news for its peers.
-    news: NewsQueue<ServerStart>,
+    changes: ChangeQueue<ServerStart>,
 }
 
 impl FleetNode {
@@ -38,29 +38,32 @@
     pub fn record_pushback(&mut self, reports: &[PushbackReport], now: Duration) {
         for report in reports {
             self.pushback.log.apply(report, now);
-            self.pushback.news.push(report.server);
+            self.pushback.changes.push(report.server);
         }
     }
 
     /// Returns the notices of what servers have said that are due.
     pub fn due_pushback(&mut self, now: Duration) -> Vec<OutgoingPushback> {
-        let last = self.pushback.news.last();
+        let last = self.pushback.changes.last();
         if last == 0 && self.pushback.log.is_empty() {
             return vec![];
         }
-        let told =
-            self.told_peers(now, |peer| &peer.pushback, |contact| contact.has_due(last));
+        let told = self.peers_to_notify(
+            now,
+            |peer| &peer.pushback,
+            |contact| contact.has_due(last),
+        );
         let mut due = vec![];
         for name in told {
             let Some(peer) = self.peers.get_mut(&name) else { continue };
-            let PushbackState { log, news } = &self.pushback;
+            let PushbackState { log, changes } = &self.pushback;
             let contact = &mut peer.pushback;
-            let mut reports: Vec<PushbackReport> = news
+            let mut reports: Vec<PushbackReport> = changes
                 .after(contact.told)
                 .filter_map(|server| log.report_of(server, now))
                 .collect();
             if contact.tell_all {
-                let known = log.reports(MOST_REPORTS, now);
+                let known = log.reports(MAX_REPORTS, now);
                 let missing = known.into_iter().filter(|report| {
                     !reports.iter().any(|other| other.server == report.server)
                 });
@@ -78,7 +81,7 @@
                 contact.answer();
                 continue;
             }
-            let (from, to_all) = (self.own.clone(), self.group.joint);
+            let (from, to_all) = (self.own.clone(), self.group.is_single);
             let notice = PushbackNotice { from, reports, to_all };
             due.push(OutgoingPushback { to: peer.info.clone(), notice });
         }
@@ -91,17 +94,17 @@
         notice: &PushbackNotice,
         now: Duration,
     ) -> Vec<FleetNotice> {
-        let passes_on = !notice.to_all && !self.is_home(&notice.from);
+        let forwards = !notice.to_all && !self.in_own_data_centre(&notice.from);
         let mut news = vec![];
         for report in &notice.reports {
             match self.pushback.log.apply(report, now) {
                 ReportEffect::Known => {}
                 // The peer lacks what the server has said since, and is told.
-                ReportEffect::Outdated => self.pushback.news.push(report.server),
+                ReportEffect::Outdated => self.pushback.changes.push(report.server),
                 ReportEffect::News => {
                     news.push(*report);
-                    if passes_on {
-                        self.pushback.news.push(report.server);
+                    if forwards {
+                        self.pushback.changes.push(report.server);
                     }
                 }
             }
@@ -117,14 +120,14 @@
     }
 
     /// Records that there was no link for a notice to a peer.
-    pub fn handle_pushback_miss(&mut self, to: &InstanceName, now: Duration) {
+    pub fn handle_pushback_no_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
             peer.pushback.miss(now);
         }
     }
 
     /// Records that a notice broke the link to a peer.
-    pub fn handle_pushback_break(&mut self, to: &InstanceName, now: Duration) {
+    pub fn handle_pushback_broken_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
             peer.pushback.break_off(now);
         }
--- a/crates/flaxtide-fleet/src/node/roster.rs
+++ b/crates/flaxtide-fleet/src/node/roster.rs
@@ -11,11 +11,11 @@
 
 /// For how long after its start an instance may not have heard who else is there: two of the
 /// longest periods between heartbeats.
-const SETTLING: Duration = Duration::from_secs(5);
+const STARTUP_DELAY: Duration = Duration::from_secs(5);
 
 /// Whom this instance saw alive when it last looked.
 #[derive(Debug)]
-pub(super) struct RosterCopy {
+pub(super) struct CachedInstanceGroup {
     /// The generation of the node.
     generation: u64,
     /// The other data centres with live instances that aren't all known.
@@ -28,12 +28,12 @@
     /// Returns the instances that this one sees alive; nothing before it may know them.
     pub fn instance_group(&mut self, now: Duration) -> Option<Arc<InstanceGroup>> {
         let started = self.started?;
-        if now < started + SETTLING && !self.seeds.is_empty() {
+        if now < started + STARTUP_DELAY && !self.seeds.is_empty() {
             return None;
         }
         let others = self.other_data_centres(now);
         let known = self
-            .roster
+            .cached_group
             .as_ref()
             .filter(|copy| copy.generation == self.generation && copy.others == others);
         if let Some(copy) = known {
@@ -45,17 +45,18 @@
         let group = InstanceGroup { own, members, others: others.clone() };
         let group = Arc::new(group);
         let generation = self.generation;
-        self.roster = Some(RosterCopy { generation, others, group: group.clone() });
+        self.cached_group =
+            Some(CachedInstanceGroup { generation, others, group: group.clone() });
         Some(group)
     }
 
     /// Returns the data centres, but for this one's own, of which only some instances are known.
     fn other_data_centres(&self, now: Duration) -> Vec<FleetKey> {
-        let timeout = self.far_liveness_timeout();
+        let timeout = self.contact_liveness_timeout();
         let far = self
             .peers
             .values()
-            .filter(|peer| !self.is_near(peer) && peer.heard_within(now, timeout));
+            .filter(|peer| !self.in_own_group(peer) && peer.heard_within(now, timeout));
         let mut others: Vec<FleetKey> =
             far.map(|peer| fleet_key(&peer.info.data_centre)).collect();
         others.sort_unstable();
--- a/crates/flaxtide-fleet/src/node/settings.rs
+++ b/crates/flaxtide-fleet/src/node/settings.rs
@@ -175,7 +175,7 @@
         let mut order = rendezvous_order(u64::from(self.key()), &names);
         order.sort_by_key(|place| {
             let peer = peers[*place];
-            (Reverse(peer.version), !self.is_near(peer))
+            (Reverse(peer.version), !self.in_own_group(peer))
         });
         let source = |place: &usize| SettingsSource {
             info: peers[*place].info.clone(),
--- a/crates/flaxtide-fleet/src/node/talk.rs
+++ b/crates/flaxtide-fleet/src/node/talk.rs
@@ -15,32 +15,32 @@
 impl FleetNode {
     /// Returns the heartbeats that are due.
     pub fn due_heartbeats(&mut self, now: Duration) -> Vec<OutgoingHeartbeat> {
-        if self.heartbeat_at.is_some_and(|at| now < at + self.period())
+        if self.last_round_at.is_some_and(|at| now < at + self.period())
             && !self.may_send_updates(now)
         {
             return vec![];
         }
-        let cost = self.timing.update_cost_per_instance * self.known_near();
+        let cost = self.timing.update_cost_per_instance * self.known_group_size();
         let saved = now.saturating_sub(cost * self.timing.update_burst);
-        self.paid_until = self.paid_until.max(saved) + cost;
+        self.updates_allowed_at = self.updates_allowed_at.max(saved) + cost;
         self.has_updates = false;
-        self.heartbeat_at = Some(now);
+        self.last_round_at = Some(now);
         self.rounds += 1;
-        self.forget_lost(now);
-        self.refresh(now);
+        self.forget_expired_peers(now);
+        self.update_live(now);
         self.heartbeats()
     }
 
     /// Returns whether there are updates, and enough time is saved up to tell them now.
     fn may_send_updates(&self, now: Duration) -> bool {
-        self.has_updates && self.paid_until <= now
+        self.has_updates && self.updates_allowed_at <= now
     }
 
     /// Returns heartbeats to everyone who should hear at once, such as of a server that is
     /// leaving or a new settings version.
     pub fn heartbeats(&mut self) -> Vec<OutgoingHeartbeat> {
         let heartbeats = self.build_heartbeats();
-        self.untold.clear();
+        self.unsent_usage.clear();
         heartbeats
     }
 
@@ -63,15 +63,15 @@
     /// Builds the heartbeats to all peers of the data centre, and to one of each other.
     fn build_heartbeats(&self) -> Vec<OutgoingHeartbeat> {
         let mut usage: BTreeMap<usize, Vec<UsageCount>> = BTreeMap::new();
-        for (organisation, count) in &self.untold {
+        for (organisation, count) in &self.unsent_usage {
             let keeper = rendezvous_owner(u64::from(*organisation), &self.live);
             let count = u16::try_from(*count).unwrap_or(u16::MAX);
             let told = UsageCount { organisation: *organisation, count };
             usage.entry(keeper.unwrap_or_default()).or_default().push(told);
         }
-        let asked = self.asked();
-        let near = self.peers.values().filter(|peer| self.is_near(peer));
-        let far = self.far_peers();
+        let asked = self.peer_to_query();
+        let near = self.peers.values().filter(|peer| self.in_own_group(peer));
+        let far = self.other_data_centre_targets();
         let heartbeats = near.chain(far).map(|peer| OutgoingHeartbeat {
             to: peer.info.clone(),
             heartbeat: self.heartbeat_to(peer, &usage, asked),
@@ -108,10 +108,10 @@
         // Who falls silent is found with the next demand: a walk over all peers for each
         // heartbeat would cost most of the processor time of a large group.
         if changes {
-            self.refresh(now);
+            self.update_live(now);
         }
         let mut notices = vec![];
-        if self.group.joint || heartbeat.data_centre == self.own.data_centre {
+        if self.group.is_single || heartbeat.data_centre == self.own.data_centre {
             notices.extend(heartbeat.servers.iter().copied().map(FleetNotice::Load));
             notices.push(FleetNotice::PeerLoads(
                 heartbeat.from.clone(),
@@ -159,7 +159,7 @@
             notices.push(FleetNotice::Version(reply.version, info));
         }
         if changes || !reply.peers.is_empty() {
-            self.refresh(now);
+            self.update_live(now);
         }
         notices
     }
@@ -171,7 +171,7 @@
         usage: &BTreeMap<usize, Vec<UsageCount>>,
         asked: Option<&InstanceName>,
     ) -> FleetHeartbeat {
-        let near = self.is_near(peer);
+        let near = self.in_own_group(peer);
         let place = self.live.binary_search(&peer.info.name).ok();
         let kept = place.and_then(|place| usage.get(&place));
         FleetHeartbeat {
@@ -195,8 +195,9 @@
 
     /// Returns which peer, of those that have been heard, is to tell this round whom it
     /// knows. Everyone's answer, every time, would be most of the traffic.
-    fn asked(&self) -> Option<&InstanceName> {
-        let askable = |peer: &&PeerRecord| !self.uses_digests() || self.is_near(peer);
+    fn peer_to_query(&self) -> Option<&InstanceName> {
+        let askable =
+            |peer: &&PeerRecord| !self.uses_digests() || self.in_own_group(peer);
         let peers = || self.peers.values().filter(askable);
         let turn = self.rounds % peers().count().max(1) as u64;
         peers().nth(turn as usize).map(|peer| &peer.info.name)
@@ -213,7 +214,7 @@
             leaving: self.leaving,
             version: self.version(),
             shares: if near { self.shares_of(from) } else { vec![] },
-            parts: if near { self.parts_of(from, &used) } else { vec![] },
+            parts: if near { self.rate_parts_of(from, &used) } else { vec![] },
             peers: if heartbeat.wants_peers {
                 self.peers_for(&heartbeat.data_centre, now)
             } else {
@@ -225,9 +226,9 @@
 
     /// Returns one peer of each other data centre, another one each round; none where
     /// digests do that duty.
-    fn far_peers(&self) -> impl Iterator<Item = &PeerRecord> {
+    fn other_data_centre_targets(&self) -> impl Iterator<Item = &PeerRecord> {
         let mut by_data_centre: BTreeMap<&str, Vec<&PeerRecord>> = BTreeMap::new();
-        let far = |peer: &&PeerRecord| !self.uses_digests() && !self.is_near(peer);
+        let far = |peer: &&PeerRecord| !self.uses_digests() && !self.in_own_group(peer);
         for peer in self.peers.values().filter(far) {
             by_data_centre.entry(&peer.info.data_centre).or_default().push(peer);
         }
--- a/crates/flaxtide-fleet/src/thread.rs
+++ b/crates/flaxtide-fleet/src/thread.rs
@@ -276,8 +276,8 @@
 async fn tell_crashes(shared: Arc<FleetShared>, outgoing: OutgoingCrashes) {
     let OutgoingCrashes { to, notice } = outgoing;
     let faults = NoticeFaults {
-        missed: FleetNode::handle_crash_miss,
-        broken: FleetNode::handle_crash_break,
+        missed: FleetNode::handle_crash_no_link,
+        broken: FleetNode::handle_crash_broken_link,
     };
     let tell = |client: PeerLinkClient, context| async move {
         client.crashes(context, notice).await
@@ -292,8 +292,8 @@
 async fn tell_pushback(shared: Arc<FleetShared>, outgoing: OutgoingPushback) {
     let OutgoingPushback { to, notice } = outgoing;
     let faults = NoticeFaults {
-        missed: FleetNode::handle_pushback_miss,
-        broken: FleetNode::handle_pushback_break,
+        missed: FleetNode::handle_pushback_no_link,
+        broken: FleetNode::handle_pushback_broken_link,
     };
     let tell = |client: PeerLinkClient, context| async move {
         client.pushback(context, notice).await
--- a/crates/flaxtide-fleet/tests/crashes.rs
+++ b/crates/flaxtide-fleet/tests/crashes.rs
@@ -125,7 +125,7 @@
     let due = node.due_crashes(now);
     assert_eq!(due.len(), 8);
     for outgoing in &due {
-        node.handle_crash_miss(&outgoing.to.name, now);
+        node.handle_crash_no_link(&outgoing.to.name, now);
     }
     assert_eq!(node.due_crashes(now + Duration::from_millis(250)).len(), 8);
 }
