--- a/crates/flaxtide-fleet/src/links.rs
+++ b/crates/flaxtide-fleet/src/links.rs
@@ -22,7 +22,7 @@
 
 /// For how long nobody tries again after a link couldn't be opened: those who waited for it
 /// end with it, instead of trying one after the other.
-pub(crate) const TRIED_LATELY: Duration = Duration::from_millis(200);
+pub(crate) const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
 /// How much longer than its deadline a call is waited for. A call that couldn't even be
 /// written, as the peer reads nothing, isn't ended by its deadline.
@@ -69,7 +69,7 @@
         if state.open.is_some() {
             return state.open.clone();
         }
-        if state.failed.is_some_and(|at| at.elapsed() < TRIED_LATELY) {
+        if state.failed.is_some_and(|at| at.elapsed() < RECONNECT_PAUSE) {
             return None;
         }
         let stream =
--- a/crates/flaxtide-fleet/src/node/crashes.rs
+++ b/crates/flaxtide-fleet/src/node/crashes.rs
@@ -8,7 +8,7 @@
 use flaxtide_policy::{CrashLog, CrashReport, Fingerprint, rendezvous_order};
 
 use super::{FleetNode, FleetNotice};
-use crate::contact::{NoticeContact, PendingNotice};
+use crate::contact::{NoticeState, PendingNotice};
 use crate::info::PeerInfo;
 use crate::news::ChangeQueue;
 use crate::peer::PeerRecord;
@@ -79,8 +79,8 @@
         let last = self.crashes.changes.last();
         let told = self.peers_to_notify(
             now,
-            |peer| &peer.crashes,
-            |contact| contact.has_due(last),
+            |peer| &peer.crash_notices,
+            |state| state.is_due(last),
         );
         if told.is_empty() {
             return vec![];
@@ -88,26 +88,31 @@
         let comparing = self
             .peers
             .values()
-            .filter(|peer| peer.crashes.is_comparing(now))
+            .filter(|peer| peer.crash_notices.is_comparing(now))
             .count();
         let mut free = MAX_PARALLEL_COMPARISONS.saturating_sub(comparing);
         let mut due = vec![];
         for name in told {
             let Some(peer) = self.peers.get_mut(&name) else { continue };
-            let contact = &mut peer.crashes;
-            let compares = contact.compare && free > 0;
-            let has_news = contact.told < last || contact.tell_all;
+            let state = &mut peer.crash_notices;
+            let compares = state.needs_comparison && free > 0;
+            let has_news = state.acknowledged < last || state.needs_all;
             if !(compares || has_news) {
                 continue;
             }
-            let reports = if contact.tell_all {
+            let reports = if state.needs_all {
                 self.crashes.log.reports(MAX_REPORTS, now)
             } else {
-                self.crashes.changed_reports(contact.told, now)
+                self.crashes.changed_reports(state.acknowledged, now)
             };
             free -= usize::from(compares);
-            let tells_all = contact.tell_all;
-            contact.send(PendingNotice { at: now, told: last, compares, tells_all });
+            let sends_all = state.needs_all;
+            state.record_sent(PendingNotice {
+                sent_at: now,
+                last_change: last,
+                compares,
+                sends_all,
+            });
             let digest = compares.then(|| self.crashes.log.digest());
             let (from, to_all) = (self.own.clone(), self.group.is_single);
             let notice = CrashNotice { from, reports, to_all, digest };
@@ -139,7 +144,7 @@
         now: Duration,
     ) -> Vec<FleetNotice> {
         let Some(peer) = self.peers.get_mut(from) else { return vec![] };
-        let Some(notice) = peer.crashes.answer() else { return vec![] };
+        let Some(notice) = peer.crash_notices.record_answer() else { return vec![] };
         let info = peer.info.clone();
         let forwards = !self.group.is_single && !self.in_own_data_centre(&info);
         let news = self.apply_crash_reports(&reply.reports, forwards, now);
@@ -147,7 +152,7 @@
             self.crashes.has_synced = true;
             let lacks_some = self.crashes.log.digest() != reply.digest;
             if let Some(peer) = self.peers.get_mut(from) {
-                peer.crashes.tell_all = lacks_some;
+                peer.crash_notices.needs_all = lacks_some;
             }
         }
         news
@@ -156,14 +161,14 @@
     /// Records that there was no link for a notice to a peer.
     pub fn handle_crash_no_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
-            peer.crashes.miss(now);
+            peer.crash_notices.record_no_link(now);
         }
     }
 
     /// Records that a notice broke the link to a peer.
     pub fn handle_crash_broken_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
-            peer.crashes.break_off(now);
+            peer.crash_notices.record_broken_link(now);
         }
     }
 
@@ -196,13 +201,13 @@
         }
         self.crashes.compared = (now, turn + 1);
         self.crashes.log.expire(now);
-        let names = self.peers_to_notify(now, |peer| &peer.crashes, |_| true);
+        let names = self.peers_to_notify(now, |peer| &peer.crash_notices, |_| true);
         if names.is_empty() {
             return;
         }
         let name = &names[turn as usize % names.len()];
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.crashes.compare = true;
+            peer.crash_notices.needs_comparison = true;
         }
     }
 
@@ -211,18 +216,18 @@
     pub(super) fn peers_to_notify(
         &self,
         now: Duration,
-        contact: impl Fn(&PeerRecord) -> &NoticeContact,
-        is_due: impl Fn(&NoticeContact) -> bool,
+        state: impl Fn(&PeerRecord) -> &NoticeState,
+        is_due: impl Fn(&NoticeState) -> bool,
     ) -> Vec<InstanceName> {
         let timeout = self.liveness_timeout();
         let near = self.peers.values().filter(|peer| {
             self.in_own_group(peer)
-                && is_due(contact(peer))
+                && is_due(state(peer))
                 && peer.heard_within(now, timeout)
         });
         let far = self.contacts_to_notify(now).into_iter();
-        let far = far.filter(|peer| is_due(contact(peer)));
-        let told = near.chain(far).filter(|peer| contact(peer).may_be_told(now));
+        let far = far.filter(|peer| is_due(state(peer)));
+        let told = near.chain(far).filter(|peer| state(peer).may_send(now));
         told.map(|peer| peer.info.name.clone()).collect()
     }
 
--- a/crates/flaxtide-fleet/src/node/digest.rs
+++ b/crates/flaxtide-fleet/src/node/digest.rs
@@ -155,8 +155,8 @@
         self.add_peer(hello.from.clone(), false);
         let timeout = self.contact_liveness_timeout();
         if let Some(peer) = self.peers.get_mut(&hello.from.name) {
-            peer.crashes.compare |= !peer.heard_within(now, timeout);
-            peer.hear(hello.epoch, hello.leaving, hello.version, now);
+            peer.crash_notices.needs_comparison |= !peer.heard_within(now, timeout);
+            peer.record_alive(hello.epoch, hello.leaving, hello.version, now);
         }
         let group = self.group.others.entry(hello.from.data_centre.clone()).or_default();
         group.record_count(u32::from(hello.live), now);
@@ -177,7 +177,7 @@
     fn live_data_centre_peers(&self, now: Duration) -> impl Iterator<Item = &PeerRecord> {
         let timeout = self.liveness_timeout();
         self.peers.values().filter(move |peer| {
-            self.in_own_data_centre(&peer.info) && peer.alive(now, timeout)
+            self.in_own_data_centre(&peer.info) && peer.is_alive(now, timeout)
         })
     }
 }
--- a/crates/flaxtide-fleet/src/node/divide.rs
+++ b/crates/flaxtide-fleet/src/node/divide.rs
@@ -20,7 +20,7 @@
         let counts = |peer: &&PeerRecord| {
             self.in_own_group(peer)
                 && !peer.leaving
-                && (peer.listed || peer.alive(now, timeout))
+                && (peer.listed || peer.is_alive(now, timeout))
         };
         let peers = self.peers.values().filter(counts);
         let mut live: Vec<&str> = peers.map(|peer| peer.info.name.as_str()).collect();
--- a/crates/flaxtide-fleet/src/node/group.rs
+++ b/crates/flaxtide-fleet/src/node/group.rs
@@ -170,7 +170,7 @@
             .collect();
         let own_key = self.key();
         far.sort_by_key(|peer| {
-            (peer.heard.is_none(), fleet_key(&peer.info.name) ^ own_key)
+            (peer.heard_at.is_none(), fleet_key(&peer.info.name) ^ own_key)
         });
         let surplus = far.into_iter().filter(|peer| {
             let count = kept.entry(peer.info.data_centre.clone()).or_default();
@@ -290,7 +290,7 @@
         let known = known.filter(|peer| {
             let timeout =
                 if self.in_own_group(peer) { near_timeout } else { far_timeout };
-            peer.listed || peer.alive(now, timeout)
+            peer.listed || peer.is_alive(now, timeout)
         });
         let known = known.filter(|peer| {
             let count = told.entry(&peer.info.data_centre).or_default();
--- a/crates/flaxtide-fleet/src/node/mod.rs
+++ b/crates/flaxtide-fleet/src/node/mod.rs
@@ -235,7 +235,8 @@
             self.add_peer(info, true);
         }
         let timeout = self.liveness_timeout();
-        self.peers.retain(|_, peer| peer.listed || peer.alive(now, timeout));
+        self.peers
+            .retain(|_, peer| peer.listed || peer.is_alive(now, timeout));
         if self.listed_group_peers() != before {
             self.generation += 1;
         }
@@ -267,10 +268,12 @@
     fn forget_expired_peers(&mut self, now: Duration) {
         let timeout = self.liveness_timeout() * FORGET_AFTER_TIMEOUTS;
         let gone = |peer: &PeerRecord| {
-            !peer.listed && peer.heard.is_some_and(|heard| now >= heard + timeout)
+            !peer.listed && peer.heard_at.is_some_and(|heard| now >= heard + timeout)
         };
         self.peers.retain(|_, peer| !gone(peer));
-        if self.group.is_single || !self.peers.values().any(|peer| peer.heard.is_some()) {
+        if self.group.is_single
+            || !self.peers.values().any(|peer| peer.heard_at.is_some())
+        {
             self.add_seeds();
         }
     }
@@ -293,7 +296,7 @@
             .entry(info.name.clone())
             .or_insert_with(|| PeerRecord::new(info.clone(), listed));
         peer.listed |= listed;
-        if listed || peer.heard.is_none() {
+        if listed || peer.heard_at.is_none() {
             peer.info = info;
         }
     }
@@ -372,7 +375,7 @@
         let timeout = self.liveness_timeout();
         let peers = self.peers.values();
         let peers =
-            peers.filter(|peer| self.in_own_group(peer) && peer.alive(now, timeout));
+            peers.filter(|peer| self.in_own_group(peer) && peer.is_alive(now, timeout));
         let mut live: Vec<&InstanceName> = peers.map(|peer| &peer.info.name).collect();
         live.push(&self.own.name);
         live.sort_unstable();
--- a/crates/flaxtide-fleet/src/node/pushback.rs
+++ b/crates/flaxtide-fleet/src/node/pushback.rs
@@ -50,19 +50,19 @@
         }
         let told = self.peers_to_notify(
             now,
-            |peer| &peer.pushback,
-            |contact| contact.has_due(last),
+            |peer| &peer.pushback_notices,
+            |state| state.is_due(last),
         );
         let mut due = vec![];
         for name in told {
             let Some(peer) = self.peers.get_mut(&name) else { continue };
             let PushbackState { log, changes } = &self.pushback;
-            let contact = &mut peer.pushback;
+            let state = &mut peer.pushback_notices;
             let mut reports: Vec<PushbackReport> = changes
-                .after(contact.told)
+                .after(state.acknowledged)
                 .filter_map(|server| log.report_of(server, now))
                 .collect();
-            if contact.tell_all {
+            if state.needs_all {
                 let known = log.reports(MAX_REPORTS, now);
                 let missing = known.into_iter().filter(|report| {
                     !reports.iter().any(|other| other.server == report.server)
@@ -70,15 +70,15 @@
                 let missing: Vec<PushbackReport> = missing.collect();
                 reports.extend(missing);
             }
-            let tells_all = contact.tell_all;
-            contact.send(PendingNotice {
-                at: now,
-                told: last,
+            let sends_all = state.needs_all;
+            state.record_sent(PendingNotice {
+                sent_at: now,
+                last_change: last,
                 compares: false,
-                tells_all,
+                sends_all,
             });
             if reports.is_empty() {
-                contact.answer();
+                state.record_answer();
                 continue;
             }
             let (from, to_all) = (self.own.clone(), self.group.is_single);
@@ -115,21 +115,21 @@
     /// Records that a peer has got the last notice.
     pub fn handle_pushback_reply(&mut self, from: &InstanceName) {
         if let Some(peer) = self.peers.get_mut(from) {
-            peer.pushback.answer();
+            peer.pushback_notices.record_answer();
         }
     }
 
     /// Records that there was no link for a notice to a peer.
     pub fn handle_pushback_no_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
-            peer.pushback.miss(now);
+            peer.pushback_notices.record_no_link(now);
         }
     }
 
     /// Records that a notice broke the link to a peer.
     pub fn handle_pushback_broken_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
-            peer.pushback.break_off(now);
+            peer.pushback_notices.record_broken_link(now);
         }
     }
 }
--- a/crates/flaxtide-fleet/src/node/settings.rs
+++ b/crates/flaxtide-fleet/src/node/settings.rs
@@ -114,7 +114,7 @@
     /// has that version.
     pub(crate) fn reject_provider(&mut self, provider: &str, version: SettingsVersion) {
         if let Some(peer) = self.peers.get_mut(provider) {
-            peer.rejected = Some(version);
+            peer.rejected_version = Some(version);
         }
     }
 
@@ -160,7 +160,7 @@
             return 0;
         }
         let peers = self.peers.values();
-        let peers = peers.filter(|peer| peer.rejected != Some(peer.version));
+        let peers = peers.filter(|peer| peer.rejected_version != Some(peer.version));
         peers.map(|peer| peer.version).max().unwrap_or_default()
     }
 
@@ -196,7 +196,7 @@
     fn newer_peers(&self, now: Duration) -> impl Iterator<Item = &PeerRecord> {
         let known = self.known_version(now);
         self.peers.values().filter(move |peer| {
-            peer.version > known && peer.rejected != Some(peer.version)
+            peer.version > known && peer.rejected_version != Some(peer.version)
         })
     }
 
--- a/crates/flaxtide-fleet/src/node/talk.rs
+++ b/crates/flaxtide-fleet/src/node/talk.rs
@@ -100,10 +100,10 @@
                 // The platform knows best where a listed peer is reached from here.
                 peer.info = info.clone();
             }
-            let before = peer.alive(now, timeout);
+            let before = peer.is_alive(now, timeout);
             peer.apply_heartbeat(heartbeat, now);
-            changes = before != peer.alive(now, timeout);
-            peer.record_return(changes);
+            changes = before != peer.is_alive(now, timeout);
+            peer.record_liveness_change(changes);
         }
         // Who falls silent is found with the next demand: a walk over all peers for each
         // heartbeat would cost most of the processor time of a large group.
@@ -147,10 +147,10 @@
         let timeout = self.liveness_timeout();
         let until = now + timeout;
         let Some(peer) = self.peers.get_mut(from) else { return vec![] };
-        let before = peer.alive(now, timeout);
-        peer.hear(reply.epoch, reply.leaving, reply.version, now);
-        let changes = before != peer.alive(now, timeout);
-        peer.record_return(changes);
+        let before = peer.is_alive(now, timeout);
+        peer.record_alive(reply.epoch, reply.leaving, reply.version, now);
+        let changes = before != peer.is_alive(now, timeout);
+        peer.record_liveness_change(changes);
         let info = peer.info.clone();
         let shares = reply.shares.iter().map(|share| FleetNotice::Share(*share, until));
         let parts = reply.parts.iter().map(|part| FleetNotice::Rate(*part, until));
@@ -188,7 +188,7 @@
             unresponsive: if near { self.status.unresponsive.clone() } else { vec![] },
             usage: kept.cloned().unwrap_or_default(),
             wants_peers: self.list_failed
-                && (peer.heard.is_none() || asked == Some(&peer.info.name)),
+                && (peer.heard_at.is_none() || asked == Some(&peer.info.name)),
             duty: self.duty,
         }
     }
