--- a/crates/flaxtide-fleet/src/fetch.rs
+++ b/crates/flaxtide-fleet/src/fetch.rs
@@ -8,7 +8,7 @@
 
 use crate::node::SettingsSource;
 use crate::partial::PartialCopy;
-use crate::settings::{CopyAssembly, PieceAnswer, SettingsCopy, TakenPiece};
+use crate::settings::{CopyAssembly, PieceAnswer, PieceOutcome, SettingsCopy};
 use crate::shared::{FleetOutput, FleetShared};
 use crate::wire::PeerLinkClient;
 
@@ -16,12 +16,12 @@
 /// over a slow link isn't thrown away while more comes.
 const PIECE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// After so many silent peers a fetch ends, and the next one looks anew who is heard.
-const UNRESPONSIVE_PEERS: u32 = 2;
+/// After so many unresponsive peers a fetch ends, and the next one looks anew who is heard.
+const MAX_UNRESPONSIVE_PEERS: u32 = 2;
 
 /// How a peer's part in a fetch has ended.
 #[derive(Debug)]
-enum ProviderEnd {
+enum ProviderOutcome {
     /// The settings are whole.
     Whole(SettingsCopy),
     /// It has nothing newer.
@@ -36,7 +36,7 @@
     Unresponsive,
 }
 
-impl ProviderEnd {
+impl ProviderOutcome {
     /// Returns its name for the log.
     fn name(&self) -> &'static str {
         match self {
@@ -60,29 +60,29 @@
         let node = shared.node();
         (node.settings_sources(now), node.version())
     };
-    partial.renew(version, now);
-    partial.order(&mut sources);
-    let mut silent = 0;
+    partial.set_newer_than(version, now);
+    partial.sort_sources(&mut sources);
+    let mut unresponsive = 0;
     for source in &sources {
-        let started = shared.clock.now();
-        let end = take_from(&shared, source, &mut partial).await;
-        let took = shared.clock.now().saturating_sub(started);
-        log_fetch(source, version, &end, &partial.assembly, took);
-        match end {
-            ProviderEnd::Whole(copy) => {
+        let started_at = shared.clock.now();
+        let outcome = fetch_from(&shared, source, &mut partial).await;
+        let took = shared.clock.now().saturating_sub(started_at);
+        log_fetch(source, version, &outcome, &partial.assembly, took);
+        match outcome {
+            ProviderOutcome::Whole(copy) => {
                 let now = shared.clock.now();
                 shared.node().record_fetched(&copy, &source.info.name, now);
                 (shared.output)(FleetOutput::Settings(copy));
                 return;
             }
-            ProviderEnd::Overtaken => return,
-            ProviderEnd::Rejected(version) => {
+            ProviderOutcome::Overtaken => return,
+            ProviderOutcome::Rejected(version) => {
                 shared.node().reject_provider(&source.info.name, version);
             }
-            ProviderEnd::NothingNewer | ProviderEnd::Busy => {}
-            ProviderEnd::Unresponsive => silent += 1,
+            ProviderOutcome::NothingNewer | ProviderOutcome::Busy => {}
+            ProviderOutcome::Unresponsive => unresponsive += 1,
         }
-        if silent >= UNRESPONSIVE_PEERS {
+        if unresponsive >= MAX_UNRESPONSIVE_PEERS {
             break;
         }
     }
@@ -90,36 +90,36 @@
 }
 
 /// Takes pieces from one peer until the settings are whole, or it gives no more.
-async fn take_from(
+async fn fetch_from(
     shared: &Arc<FleetShared>,
     source: &SettingsSource,
     partial: &mut PartialCopy,
-) -> ProviderEnd {
-    let requester = shared.node().key();
+) -> ProviderOutcome {
+    let requester = shared.node().own_key();
     loop {
         let question = partial.assembly.question(requester);
         let in_force = shared.node().version();
         if in_force > question.newer_than.max(question.version.saturating_sub(1)) {
-            return ProviderEnd::Overtaken;
+            return ProviderOutcome::Overtaken;
         }
         let ask = |client: PeerLinkClient, context| async move {
             client.settings(context, question).await
         };
         let piece = match shared.call_peer(&source.info, PIECE_TIMEOUT, ask).await {
             Some(PieceAnswer::Piece(piece)) => piece,
-            Some(PieceAnswer::NothingNewer) => return ProviderEnd::NothingNewer,
-            Some(PieceAnswer::Busy) => return ProviderEnd::Busy,
-            None => return ProviderEnd::Unresponsive,
+            Some(PieceAnswer::NothingNewer) => return ProviderOutcome::NothingNewer,
+            Some(PieceAnswer::Busy) => return ProviderOutcome::Busy,
+            None => return ProviderOutcome::Unresponsive,
         };
         if shared.node().was_rejected(piece.version, piece.checksum) {
-            return ProviderEnd::Rejected(piece.version);
+            return ProviderOutcome::Rejected(piece.version);
         }
-        match partial.assembly.take(&piece) {
-            TakenPiece::Partial => {
+        match partial.assembly.add_piece(&piece) {
+            PieceOutcome::Partial => {
                 partial.record_piece(source, shared.clock.now());
             }
-            TakenPiece::Whole(copy) => return ProviderEnd::Whole(copy),
-            TakenPiece::Rejected => return ProviderEnd::Rejected(piece.version),
+            PieceOutcome::Whole(copy) => return ProviderOutcome::Whole(copy),
+            PieceOutcome::Rejected => return ProviderOutcome::Rejected(piece.version),
         }
     }
 }
@@ -128,15 +128,16 @@
 fn log_fetch(
     source: &SettingsSource,
     newer_than: SettingsVersion,
-    end: &ProviderEnd,
+    outcome: &ProviderOutcome,
     assembly: &CopyAssembly,
     took: Duration,
 ) {
-    let level = if matches!(end, ProviderEnd::Busy) { Level::Debug } else { Level::Info };
+    let level =
+        if matches!(outcome, ProviderOutcome::Busy) { Level::Debug } else { Level::Info };
     log::log!(
         level,
-        peer = source.info.name, newer_than, outcome = end.name(),
-        version = assembly.version(), left_off_at = assembly.received(),
+        peer = source.info.name, newer_than, outcome = outcome.name(),
+        version = assembly.version(), left_off_at = assembly.received_bytes(),
         took_ms = took.as_millis() as u64;
         "settings asked of peer"
     );
--- a/crates/flaxtide-fleet/src/lib.rs
+++ b/crates/flaxtide-fleet/src/lib.rs
@@ -38,8 +38,8 @@
     ListPlan, ListReader, RowAnswer, RowChanges, RowCopy, RowQuestion, RowSource,
 };
 pub use self::settings::{
-    CopyAssembly, PIECE_BYTES, PieceAnswer, PieceProvider, PieceQuestion, SettingsCopy,
-    SettingsPiece, TakenPiece,
+    CopyAssembly, MAX_PIECE_BYTES, PieceAnswer, PieceOutcome, PieceProvider,
+    PieceQuestion, SettingsCopy, SettingsPiece,
 };
 pub use self::thread::{FleetEvent, FleetThread, FleetUpdate};
 pub use self::wire::{
--- a/crates/flaxtide-fleet/src/node/crashes.rs
+++ b/crates/flaxtide-fleet/src/node/crashes.rs
@@ -241,7 +241,7 @@
             .filter(|peer| !self.in_own_group(peer) && peer.heard_within(now, timeout));
         let far: Vec<&PeerRecord> = far.collect();
         let names: Vec<&str> = far.iter().map(|peer| peer.info.name.as_str()).collect();
-        let order = rendezvous_order(u64::from(self.key()), &names);
+        let order = rendezvous_order(u64::from(self.own_key()), &names);
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         let ordered = order.into_iter().map(|place| far[place]);
         let told = ordered.filter(|peer| {
--- a/crates/flaxtide-fleet/src/node/group.rs
+++ b/crates/flaxtide-fleet/src/node/group.rs
@@ -168,7 +168,7 @@
             .values()
             .filter(|peer| !self.in_own_data_centre(&peer.info))
             .collect();
-        let own_key = self.key();
+        let own_key = self.own_key();
         far.sort_by_key(|peer| {
             (peer.heard_at.is_none(), fleet_key(&peer.info.name) ^ own_key)
         });
@@ -252,7 +252,7 @@
         }
         let names: Vec<&str> =
             candidates.iter().map(|peer| peer.info.name.as_str()).collect();
-        let order = rendezvous_order(u64::from(self.key()), &names);
+        let order = rendezvous_order(u64::from(self.own_key()), &names);
         order.first().map(|first| candidates[*first])
     }
 
--- a/crates/flaxtide-fleet/src/node/settings.rs
+++ b/crates/flaxtide-fleet/src/node/settings.rs
@@ -13,11 +13,11 @@
 use crate::settings::{SettingsCopy, checksum};
 
 /// Fetched settings that aren't in force after so long are fetched again.
-const ADOPTED_WITHIN: Duration = Duration::from_secs(5);
+const ADOPTION_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// For how long an instance is taken to be only a little behind its peers. Longer than that,
 /// what they say of newer settings may be wrong.
-const BEHIND_AT_MOST: Duration = Duration::from_secs(15);
+const MAX_TIME_BEHIND: Duration = Duration::from_secs(15);
 
 /// The settings of an instance, and what it knows of newer ones.
 #[derive(Debug, Default)]
@@ -27,11 +27,11 @@
     /// Since when a version is known that is newer than what is in force or just fetched.
     newer_since: Option<Duration>,
     /// When the instance's own source last brought something.
-    source_at: Duration,
+    source_progress_at: Duration,
     /// Whether only peers tell of newer settings, so that waiting for the platform is vain.
-    told_by_peers: bool,
+    follows_peers: bool,
     /// When it last turned to peers.
-    asked_at: Option<Duration>,
+    last_fetch_at: Option<Duration>,
     /// What was last fetched from a peer.
     fetched: Option<FetchedCopy>,
     /// The version and checksum of what was fetched, but can't be put in force.
@@ -57,7 +57,7 @@
     /// The peer.
     provider: InstanceName,
     /// When they were whole.
-    at: Duration,
+    fetched_at: Duration,
 }
 
 impl FleetNode {
@@ -76,19 +76,19 @@
     }
 
     /// Returns what stands for this instance.
-    pub(crate) fn key(&self) -> FleetKey {
+    pub(crate) fn own_key(&self) -> FleetKey {
         fleet_key(&self.own.name)
     }
 
     /// Records that the instance's own source of settings brings something.
     pub fn record_source_progress(&mut self, now: Duration) {
-        self.settings.source_at = now;
+        self.settings.source_progress_at = now;
     }
 
     /// Sets whether only peers tell of newer settings: this instance doesn't follow its own
     /// source just now, and turns to peers without waiting for it.
-    pub fn set_follows_peers(&mut self, told_by_peers: bool) {
-        self.settings.told_by_peers = told_by_peers;
+    pub fn set_follows_peers(&mut self, follows_peers: bool) {
+        self.settings.follows_peers = follows_peers;
     }
 
     /// Records that settings have been fetched from a peer. They are in force soon.
@@ -97,7 +97,7 @@
             version: copy.version,
             checksum: checksum(&copy.tree),
             provider: provider.to_owned(),
-            at: now,
+            fetched_at: now,
         });
     }
 
@@ -125,7 +125,7 @@
 
     /// Notes since when newer settings are known. To be called often, also while they are
     /// being fetched.
-    pub fn record_newer(&mut self, now: Duration) {
+    pub fn update_newer_since(&mut self, now: Duration) {
         if self.newer_peers(now).next().is_none() {
             self.settings.newer_since = None;
         } else {
@@ -136,17 +136,18 @@
     /// Returns whether settings are to be fetched from a peer now: one that is heard has newer
     /// ones, and the instance's own source hasn't brought them in time. Whoever asks is
     /// expected to fetch them then.
-    pub fn settings_due(&mut self, now: Duration) -> bool {
+    pub fn settings_fetch_due(&mut self, now: Duration) -> bool {
         let Some(since) = self.settings.newer_since else { return false };
-        let quiet_since = since.max(self.settings.source_at);
-        let rest = self.timing.settings_lead;
-        let lead = if self.settings.told_by_peers { Duration::ZERO } else { rest };
-        let waited =
-            now >= quiet_since + lead || now >= since + self.timing.settings_patience;
-        let rested = self.settings.asked_at.is_none_or(|at| now >= at + rest);
-        let due = waited && rested && self.heard_newer_peers(now).next().is_some();
+        let idle_since = since.max(self.settings.source_progress_at);
+        let wait = self.timing.settings_source_wait;
+        let source_wait = if self.settings.follows_peers { Duration::ZERO } else { wait };
+        let source_late = now >= idle_since + source_wait
+            || now >= since + self.timing.settings_source_max_wait;
+        let retry_due = self.settings.last_fetch_at.is_none_or(|at| now >= at + wait);
+        let due =
+            source_late && retry_due && self.heard_newer_peers(now).next().is_some();
         if due {
-            self.settings.asked_at = Some(now);
+            self.settings.last_fetch_at = Some(now);
         }
         due
     }
@@ -156,7 +157,7 @@
     #[must_use]
     pub fn newest_known_version(&self, now: Duration) -> SettingsVersion {
         let since = self.settings.newer_since;
-        if since.is_some_and(|since| now >= since + BEHIND_AT_MOST) {
+        if since.is_some_and(|since| now >= since + MAX_TIME_BEHIND) {
             return 0;
         }
         let peers = self.peers.values();
@@ -172,7 +173,7 @@
     pub fn settings_sources(&self, now: Duration) -> Vec<SettingsSource> {
         let peers: Vec<&PeerRecord> = self.heard_newer_peers(now).collect();
         let names: Vec<&str> = peers.iter().map(|peer| peer.info.name.as_str()).collect();
-        let mut order = rendezvous_order(u64::from(self.key()), &names);
+        let mut order = rendezvous_order(u64::from(self.own_key()), &names);
         order.sort_by_key(|place| {
             let peer = peers[*place];
             (Reverse(peer.version), !self.in_own_group(peer))
@@ -203,7 +204,7 @@
     /// Returns the version in force, or one that has just been fetched.
     fn known_version(&self, now: Duration) -> SettingsVersion {
         let fetched = self.settings.fetched.as_ref();
-        let fetched = fetched.filter(|copy| now < copy.at + ADOPTED_WITHIN);
+        let fetched = fetched.filter(|copy| now < copy.fetched_at + ADOPTION_TIMEOUT);
         fetched.map_or(0, |copy| copy.version).max(self.version())
     }
 }
--- a/crates/flaxtide-fleet/src/node/timing.rs
+++ b/crates/flaxtide-fleet/src/node/timing.rs
@@ -31,10 +31,10 @@
     /// How long an instance that hears of newer settings waits for its own source, the
     /// platform, while that brings nothing, before it asks a peer: longer than a store that
     /// is ninety times slower than usual takes to begin its answer.
-    pub settings_lead: Duration,
+    pub settings_source_wait: Duration,
     /// How long it waits while the source brings something. A row of 1.2 MB takes a second
     /// on an idle link of 10 Mbit/s.
-    pub settings_patience: Duration,
+    pub settings_source_max_wait: Duration,
 }
 
 impl Default for FleetTiming {
@@ -50,8 +50,8 @@
             shortest_digest_period: Duration::from_millis(500),
             longest_digest_period: Duration::from_secs(5),
             missed_heartbeats: 3,
-            settings_lead: Duration::from_millis(700),
-            settings_patience: Duration::from_secs(2),
+            settings_source_wait: Duration::from_millis(700),
+            settings_source_max_wait: Duration::from_secs(2),
         }
     }
 }
--- a/crates/flaxtide-fleet/src/partial.rs
+++ b/crates/flaxtide-fleet/src/partial.rs
@@ -8,7 +8,7 @@
 use crate::settings::CopyAssembly;
 
 /// What has come is dropped if no more of it has come for so long.
-const KEPT_FOR: Duration = Duration::from_secs(5);
+const PARTIAL_EXPIRY: Duration = Duration::from_secs(5);
 
 /// Settings of which a part has come. They outlast a fetch that ends before they are whole.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     /// Who gave the last piece.
     provider: Option<InstanceName>,
     /// When it came.
-    progress: Duration,
+    last_piece_at: Duration,
 }
 
 impl Default for PartialCopy {
@@ -26,7 +26,7 @@
         Self {
             assembly: CopyAssembly::new(0),
             provider: None,
-            progress: Duration::ZERO,
+            last_piece_at: Duration::ZERO,
         }
     }
 }
@@ -34,11 +34,11 @@
 impl PartialCopy {
     /// Goes on as an instance whose settings in force are of a version. What can't be of
     /// use any more is dropped.
-    pub(crate) fn renew(&mut self, version: SettingsVersion, now: Duration) {
-        if now >= self.progress + KEPT_FOR {
+    pub(crate) fn set_newer_than(&mut self, version: SettingsVersion, now: Duration) {
+        if now >= self.last_piece_at + PARTIAL_EXPIRY {
             *self = Self::default();
         }
-        self.assembly.renew(version);
+        self.assembly.set_newer_than(version);
     }
 
     /// Returns whether a source has what has begun, if anything has.
@@ -53,7 +53,7 @@
 
     /// Puts sources in the order in which they are asked: its provider first, which keeps the
     /// copy that it has begun even if it has newer settings by now; then who has the same.
-    pub(crate) fn order(&self, sources: &mut [SettingsSource]) {
+    pub(crate) fn sort_sources(&self, sources: &mut [SettingsSource]) {
         sources.sort_by_key(|source| {
             (!self.provided_by(source), !self.continued_by(source))
         });
@@ -62,6 +62,6 @@
     /// Records that a piece has come from a source.
     pub(crate) fn record_piece(&mut self, source: &SettingsSource, now: Duration) {
         self.provider = Some(source.info.name.clone());
-        self.progress = now;
+        self.last_piece_at = now;
     }
 }
--- a/crates/flaxtide-fleet/src/settings/give.rs
+++ b/crates/flaxtide-fleet/src/settings/give.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 
 use super::{
-    PIECE_BYTES, PieceAnswer, PieceQuestion, SettingsCopy, SettingsPiece, checksum,
+    MAX_PIECE_BYTES, PieceAnswer, PieceQuestion, SettingsCopy, SettingsPiece, checksum,
 };
 use crate::key::FleetKey;
 
 /// How many peers are given settings at the same time. A few at a time are done sooner than
 /// all at once, and then give them on; others ask elsewhere.
-const PERMITS: usize = 4;
+const MAX_TRANSFERS: usize = 4;
 
 /// A peer that asks for no further piece for so long has given up, or is gone. It asks again
 /// sooner if an answer was lost: within 2.6 s, with the opening of a link.
-const PERMIT_IDLE: Duration = Duration::from_secs(3);
+const TRANSFER_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Gives settings to a few peers at a time, in pieces. It is told the time.
 ///
@@ -29,21 +29,21 @@
 #[derive(Debug, Default)]
 pub struct PieceProvider {
     /// The copies that are being given.
-    permits: Vec<GivenCopy>,
+    transfers: Vec<OutgoingCopy>,
 }
 
 /// A copy that a peer is being given. It stays the same until it is whole, also when newer
 /// settings come meanwhile: with changes faster than a transfer, none would end otherwise.
 #[derive(Debug)]
-struct GivenCopy {
+struct OutgoingCopy {
     /// The peer.
     requester: FleetKey,
     /// The copy.
     copy: SettingsCopy,
     /// Its checksum.
     checksum: u64,
-    /// When the peer last asked.
-    asked: Duration,
+    /// When the peer last asked_at.
+    asked_at: Duration,
 }
 
 impl PieceProvider {
@@ -55,36 +55,38 @@
         newest: impl FnOnce() -> Option<SettingsCopy>,
         now: Duration,
     ) -> PieceAnswer {
-        self.permits.retain(|permit| now < permit.asked + PERMIT_IDLE);
+        self.transfers
+            .retain(|transfer| now < transfer.asked_at + TRANSFER_IDLE_TIMEOUT);
         let own = self
-            .permits
+            .transfers
             .iter()
-            .position(|permit| permit.requester == question.requester);
-        let begun = own.map(|place| self.permits.swap_remove(place));
-        if self.permits.len() >= PERMITS {
+            .position(|transfer| transfer.requester == question.requester);
+        let current = own.map(|place| self.transfers.swap_remove(place));
+        if self.transfers.len() >= MAX_TRANSFERS {
             return PieceAnswer::Busy;
         }
-        let begun = begun.filter(|permit| permit.copy.version == question.version);
-        // Older settings than those that the peer has begun are of no use to it.
+        let current =
+            current.filter(|transfer| transfer.copy.version == question.version);
+        // Older settings than those that the peer has current are of no use to it.
         let newest = || newest().filter(|copy| copy.version >= question.version);
-        let permit =
-            begun.or_else(|| Some(GivenCopy::new(question.requester, newest()?, now)));
-        let Some(mut permit) = permit else { return PieceAnswer::NothingNewer };
-        let piece = permit.piece(question);
+        let transfer = current
+            .or_else(|| Some(OutgoingCopy::new(question.requester, newest()?, now)));
+        let Some(mut transfer) = transfer else { return PieceAnswer::NothingNewer };
+        let piece = transfer.piece(question);
         let end = piece.offset as usize + piece.text.len();
-        if end < permit.copy.tree.len() {
-            permit.asked = now;
-            self.permits.push(permit);
+        if end < transfer.copy.tree.len() {
+            transfer.asked_at = now;
+            self.transfers.push(transfer);
         }
         PieceAnswer::Piece(piece)
     }
 }
 
-impl GivenCopy {
+impl OutgoingCopy {
     /// Begins to give a copy to a peer.
     fn new(requester: FleetKey, copy: SettingsCopy, now: Duration) -> Self {
         let checksum = checksum(&copy.tree);
-        Self { requester, copy, checksum, asked: now }
+        Self { requester, copy, checksum, asked_at: now }
     }
 
     /// Cuts the piece that a question asks for; the first one if it asks for a version that
@@ -92,9 +94,9 @@
     fn piece(&self, question: PieceQuestion) -> SettingsPiece {
         let tree = &*self.copy.tree;
         let offset = question.offset as usize;
-        let begun = question.version == self.copy.version;
-        let begin = if begun && tree.is_char_boundary(offset) { offset } else { 0 };
-        let end = tree.floor_char_boundary((begin + PIECE_BYTES).min(tree.len()));
+        let current = question.version == self.copy.version;
+        let begin = if current && tree.is_char_boundary(offset) { offset } else { 0 };
+        let end = tree.floor_char_boundary((begin + MAX_PIECE_BYTES).min(tree.len()));
         SettingsPiece {
             version: self.copy.version,
             length: tree.len() as u32,
--- a/crates/flaxtide-fleet/src/settings/mod.rs
+++ b/crates/flaxtide-fleet/src/settings/mod.rs
@@ -13,11 +13,11 @@
 use crate::key::FleetKey;
 
 pub use self::give::PieceProvider;
-pub use self::take::{CopyAssembly, TakenPiece};
+pub use self::take::{CopyAssembly, PieceOutcome};
 
 /// The most bytes of one piece: 26 ms of a link of 10 Mbit/s, so that heartbeats wait about 0.1 s
 /// behind the pieces of all that are given settings at the same time.
-pub const PIECE_BYTES: usize = 32 * 1024;
+pub const MAX_PIECE_BYTES: usize = 32 * 1024;
 
 /// The settings of one version, whole.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/flaxtide-fleet/src/settings/take.rs
+++ b/crates/flaxtide-fleet/src/settings/take.rs
@@ -8,7 +8,7 @@
 /// The most bytes of settings that are taken from a peer: seven times the largest that are
 /// known to be in use. Larger ones would take the memory of small instances; the platform's
 /// client has the same limit for them, a third more in base64.
-const LARGEST_SETTINGS: u32 = 6 * 1024 * 1024;
+const MAX_SETTINGS_BYTES: u32 = 6 * 1024 * 1024;
 
 /// Settings of which some pieces have come. Another peer that has the same version can give
 /// the rest.
@@ -34,7 +34,7 @@
 
 /// What a piece has brought.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum TakenPiece {
+pub enum PieceOutcome {
     /// More is to come.
     Partial,
     /// The settings are whole.
@@ -64,13 +64,13 @@
 
     /// Returns how many bytes of it have come.
     #[must_use]
-    pub fn received(&self) -> usize {
+    pub fn received_bytes(&self) -> usize {
         self.text.len()
     }
 
     /// Goes on as an instance whose settings in force are these. What has been begun is
     /// dropped if it isn't newer.
-    pub fn renew(&mut self, newer_than: SettingsVersion) {
+    pub fn set_newer_than(&mut self, newer_than: SettingsVersion) {
         if self.version <= newer_than {
             *self = Self::new(newer_than);
         }
@@ -89,26 +89,26 @@
     }
 
     /// Records a piece. One that doesn't fit leaves what has come as it is.
-    pub fn take(&mut self, piece: &SettingsPiece) -> TakenPiece {
-        let begins =
+    pub fn add_piece(&mut self, piece: &SettingsPiece) -> PieceOutcome {
+        let is_first =
             piece.offset == 0 && (piece.version > self.version || self.text.is_empty());
-        let mut next = begins.then(|| Self::begin(self.newer_than, piece));
+        let mut next = is_first.then(|| Self::begin(self.newer_than, piece));
         if !next.as_ref().unwrap_or(self).fits(piece) {
-            return TakenPiece::Rejected;
+            return PieceOutcome::Rejected;
         }
         if let Some(next) = next.take() {
             *self = next;
         }
         self.text.push_str(&piece.text);
         if self.text.len() < self.length as usize {
-            return TakenPiece::Partial;
+            return PieceOutcome::Partial;
         }
         let Self { version, checksum: expected, text, .. } =
             std::mem::replace(self, Self::new(self.newer_than));
         if checksum(&text) != expected {
-            return TakenPiece::Rejected;
+            return PieceOutcome::Rejected;
         }
-        TakenPiece::Whole(SettingsCopy { version, tree: text.into() })
+        PieceOutcome::Whole(SettingsCopy { version, tree: text.into() })
     }
 
     /// Begins with the first piece of a version, without its text.
@@ -129,7 +129,7 @@
             && piece.version > self.newer_than
             && piece.checksum == self.checksum
             && piece.length == self.length
-            && piece.length <= LARGEST_SETTINGS
+            && piece.length <= MAX_SETTINGS_BYTES
             && piece.offset as usize == self.text.len()
             && (1..=left).contains(&piece.text.len())
     }
--- a/crates/flaxtide-fleet/src/thread.rs
+++ b/crates/flaxtide-fleet/src/thread.rs
@@ -241,8 +241,9 @@
     now: Duration,
 ) {
     let mut node = shared.node();
-    node.record_newer(now);
-    if fetch.as_ref().is_none_or(JoinHandle::is_finished) && node.settings_due(now) {
+    node.update_newer_since(now);
+    if fetch.as_ref().is_none_or(JoinHandle::is_finished) && node.settings_fetch_due(now)
+    {
         drop(node);
         *fetch = Some(tokio::spawn(fetch_settings(shared.clone())));
     }
--- a/crates/flaxtide-fleet/tests/groups.rs
+++ b/crates/flaxtide-fleet/tests/groups.rs
@@ -124,7 +124,7 @@
     }
     fleet.run(Duration::from_secs(4));
     for node in fleet.nodes.values_mut() {
-        node.record_newer(fleet.now);
+        node.update_newer_since(fleet.now);
     }
     let knows = |node: &&FleetNode| {
         node.version() == 7 || node.newest_known_version(fleet.now) == 7
--- a/crates/flaxtide-fleet/tests/settings.rs
+++ b/crates/flaxtide-fleet/tests/settings.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use flaxtide_fleet::{
-    CopyAssembly, FleetNode, FleetTiming, PIECE_BYTES, PeerInfo, PieceAnswer,
-    PieceProvider, PieceQuestion, SettingsCopy, SettingsPiece, TakenPiece,
+    CopyAssembly, FleetNode, FleetTiming, MAX_PIECE_BYTES, PeerInfo, PieceAnswer,
+    PieceOutcome, PieceProvider, PieceQuestion, SettingsCopy, SettingsPiece,
 };
 
 /// How many peers are given settings at the same time.
@@ -43,15 +43,15 @@
     let (mut provider, mut assembly) = (PieceProvider::default(), CopyAssembly::new(6));
     for count in 1.. {
         let piece = piece(ask(&mut provider, 1, assembly.question(1), 7, count));
-        assert!(piece.text.len() <= PIECE_BYTES);
-        match assembly.take(&piece) {
-            TakenPiece::Partial => {}
-            TakenPiece::Whole(copy) => {
+        assert!(piece.text.len() <= MAX_PIECE_BYTES);
+        match assembly.add_piece(&piece) {
+            PieceOutcome::Partial => {}
+            PieceOutcome::Whole(copy) => {
                 assert_eq!(copy, settings(7));
-                assert_eq!(count, copy.tree.len().div_ceil(PIECE_BYTES) as u64);
+                assert_eq!(count, copy.tree.len().div_ceil(MAX_PIECE_BYTES) as u64);
                 return;
             }
-            TakenPiece::Rejected => panic!("piece {count} is rejected"),
+            PieceOutcome::Rejected => panic!("piece {count} is rejected"),
         }
     }
 }
@@ -63,7 +63,7 @@
         // Each question finds a newer version in force.
         let piece = piece(ask(&mut provider, 1, assembly.question(1), newest, newest));
         assert_eq!(piece.version, 7);
-        if let TakenPiece::Whole(copy) = assembly.take(&piece) {
+        if let PieceOutcome::Whole(copy) = assembly.add_piece(&piece) {
             assert_eq!(copy, settings(7));
             return;
         }
@@ -74,14 +74,14 @@
 fn another_giver_of_the_same_version_gives_the_rest() {
     let (mut first, mut second) = (PieceProvider::default(), PieceProvider::default());
     let mut assembly = CopyAssembly::new(6);
-    assembly.take(&piece(ask(&mut first, 1, assembly.question(1), 7, 0)));
+    assembly.add_piece(&piece(ask(&mut first, 1, assembly.question(1), 7, 0)));
     let begun = assembly.question(1);
     assert!(begun.offset > 0);
     assert_eq!(piece(ask(&mut second, 1, begun, 7, 0)).offset, begun.offset);
     // One with another version begins anew.
     let other = piece(ask(&mut PieceProvider::default(), 1, begun, 8, 0));
     assert_eq!((other.version, other.offset), (8, 0));
-    assert_eq!(assembly.take(&other), TakenPiece::Partial);
+    assert_eq!(assembly.add_piece(&other), PieceOutcome::Partial);
     assert_eq!(assembly.question(1).version, 8);
 }
 
@@ -110,7 +110,7 @@
         let mut assembly = CopyAssembly::new(6);
         loop {
             let piece = piece(ask(&mut provider, requester, assembly.question(1), 7, 0));
-            if assembly.take(&piece) != TakenPiece::Partial {
+            if assembly.add_piece(&piece) != PieceOutcome::Partial {
                 break;
             }
         }
@@ -121,11 +121,11 @@
 fn who_asks_again_keeps_its_one_seat_and_its_version() {
     let mut provider = PieceProvider::default();
     let mut assembly = CopyAssembly::new(6);
-    assembly.take(&piece(ask(&mut provider, 1, assembly.question(1), 7, 0)));
+    assembly.add_piece(&piece(ask(&mut provider, 1, assembly.question(1), 7, 0)));
     // Answers are lost, and it asks over further links while newer settings come.
     for newest in 8..8 + 3 * u64::from(PERMITS) {
         let again = piece(ask(&mut provider, 1, assembly.question(1), newest, newest));
-        assert_eq!((again.version, again.offset), (7, assembly.received() as u32));
+        assert_eq!((again.version, again.offset), (7, assembly.received_bytes() as u32));
     }
     for other in 2..=PERMITS {
         piece(ask(&mut provider, other, CopyAssembly::new(6).question(other), 7, 30));
@@ -136,7 +136,7 @@
 fn an_older_giver_does_not_undo_what_has_come() {
     let mut assembly = CopyAssembly::new(6);
     let first = piece(ask(&mut PieceProvider::default(), 1, assembly.question(1), 8, 0));
-    assembly.take(&first);
+    assembly.add_piece(&first);
     let begun = assembly.question(1);
     let older = ask(&mut PieceProvider::default(), 1, begun, 7, 0);
     assert_eq!(older, PieceAnswer::NothingNewer);
@@ -148,10 +148,10 @@
         7,
         0,
     ));
-    assert_eq!(assembly.take(&unasked), TakenPiece::Rejected);
+    assert_eq!(assembly.add_piece(&unasked), PieceOutcome::Rejected);
     assert_eq!(assembly.question(1), begun);
     // Nor does one that begins the same settings again and again.
-    assert_eq!(assembly.take(&first), TakenPiece::Rejected);
+    assert_eq!(assembly.add_piece(&first), PieceOutcome::Rejected);
     assert_eq!(assembly.question(1), begun);
 }
 
@@ -159,11 +159,11 @@
 fn what_has_begun_goes_on_while_it_is_newer_than_what_is_in_force() {
     let mut assembly = CopyAssembly::new(6);
     let first = piece(ask(&mut PieceProvider::default(), 1, assembly.question(1), 8, 0));
-    assembly.take(&first);
-    assembly.renew(7);
-    assert_eq!((assembly.version(), assembly.received()), (8, first.text.len()));
-    assembly.renew(8);
-    assert_eq!((assembly.version(), assembly.received()), (0, 0));
+    assembly.add_piece(&first);
+    assembly.set_newer_than(7);
+    assert_eq!((assembly.version(), assembly.received_bytes()), (8, first.text.len()));
+    assembly.set_newer_than(8);
+    assert_eq!((assembly.version(), assembly.received_bytes()), (0, 0));
 }
 
 #[test]
@@ -198,12 +198,16 @@
         let mut spoilt = good();
         spoil(&mut spoilt);
         let mut assembly = CopyAssembly::new(6);
-        assert_eq!(assembly.take(&spoilt), TakenPiece::Rejected, "{what}");
+        assert_eq!(assembly.add_piece(&spoilt), PieceOutcome::Rejected, "{what}");
         assert_eq!(assembly.question(1).offset, 0, "{what}");
     }
     let mut altered = good();
     altered.length = altered.text.len() as u32;
-    assert_eq!(CopyAssembly::new(6).take(&altered), TakenPiece::Rejected, "checksum");
+    assert_eq!(
+        CopyAssembly::new(6).add_piece(&altered),
+        PieceOutcome::Rejected,
+        "checksum"
+    );
 }
 
 fn info(number: usize) -> PeerInfo {
@@ -225,8 +229,8 @@
 
 /// Looks once whether settings are to be fetched, as the fleet thread does.
 fn due_at(node: &mut FleetNode, now: Duration) -> bool {
-    node.record_newer(now);
-    node.settings_due(now)
+    node.update_newer_since(now);
+    node.settings_fetch_due(now)
 }
 
 /// Has a node hear a peer that has a version.
@@ -305,11 +309,11 @@
     let mut node = node_that_hears(0, &[8, 9], ms(0));
     node.set_version(7);
     assert_eq!(node.newest_known_version(ms(0)), 9, "as soon as it hears of them");
-    node.record_newer(ms(50));
+    node.update_newer_since(ms(50));
     // One version comes, and another is still ahead.
     node.set_version(8);
     assert_eq!(node.newest_known_version(ms(100)), 9);
-    node.record_newer(ms(150));
+    node.update_newer_since(ms(150));
     assert_eq!(node.newest_known_version(ms(15_000)), 9);
     assert_eq!(node.newest_known_version(ms(15_200)), 0, "what peers say may be wrong");
     node.record_fetched(&settings(9), "instance-101", ms(15_300));
