--- a/crates/flaxtide-fleet/src/links.rs
+++ b/crates/flaxtide-fleet/src/links.rs
@@ -26,7 +26,7 @@
 
 /// How much longer than its deadline a call is waited for. A call that couldn't even be
 /// written, as the peer reads nothing, isn't ended by its deadline.
-const UNWRITTEN: Duration = Duration::from_millis(100);
+const WRITE_MARGIN: Duration = Duration::from_millis(100);
 
 /// The links of one instance to its peers.
 #[derive(Default)]
@@ -34,7 +34,7 @@
     /// A slot for each address.
     slots: Mutex<HashMap<SocketAddr, Arc<LinkSlot>>>,
     /// The number of the next link.
-    next: AtomicU64,
+    next_number: AtomicU64,
     /// The bytes that went over the links.
     pub(crate) bytes: LinkBytes,
 }
@@ -48,7 +48,7 @@
     /// The link, if it is open.
     open: Option<OpenLink>,
     /// When it last couldn't be opened.
-    failed: Option<Instant>,
+    failed_at: Option<Instant>,
 }
 
 /// An open link.
@@ -69,19 +69,19 @@
         if state.open.is_some() {
             return state.open.clone();
         }
-        if state.failed.is_some_and(|at| at.elapsed() < RECONNECT_PAUSE) {
+        if state.failed_at.is_some_and(|at| at.elapsed() < RECONNECT_PAUSE) {
             return None;
         }
         let stream =
             tokio::time::timeout(OPEN_TIMEOUT, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = stream else {
-            state.failed = Some(Instant::now());
+            state.failed_at = Some(Instant::now());
             return None;
         };
         let _ = stream.set_nodelay(true);
         let transport = transport(stream, &self.bytes);
         let client = PeerLinkClient::new(client::Config::default(), transport).spawn();
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         state.open = Some(OpenLink { number, client });
         state.open.clone()
     }
@@ -97,7 +97,7 @@
 
     /// Closes the links to addresses that aren't wanted any more. Calls under way on them
     /// are answered still.
-    pub(crate) fn keep_only(&self, wanted: impl Fn(&SocketAddr) -> bool) {
+    pub(crate) fn retain(&self, wanted: impl Fn(&SocketAddr) -> bool) {
         let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
         slots.retain(|address, slot| wanted(address) || Arc::strong_count(slot) > 1);
     }
@@ -121,7 +121,7 @@
 /// # Errors
 ///
 /// Returns why there is no answer.
-pub(crate) async fn call<Answer, Call>(
+pub(crate) async fn call_with_timeout<Answer, Call>(
     timeout: Duration,
     call: impl FnOnce(Context) -> Call,
 ) -> Result<Answer, RpcError>
@@ -130,7 +130,7 @@
 {
     let mut context = context::current();
     context.deadline = Instant::now() + timeout;
-    let answer = tokio::time::timeout(timeout + UNWRITTEN, call(context)).await;
+    let answer = tokio::time::timeout(timeout + WRITE_MARGIN, call(context)).await;
     answer.unwrap_or(Err(RpcError::DeadlineExceeded))
 }
 
--- a/crates/flaxtide-fleet/src/node/duty.rs
+++ b/crates/flaxtide-fleet/src/node/duty.rs
@@ -16,7 +16,7 @@
 const STARTUP_DELAY: Duration = Duration::from_millis(1500);
 
 impl FleetNode {
-    /// Records who holds the duties, if that is news: of two holders, the one with the higher
+    /// Records who holds the duties, if that is unsent: of two holders, the one with the higher
     /// fencing number is the newer.
     pub fn record_duty_holder(&mut self, holder: Option<DutyHolder>) {
         if holder > self.duty {
@@ -47,14 +47,14 @@
     }
 
     /// Makes a notice of what this instance has counted.
-    pub(crate) fn usage_notice(&self, news: UnsentUsage) -> UsageNotice {
+    pub(crate) fn usage_notice(&self, unsent: UnsentUsage) -> UsageNotice {
         UsageNotice {
             from: self.own.clone(),
             epoch: self.epoch,
             leaving: self.leaving,
-            told_until_ms: news.told_until_ms,
-            windows: news.windows,
-            open: news.open,
+            told_until_ms: unsent.told_until_ms,
+            windows: unsent.windows,
+            open: unsent.open,
         }
     }
 }
--- a/crates/flaxtide-fleet/src/serve.rs
+++ b/crates/flaxtide-fleet/src/serve.rs
@@ -23,7 +23,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// How many requests of one link are answered side by side.
-const REQUESTS_OF_A_LINK: usize = 8;
+const MAX_PARALLEL_REQUESTS: usize = 8;
 
 /// Answers peers.
 pub(crate) async fn serve(listener: TcpListener, shared: Arc<FleetShared>) {
@@ -35,16 +35,16 @@
         let _ = stream.set_nodelay(true);
         let channel = BaseChannel::with_defaults(transport(stream, &shared.links.bytes));
         let server = PeerServer { shared: shared.clone() };
-        tokio::spawn(answer(channel.execute(server.serve())));
+        tokio::spawn(handle_requests(channel.execute(server.serve())));
     }
 }
 
 /// Answers the requests of one link. One that waits for rows doesn't hold up the others.
-async fn answer<Response: Future<Output = ()>>(
+async fn handle_requests<Response: Future<Output = ()>>(
     requests: impl futures::Stream<Item = Response>,
 ) {
     requests
-        .for_each_concurrent(REQUESTS_OF_A_LINK, |response| response)
+        .for_each_concurrent(MAX_PARALLEL_REQUESTS, |response| response)
         .await;
 }
 
@@ -82,15 +82,18 @@
     }
 
     async fn usage(self, _: Context, notice: UsageNotice) -> bool {
-        self.shared.duties.get().is_some_and(|duties| duties.receive(notice))
+        self.shared
+            .usage_exchange
+            .get()
+            .is_some_and(|exchange| exchange.receive(notice))
     }
 
     async fn settings(self, _: Context, question: PieceQuestion) -> PieceAnswer {
         let shared = &self.shared;
-        let newest = || (shared.settings)(question.newer_than);
+        let newest = || (shared.settings_newer_than)(question.newer_than);
         let mut provider = shared.provider.lock().unwrap_or_else(PoisonError::into_inner);
         let answer = provider.answer(question, newest, shared.clock.now());
-        log_given(question, &answer);
+        log_provided(question, &answer);
         answer
     }
 
@@ -100,22 +103,22 @@
         after: StoreVersion,
         wait_ms: u32,
     ) -> Option<RowChanges> {
-        let source = self.shared.rows.get()?.clone();
+        let source = self.shared.row_source.get()?.clone();
         let wait = Duration::from_millis(wait_ms.into()).min(ANSWER_TIMEOUT);
-        let changed = source.change_notifier();
-        let woken = changed.notified();
+        let notifier = source.change_notifier();
+        let notified = notifier.notified();
         let changes = source.changes_after(after)?;
         if !changes.rows.is_empty() {
             return Some(changes);
         }
         // Without changes in time, the answer says up to when there was none.
-        let _ = tokio::time::timeout(wait, woken).await;
+        let _ = tokio::time::timeout(wait, notified).await;
         source.changes_after(after)
     }
 }
 
 /// Logs that settings are given, once a copy, and that a peer is sent elsewhere.
-fn log_given(question: PieceQuestion, answer: &PieceAnswer) {
+fn log_provided(question: PieceQuestion, answer: &PieceAnswer) {
     let newer_than = question.newer_than;
     match answer {
         PieceAnswer::Piece(piece) if piece.offset == 0 => log::info!(
--- a/crates/flaxtide-fleet/src/shared.rs
+++ b/crates/flaxtide-fleet/src/shared.rs
@@ -10,7 +10,7 @@
 
 use crate::duty::UsageExchange;
 use crate::info::PeerInfo;
-use crate::links::{PeerLinks, call};
+use crate::links::{PeerLinks, call_with_timeout};
 use crate::node::{FleetNode, FleetNotice};
 use crate::partial::PartialCopy;
 use crate::rows::RowSource;
@@ -29,10 +29,10 @@
 }
 
 /// Takes what the fleet thread passes on.
-type TakeOutput = Box<dyn Fn(FleetOutput) + Send + Sync>;
+type OutputHandler = Box<dyn Fn(FleetOutput) + Send + Sync>;
 
 /// Gives the settings in force, if newer than a version.
-type GiveSettings = Box<dyn Fn(SettingsVersion) -> Option<SettingsCopy> + Send + Sync>;
+type SettingsLookup = Box<dyn Fn(SettingsVersion) -> Option<SettingsCopy> + Send + Sync>;
 
 /// What all tasks of the fleet thread share.
 pub(crate) struct FleetShared {
@@ -41,13 +41,13 @@
     /// The clock.
     pub(crate) clock: MilliClock,
     /// Takes what is heard.
-    pub(crate) output: TakeOutput,
+    pub(crate) output: OutputHandler,
     /// Gives the settings in force to peers.
-    pub(crate) settings: GiveSettings,
+    pub(crate) settings_newer_than: SettingsLookup,
     /// What this instance has read from the platform for peers, once it does.
-    pub(crate) rows: OnceLock<Arc<dyn RowSource>>,
+    pub(crate) row_source: OnceLock<Arc<dyn RowSource>>,
     /// What this instance counts for the one that holds the duties, if there are any.
-    pub(crate) duties: OnceLock<Arc<dyn UsageExchange>>,
+    pub(crate) usage_exchange: OnceLock<Arc<dyn UsageExchange>>,
     /// The open links to peers.
     pub(crate) links: PeerLinks,
     /// Gives the settings to a few peers at a time.
@@ -63,7 +63,7 @@
     /// There was no link to it.
     NoLink,
     /// No answer came in time.
-    Late,
+    TimedOut,
     /// The call broke its link.
     Broken,
 }
@@ -73,16 +73,16 @@
     pub(crate) fn new(
         node: FleetNode,
         clock: MilliClock,
-        output: TakeOutput,
-        settings: GiveSettings,
+        output: OutputHandler,
+        settings_newer_than: SettingsLookup,
     ) -> Self {
         Self {
             node: Mutex::new(node),
             clock,
             output,
-            settings,
-            rows: OnceLock::new(),
-            duties: OnceLock::new(),
+            settings_newer_than,
+            row_source: OnceLock::new(),
+            usage_exchange: OnceLock::new(),
             links: PeerLinks::default(),
             provider: Mutex::default(),
             partial: Mutex::default(),
@@ -129,13 +129,13 @@
     {
         let link = self.links.open(peer.address).await.ok_or(CallFault::NoLink)?;
         let client = link.client.clone();
-        match call(timeout, |context| ask(client, context)).await {
+        match call_with_timeout(timeout, |context| ask(client, context)).await {
             Ok(answer) => Ok(answer),
             Err(cause) => {
                 log::debug!("no answer from {}: {cause}", peer.name);
                 self.links.close(peer.address, &link).await;
-                let late = matches!(cause, RpcError::DeadlineExceeded);
-                Err(if late { CallFault::Late } else { CallFault::Broken })
+                let timed_out = matches!(cause, RpcError::DeadlineExceeded);
+                Err(if timed_out { CallFault::TimedOut } else { CallFault::Broken })
             }
         }
     }
--- a/crates/flaxtide-fleet/src/thread.rs
+++ b/crates/flaxtide-fleet/src/thread.rs
@@ -18,7 +18,7 @@
 use crate::duty::UsageExchange;
 use crate::fetch::fetch_settings;
 use crate::info::PeerInfo;
-use crate::links::call;
+use crate::links::call_with_timeout;
 use crate::node::{
     FleetNode, FleetNotice, OutgoingCrashes, OutgoingHeartbeat, OutgoingHello,
     OutgoingPushback,
@@ -27,7 +27,7 @@
 use crate::serve::serve;
 use crate::settings::SettingsCopy;
 use crate::shared::{ANSWER_TIMEOUT, CallFault, FleetOutput, FleetShared};
-use crate::usage::UsageRound;
+use crate::usage::UsageSender;
 use crate::wire::PeerLinkClient;
 
 /// How often the thread polls its rings.
@@ -37,7 +37,7 @@
 const URGENT_PERIOD: Duration = Duration::from_millis(200);
 
 /// How often links to peers that aren't known any more are closed.
-const TIDY_PERIOD: Duration = Duration::from_secs(5);
+const LINK_PRUNE_PERIOD: Duration = Duration::from_secs(5);
 
 /// An event for the fleet thread.
 #[derive(Debug)]
@@ -113,14 +113,14 @@
     /// Has it give peers what this instance has read. Only the first source counts.
     pub fn set_row_source(&self, source: Arc<dyn RowSource>) {
         // A second source would be a fault of the caller's, and the first stays right.
-        let _ = self.shared.rows.set(source);
+        let _ = self.shared.row_source.set(source);
     }
 
     /// Has it tell the one that holds the duties what this instance has counted. Only the first
     /// exchange counts.
     pub fn set_usage_exchange(&self, exchange: Arc<dyn UsageExchange>) {
         // A second exchange would be a fault of the caller's, and the first stays right.
-        let _ = self.shared.duties.set(exchange);
+        let _ = self.shared.usage_exchange.set(exchange);
     }
 
     /// Returns where it listens.
@@ -145,7 +145,7 @@
             match TcpListener::from_std(listener) {
                 Ok(listener) => {
                     tokio::spawn(serve(listener, shared.clone()));
-                    lead(&shared, events).await;
+                    run_loop(&shared, events).await;
                 }
                 Err(cause) => log::error!("no listener for peers: {cause}"),
             }
@@ -156,39 +156,39 @@
 }
 
 /// Takes events and sends heartbeats until told to stop.
-async fn lead(shared: &Arc<FleetShared>, events: &Receiver<FleetEvent>) {
+async fn run_loop(shared: &Arc<FleetShared>, events: &Receiver<FleetEvent>) {
     let mut urgent = UrgentRound::default();
     let mut fetch = None;
-    let mut tidied = Duration::ZERO;
-    let mut usage = UsageRound::default();
-    while take_events(shared, events, &mut urgent) {
+    let mut links_pruned_at = Duration::ZERO;
+    let mut usage = UsageSender::default();
+    while handle_events(shared, events, &mut urgent) {
         let now = shared.clock.now();
         fetch_if_due(shared, &mut fetch, now);
         let mut heartbeats = shared.node().due_heartbeats(now);
         if heartbeats.is_empty() && urgent.is_due(now) {
-            urgent = UrgentRound { wanted: false, last: Some(now) };
+            urgent = UrgentRound { requested: false, last: Some(now) };
             heartbeats = shared.node().urgent_heartbeats();
         }
         for heartbeat in heartbeats {
-            tokio::spawn(send(shared.clone(), heartbeat));
+            tokio::spawn(send_heartbeat(shared.clone(), heartbeat));
         }
-        if now >= tidied + TIDY_PERIOD {
-            tidied = now;
+        if now >= links_pruned_at + LINK_PRUNE_PERIOD {
+            links_pruned_at = now;
             let addresses = shared.node().addresses();
-            shared.links.keep_only(|address| addresses.contains(address));
+            shared.links.retain(|address| addresses.contains(address));
         }
-        usage.tell_if_due(shared, now);
+        usage.send_if_due(shared, now);
         let hellos = shared.node().due_hellos(now);
         for hello in hellos {
-            tokio::spawn(ask_digest(shared.clone(), hello));
+            tokio::spawn(request_digest(shared.clone(), hello));
         }
         let crashes = shared.node().due_crashes(now);
         for outgoing in crashes {
-            tokio::spawn(tell_crashes(shared.clone(), outgoing));
+            tokio::spawn(send_crash_notice(shared.clone(), outgoing));
         }
         let pushback = shared.node().due_pushback(now);
         for outgoing in pushback {
-            tokio::spawn(tell_pushback(shared.clone(), outgoing));
+            tokio::spawn(send_pushback_notice(shared.clone(), outgoing));
         }
         tokio::time::sleep(POLL_PERIOD).await;
     }
@@ -198,7 +198,7 @@
 #[derive(Debug, Default)]
 struct UrgentRound {
     /// Whether there is something that everyone is to hear at once.
-    wanted: bool,
+    requested: bool,
     /// When the last one was.
     last: Option<Duration>,
 }
@@ -206,12 +206,12 @@
 impl UrgentRound {
     /// Returns whether it is to be sent now.
     fn is_due(&self, now: Duration) -> bool {
-        self.wanted && self.last.is_none_or(|at| now >= at + URGENT_PERIOD)
+        self.requested && self.last.is_none_or(|at| now >= at + URGENT_PERIOD)
     }
 }
 
 /// Takes all events that are in the ring. Returns whether to go on.
-fn take_events(
+fn handle_events(
     shared: &Arc<FleetShared>,
     events: &Receiver<FleetEvent>,
     urgent: &mut UrgentRound,
@@ -222,7 +222,7 @@
                 let now = shared.clock.now();
                 update(&mut shared.node(), now);
             }
-            Ok(FleetEvent::SendHeartbeats) => urgent.wanted = true,
+            Ok(FleetEvent::SendHeartbeats) => urgent.requested = true,
             Ok(FleetEvent::AskRows(question)) => {
                 tokio::spawn(ask_rows(shared.clone(), question));
             }
@@ -250,7 +250,7 @@
 }
 
 /// Sends one heartbeat and handles the reply.
-async fn send(shared: Arc<FleetShared>, outgoing: OutgoingHeartbeat) {
+async fn send_heartbeat(shared: Arc<FleetShared>, outgoing: OutgoingHeartbeat) {
     let OutgoingHeartbeat { to, heartbeat } = outgoing;
     let ask = |client: PeerLinkClient, context| async move {
         client.heartbeat(context, heartbeat).await
@@ -262,7 +262,7 @@
 }
 
 /// Asks a contact in another data centre for its digest.
-async fn ask_digest(shared: Arc<FleetShared>, outgoing: OutgoingHello) {
+async fn request_digest(shared: Arc<FleetShared>, outgoing: OutgoingHello) {
     let OutgoingHello { to, hello } = outgoing;
     let ask = |client: PeerLinkClient, context| async move {
         client.digest(context, hello).await
@@ -274,63 +274,63 @@
 }
 
 /// Tells a peer of servers that ended under requests, and handles its answer.
-async fn tell_crashes(shared: Arc<FleetShared>, outgoing: OutgoingCrashes) {
+async fn send_crash_notice(shared: Arc<FleetShared>, outgoing: OutgoingCrashes) {
     let OutgoingCrashes { to, notice } = outgoing;
-    let faults = NoticeFaults {
-        missed: FleetNode::handle_crash_no_link,
-        broken: FleetNode::handle_crash_broken_link,
+    let faults = NoticeFaultHandlers {
+        no_link: FleetNode::handle_crash_no_link,
+        broken_link: FleetNode::handle_crash_broken_link,
     };
-    let tell = |client: PeerLinkClient, context| async move {
+    let call = |client: PeerLinkClient, context| async move {
         client.crashes(context, notice).await
     };
-    let Some(reply) = deliver(&shared, &to, faults, tell).await else { return };
+    let Some(reply) = send_notice(&shared, &to, faults, call).await else { return };
     let now = shared.clock.now();
     let notices = shared.node().handle_crash_reply(&to.name, &reply, now);
     shared.notify(notices);
 }
 
 /// Tells a peer what backend servers have said of themselves.
-async fn tell_pushback(shared: Arc<FleetShared>, outgoing: OutgoingPushback) {
+async fn send_pushback_notice(shared: Arc<FleetShared>, outgoing: OutgoingPushback) {
     let OutgoingPushback { to, notice } = outgoing;
-    let faults = NoticeFaults {
-        missed: FleetNode::handle_pushback_no_link,
-        broken: FleetNode::handle_pushback_broken_link,
+    let faults = NoticeFaultHandlers {
+        no_link: FleetNode::handle_pushback_no_link,
+        broken_link: FleetNode::handle_pushback_broken_link,
     };
-    let tell = |client: PeerLinkClient, context| async move {
+    let call = |client: PeerLinkClient, context| async move {
         client.pushback(context, notice).await
     };
-    if deliver(&shared, &to, faults, tell).await.is_some() {
+    if send_notice(&shared, &to, faults, call).await.is_some() {
         shared.node().handle_pushback_reply(&to.name);
     }
 }
 
 /// What a node does about a notice that doesn't arrive.
-struct NoticeFaults {
+struct NoticeFaultHandlers {
     /// There was no link for it.
-    missed: fn(&mut FleetNode, &InstanceName, Duration),
+    no_link: fn(&mut FleetNode, &InstanceName, Duration),
     /// It broke its link.
-    broken: fn(&mut FleetNode, &InstanceName, Duration),
+    broken_link: fn(&mut FleetNode, &InstanceName, Duration),
 }
 
 /// Delivers a notice to a peer. Returns the reply, if one came in time.
-async fn deliver<Reply, Answer>(
+async fn send_notice<Reply, Answer>(
     shared: &FleetShared,
     to: &PeerInfo,
-    faults: NoticeFaults,
-    tell: impl FnOnce(PeerLinkClient, Context) -> Answer,
+    faults: NoticeFaultHandlers,
+    call: impl FnOnce(PeerLinkClient, Context) -> Answer,
 ) -> Option<Reply>
 where
     Answer: Future<Output = Result<Reply, RpcError>>,
 {
-    let fault = match shared.try_call_peer(to, ANSWER_TIMEOUT, tell).await {
+    let fault = match shared.try_call_peer(to, ANSWER_TIMEOUT, call).await {
         Ok(reply) => return Some(reply),
         Err(fault) => fault,
     };
     let now = shared.clock.now();
     match fault {
-        CallFault::NoLink => (faults.missed)(&mut shared.node(), &to.name, now),
-        CallFault::Broken => (faults.broken)(&mut shared.node(), &to.name, now),
-        CallFault::Late => {}
+        CallFault::NoLink => (faults.no_link)(&mut shared.node(), &to.name, now),
+        CallFault::Broken => (faults.broken_link)(&mut shared.node(), &to.name, now),
+        CallFault::TimedOut => {}
     }
     None
 }
@@ -339,13 +339,13 @@
 /// its heartbeats tell whether the peer is there.
 async fn ask_rows(shared: Arc<FleetShared>, question: RowQuestion) {
     let RowQuestion { peer, after, wait, margin, answer } = question;
-    let asked = async {
+    let query = async {
         let Some(link) = shared.links.open(peer).await else {
             return RowAnswer::Unreachable;
         };
         let wait_ms = wait.as_millis() as u32;
         let rows = |context| link.client.rows(context, after, wait_ms);
-        match call(wait + margin, rows).await {
+        match call_with_timeout(wait + margin, rows).await {
             Ok(Some(changes)) => RowAnswer::Changes(changes),
             Ok(None) => RowAnswer::Unavailable,
             Err(cause) => {
@@ -357,6 +357,6 @@
             }
         }
     };
-    let answered = tokio::time::timeout(wait + margin, asked).await;
-    answer(answered.unwrap_or(RowAnswer::Unreachable));
+    let outcome = tokio::time::timeout(wait + margin, query).await;
+    answer(outcome.unwrap_or(RowAnswer::Unreachable));
 }
--- a/crates/flaxtide-fleet/src/usage.rs
+++ b/crates/flaxtide-fleet/src/usage.rs
@@ -5,7 +5,7 @@
 
 use tokio::task::JoinHandle;
 
-use crate::links::call;
+use crate::links::call_with_timeout;
 use crate::shared::{ANSWER_TIMEOUT, FleetShared};
 use crate::wire::DutyHolder;
 
@@ -17,38 +17,38 @@
 
 /// Tells the holder, one notice at a time.
 #[derive(Debug, Default)]
-pub(crate) struct UsageRound {
+pub(crate) struct UsageSender {
     /// The notice under way.
-    under_way: Option<JoinHandle<()>>,
+    in_flight: Option<JoinHandle<()>>,
     /// When the next one is due.
-    due: Duration,
+    due_at: Duration,
     /// The holder that was last told.
-    told: Option<DutyHolder>,
+    last_holder: Option<DutyHolder>,
 }
 
-impl UsageRound {
+impl UsageSender {
     /// Tells the holder if that is due: at once if there is a new one.
-    pub(crate) fn tell_if_due(&mut self, shared: &Arc<FleetShared>, now: Duration) {
+    pub(crate) fn send_if_due(&mut self, shared: &Arc<FleetShared>, now: Duration) {
         let Some(holder) = shared.node().duty_holder() else { return };
-        if self.under_way.as_ref().is_some_and(|task| !task.is_finished()) {
-            self.due = self.due.min(now + RETRY_PERIOD);
+        if self.in_flight.as_ref().is_some_and(|task| !task.is_finished()) {
+            self.due_at = self.due_at.min(now + RETRY_PERIOD);
             return;
         }
-        if now < self.due && self.told == Some(holder) {
+        if now < self.due_at && self.last_holder == Some(holder) {
             return;
         }
-        self.due = now + USAGE_PERIOD;
-        self.told = Some(holder);
-        self.under_way = Some(tokio::spawn(tell(shared.clone(), holder)));
+        self.due_at = now + USAGE_PERIOD;
+        self.last_holder = Some(holder);
+        self.in_flight = Some(tokio::spawn(send_usage(shared.clone(), holder)));
     }
 }
 
 /// Tells a holder what it hasn't heard.
-async fn tell(shared: Arc<FleetShared>, holder: DutyHolder) {
-    let Some(exchange) = shared.duties.get() else { return };
-    let news = exchange.unsent(holder.fence);
-    let mark = news.mark;
-    let notice = shared.node().usage_notice(news);
+async fn send_usage(shared: Arc<FleetShared>, holder: DutyHolder) {
+    let Some(exchange) = shared.usage_exchange.get() else { return };
+    let unsent = exchange.unsent(holder.fence);
+    let mark = unsent.mark;
+    let notice = shared.node().usage_notice(unsent);
     if holder.address == notice.from.address {
         if exchange.receive(notice) {
             exchange.confirm(holder.fence, mark);
@@ -56,8 +56,8 @@
         return;
     }
     let Some(link) = shared.links.open(holder.address).await else { return };
-    let tell = |context| link.client.usage(context, notice);
-    match call(ANSWER_TIMEOUT, tell).await {
+    let call = |context| link.client.usage(context, notice);
+    match call_with_timeout(ANSWER_TIMEOUT, call).await {
         Ok(true) => exchange.confirm(holder.fence, mark),
         Ok(false) => {}
         Err(cause) => {
