--- a/crates/flaxtide-fleet/src/lib.rs
+++ b/crates/flaxtide-fleet/src/lib.rs
@@ -5,15 +5,15 @@
 //! of it is soft state: it is heard again within a few periods, and what isn't heard
 //! expires. [`FleetThread`] carries the messages over tarpc.
 
-mod contact;
+mod changes;
 mod counted;
 mod duty;
 mod fetch;
 mod info;
 mod key;
 mod links;
-mod news;
 mod node;
+mod notice;
 mod partial;
 mod peer;
 mod rate;
--- a/crates/flaxtide-fleet/src/node/crashes.rs
+++ b/crates/flaxtide-fleet/src/node/crashes.rs
@@ -8,9 +8,9 @@
 use flaxtide_policy::{CrashLog, CrashReport, Fingerprint, rendezvous_order};
 
 use super::{FleetNode, FleetNotice};
-use crate::contact::{NoticeState, PendingNotice};
+use crate::changes::ChangeQueue;
 use crate::info::PeerInfo;
-use crate::news::ChangeQueue;
+use crate::notice::{NoticeState, PendingNotice};
 use crate::peer::PeerRecord;
 use crate::wire::{CrashNotice, CrashReply};
 
--- a/crates/flaxtide-fleet/src/node/mod.rs
+++ b/crates/flaxtide-fleet/src/node/mod.rs
@@ -6,11 +6,11 @@
 mod divide;
 mod duty;
 mod group;
+mod heartbeats;
 mod lists;
 mod pushback;
 mod roster;
 mod settings;
-mod talk;
 mod timing;
 
 use std::collections::BTreeMap;
--- a/crates/flaxtide-fleet/src/node/pushback.rs
+++ b/crates/flaxtide-fleet/src/node/pushback.rs
@@ -7,9 +7,9 @@
 use flaxtide_policy::{PushbackLog, PushbackReport, ReportEffect, ServerStart};
 
 use super::{FleetNode, FleetNotice};
-use crate::contact::PendingNotice;
+use crate::changes::ChangeQueue;
 use crate::info::PeerInfo;
-use crate::news::ChangeQueue;
+use crate::notice::PendingNotice;
 use crate::wire::PushbackNotice;
 
 /// The most reports in one message: 14 KB.
--- a/crates/flaxtide-fleet/src/peer.rs
+++ b/crates/flaxtide-fleet/src/peer.rs
@@ -5,9 +5,9 @@
 
 use flaxtide_core::SettingsVersion;
 
-use crate::contact::NoticeState;
 use crate::info::PeerInfo;
 use crate::key::FleetKey;
+use crate::notice::NoticeState;
 use crate::wire::{FleetHeartbeat, OwnLoad, PoolDemand};
 
 /// A peer, as last heard.
--- a/crates/flaxtide-fleet/src/settings/mod.rs
+++ b/crates/flaxtide-fleet/src/settings/mod.rs
@@ -1,8 +1,8 @@
 //! Settings on their way between instances: in pieces, each asked for when the one before it
 //! has come, so that what either side holds is bounded however slow the link is.
 
-mod give;
-mod take;
+mod assembly;
+mod provider;
 
 use std::sync::Arc;
 
@@ -12,8 +12,8 @@
 
 use crate::key::FleetKey;
 
-pub use self::give::PieceProvider;
-pub use self::take::{CopyAssembly, PieceOutcome};
+pub use self::assembly::{CopyAssembly, PieceOutcome};
+pub use self::provider::PieceProvider;
 
 /// The most bytes of one piece: 26 ms of a link of 10 Mbit/s, so that heartbeats wait about 0.1 s
 /// behind the pieces of all that are given settings at the same time.
