--- a/crates/flaxtide-fleet/src/changes.rs
+++ b/crates/flaxtide-fleet/src/changes.rs
@@ -1,16 +1,17 @@
-//! What an instance has to tell its peers, numbered in order.
+//! A queue of changed keys, numbered so that each peer can be sent what it lacks.
 
 use std::collections::VecDeque;
 
-/// The most keys whose news are kept for peers that haven't been told.
+/// The most changed keys that are kept for peers that haven't acknowledged them.
 const MAX_CHANGES: usize = 512;
 
-/// The keys of which an instance has news for its peers, numbered in order.
+/// The keys whose reports changed, numbered in order. A key that changes again moves to the
+/// end.
 #[derive(Debug)]
 pub(crate) struct ChangeQueue<Key> {
-    /// The keys, the newest last.
+    /// The keys with their numbers, newest last.
     entries: VecDeque<(u64, Key)>,
-    /// The number of the last news.
+    /// The number of the last change; 0 before the first.
     last: u64,
 }
 
@@ -21,7 +22,7 @@
 }
 
 impl<Key: Copy + PartialEq> ChangeQueue<Key> {
-    /// Adds news of a key.
+    /// Records a change of a key.
     pub(crate) fn push(&mut self, key: Key) {
         self.last += 1;
         self.entries.retain(|(_, known)| *known != key);
@@ -31,12 +32,12 @@
         }
     }
 
-    /// Returns the number of the last news.
+    /// Returns the number of the last change.
     pub(crate) fn last(&self) -> u64 {
         self.last
     }
 
-    /// Returns the keys with news after a number.
+    /// Returns the keys that changed after a change number.
     pub(crate) fn after(&self, told: u64) -> impl Iterator<Item = Key> {
         let later = self.entries.iter().filter(move |(number, _)| *number > told);
         later.map(|(_, key)| *key)
--- a/crates/flaxtide-fleet/src/counted.rs
+++ b/crates/flaxtide-fleet/src/counted.rs
@@ -1,4 +1,4 @@
-//! A count of the bytes that go over links, to hold control's traffic to its budget.
+//! Counts the bytes sent and received over links, to check the budget for control traffic.
 
 use std::io;
 use std::pin::Pin;
@@ -9,33 +9,33 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes that went over an instance's links, in both directions.
+/// The bytes that went over an instance's links in each direction. Clones share their counters.
 #[derive(Debug, Clone, Default)]
 pub struct LinkBytes {
-    /// Bytes received.
+    /// The bytes received from peers.
     received: Arc<AtomicU64>,
-    /// Bytes sent.
+    /// The bytes sent to peers.
     sent: Arc<AtomicU64>,
 }
 
 impl LinkBytes {
-    /// Returns how many bytes have been received and sent.
+    /// Returns the numbers of bytes received and sent.
     #[must_use]
     pub fn get(&self) -> (u64, u64) {
         (self.received.load(Ordering::Relaxed), self.sent.load(Ordering::Relaxed))
     }
 }
 
-/// A TCP stream whose bytes are counted.
+/// A TCP stream that counts its bytes.
 pub(crate) struct CountedStream {
-    /// The stream.
+    /// The wrapped stream.
     inner: TcpStream,
-    /// The count.
+    /// The counters that are added to.
     bytes: LinkBytes,
 }
 
 impl CountedStream {
-    /// Counts a stream's bytes.
+    /// Wraps a stream and adds its bytes to the counters.
     pub(crate) fn new(inner: TcpStream, bytes: LinkBytes) -> Self {
         Self { inner, bytes }
     }
--- a/crates/flaxtide-fleet/src/duty.rs
+++ b/crates/flaxtide-fleet/src/duty.rs
@@ -1,31 +1,32 @@
-//! What instances tell the one that holds the duties.
+//! The usage counts that instances report to the duty holder.
 
 use flaxtide_policy::WindowCounts;
 
 use crate::key::FleetKey;
 use crate::wire::UsageNotice;
 
-/// What an instance has to tell a holder.
+/// The usage that a duty holder hasn't received yet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnsentUsage {
-    /// Up to when this is everything, in milliseconds since the start of 1970.
+    /// The time up to which this is complete, in Unix milliseconds.
     pub told_until_ms: u64,
-    /// The windows that have changed.
+    /// The windows that have changed since the holder's last confirmation.
     pub windows: Vec<WindowCounts>,
-    /// How many of its requests run or wait, by service.
+    /// The number of the instance's running and waiting requests, by service.
     pub open: Vec<(FleetKey, u32)>,
-    /// With what it is confirmed that the holder has heard this.
+    /// The value to pass to `confirm` once the holder has received this.
     pub mark: u64,
 }
 
-/// Gives what this instance has counted, and takes what peers have.
+/// Provides the usage that this instance has counted, and receives that of its peers.
 pub trait UsageExchange: Send + Sync {
-    /// Returns what the holder with a fencing number hasn't heard.
+    /// Returns the usage that the holder with this fencing number hasn't received.
     fn unsent(&self, fence: u64) -> UnsentUsage;
 
-    /// Records that it has heard the news with a mark.
+    /// Records that the holder has received the usage with this mark.
     fn confirm(&self, fence: u64, mark: u64);
 
-    /// Takes what a peer has counted. Returns whether this instance holds the duties.
+    /// Records the usage that a peer has counted. Returns whether this instance holds the
+    /// duties.
     fn receive(&self, notice: UsageNotice) -> bool;
 }
--- a/crates/flaxtide-fleet/src/fetch.rs
+++ b/crates/flaxtide-fleet/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching the settings from peers that have newer ones.
+//! Fetches settings from peers that have newer ones.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,32 +12,35 @@
 use crate::shared::{FleetOutput, FleetShared};
 use crate::wire::PeerLinkClient;
 
-/// How long a peer may take for one piece. There is no limit for the whole: what has come
-/// over a slow link isn't thrown away while more comes.
+/// How long a peer may take for one piece. The whole fetch has no time-out, so that pieces
+/// received over a slow link aren't discarded while more arrive.
 const PIECE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// After so many unresponsive peers a fetch ends, and the next one looks anew who is heard.
+/// A fetch ends after this many unresponsive peers. The next one starts with the peers that are
+/// alive by then.
 const MAX_UNRESPONSIVE_PEERS: u32 = 2;
 
-/// How a peer's part in a fetch has ended.
+/// How a fetch from one peer ended.
 #[derive(Debug)]
 enum ProviderOutcome {
-    /// The settings are whole.
+    /// The settings are complete.
     Whole(SettingsCopy),
-    /// It has nothing newer.
+    /// The peer has nothing newer.
     NothingNewer,
-    /// Settings as new as these are in force meanwhile, from the instance's own source.
+    /// Settings at least as new came into force in the meantime, from the instance's own
+    /// source.
     Overtaken,
-    /// It gives to too many others.
+    /// The peer is sending settings to too many others.
     Busy,
-    /// What it sent of a version doesn't fit together, or couldn't be understood before.
+    /// The pieces of this version don't fit together, or the settings couldn't be put in force
+    /// before.
     Rejected(SettingsVersion),
-    /// No answer came in time.
+    /// No answer arrived in time.
     Unresponsive,
 }
 
 impl ProviderOutcome {
-    /// Returns its name for the log.
+    /// Returns the name used in the log.
     fn name(&self) -> &'static str {
         match self {
             Self::Whole(_) => "whole",
@@ -50,9 +53,9 @@
     }
 }
 
-/// Fetches the settings, from one peer after the other, until they are whole. What has come
-/// is kept for the next peer and the next fetch, until somebody gives newer settings or
-/// nobody gives more for a while.
+/// Fetches settings from one peer after the other until they are complete. Pieces received so
+/// far are kept for the next peer and the next fetch, until a peer sends newer settings or no
+/// piece has arrived for a while.
 pub(crate) async fn fetch_settings(shared: Arc<FleetShared>) {
     let now = shared.clock.now();
     let mut partial = std::mem::take(&mut *shared.partial());
@@ -89,7 +92,7 @@
     *shared.partial() = partial;
 }
 
-/// Takes pieces from one peer until the settings are whole, or it gives no more.
+/// Fetches pieces from one peer until the settings are complete or the peer sends no more.
 async fn fetch_from(
     shared: &Arc<FleetShared>,
     source: &SettingsSource,
@@ -124,7 +127,7 @@
     }
 }
 
-/// Logs a peer's part in a fetch; one that has no time isn't worth a line.
+/// Logs how a fetch from a peer ended. A busy peer is common, so it is logged at debug level.
 fn log_fetch(
     source: &SettingsSource,
     newer_than: SettingsVersion,
@@ -139,6 +142,6 @@
         peer = source.info.name, newer_than, outcome = outcome.name(),
         version = assembly.version(), left_off_at = assembly.received_bytes(),
         took_ms = took.as_millis() as u64;
-        "settings asked of peer"
+        "settings requested from peer"
     );
 }
--- a/crates/flaxtide-fleet/src/info.rs
+++ b/crates/flaxtide-fleet/src/info.rs
@@ -1,17 +1,17 @@
-//! Who an instance is to its peers.
+//! The identity of an instance.
 
 use std::net::SocketAddr;
 
 use flaxtide_core::{DataCentreName, InstanceName};
 use serde::{Deserialize, Serialize};
 
-/// Who a peer is.
+/// The name, data centre and address of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerInfo {
-    /// Its name.
+    /// The name of the instance.
     pub name: InstanceName,
-    /// Its data centre.
+    /// The data centre of the instance.
     pub data_centre: DataCentreName,
-    /// Where it hears its peers.
+    /// The address at which the instance accepts links from its peers.
     pub address: SocketAddr,
 }
--- a/crates/flaxtide-fleet/src/key.rs
+++ b/crates/flaxtide-fleet/src/key.rs
@@ -1,9 +1,11 @@
-//! Short keys for names: what goes over the links is small and fits any settings version.
+//! Short keys that replace names in messages. They keep messages small and don't depend on the
+//! settings version.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Stands for the name of a server, pool or organisation. Of 5,200 names, the chance that
-/// two of one data centre's 520 share a key is about 3 in 100,000.
+/// The key of a server, pool or organisation: a hash of its name. Names only have to differ
+/// within a data centre. With 520 of a fleet's 5,200 servers in one, the chance that two of
+/// them share a key is about 3 in 100,000.
 pub type FleetKey = u32;
 
 /// Returns the key of a name.
--- a/crates/flaxtide-fleet/src/lib.rs
+++ b/crates/flaxtide-fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! What entry instances say to each other.
+//! The exchange of state between entry instances.
 //!
-//! A [`FleetNode`] is the pure part: what one instance knows of its peers, which backend
-//! servers it watches, and how it divides their slots and the rates of organisations. All
-//! of it is soft state: it is heard again within a few periods, and what isn't heard
-//! expires. [`FleetThread`] carries the messages over tarpc.
+//! A [`FleetNode`] holds the state of one instance and does no I/O: what it knows of its peers,
+//! which backend servers it watches, and how it divides their slots and the rates of
+//! organisations. All of it is soft state: it is refreshed every few periods, and expires if it
+//! isn't. [`FleetThread`] exchanges the messages over tarpc.
 
 mod changes;
 mod counted;
--- a/crates/flaxtide-fleet/src/links.rs
+++ b/crates/flaxtide-fleet/src/links.rs
@@ -1,4 +1,5 @@
-//! The links to peers: one to each, opened once however many want it.
+//! The links of an instance: one TCP connection with a tarpc client to each peer, shared by all
+//! calls.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -20,49 +21,49 @@
 /// How long a link may take to open.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// For how long nobody tries again after a link couldn't be opened: those who waited for it
-/// end with it, instead of trying one after the other.
+/// How long no new attempt is made after a link couldn't be opened. Calls that waited for it
+/// fail with it, instead of trying one after the other.
 pub(crate) const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
-/// How much longer than its deadline a call is waited for. A call that couldn't even be
-/// written, as the peer reads nothing, isn't ended by its deadline.
+/// How long a call is awaited past its deadline. tarpc doesn't end a call at its deadline if
+/// the call couldn't be written, because the peer reads nothing.
 const WRITE_MARGIN: Duration = Duration::from_millis(100);
 
 /// The links of one instance to its peers.
 #[derive(Default)]
 pub(crate) struct PeerLinks {
-    /// A slot for each address.
+    /// The state of the link to each address.
     slots: Mutex<HashMap<SocketAddr, Arc<LinkSlot>>>,
     /// The number of the next link.
     next_number: AtomicU64,
-    /// The bytes that went over the links.
+    /// The counters of the bytes on all links.
     pub(crate) bytes: LinkBytes,
 }
 
-/// The link to one address, locked while it is being opened.
+/// The state of the link to one address, locked while the link is being opened.
 type LinkSlot = tokio::sync::Mutex<LinkState>;
 
-/// The link to one address.
+/// The state of the link to one address.
 #[derive(Default)]
 struct LinkState {
     /// The link, if it is open.
     open: Option<OpenLink>,
-    /// When it last couldn't be opened.
+    /// When the link last couldn't be opened.
     failed_at: Option<Instant>,
 }
 
 /// An open link.
 #[derive(Clone)]
 pub(crate) struct OpenLink {
-    /// Tells it from earlier and later links to the same address.
+    /// Distinguishes the link from earlier and later ones to the same address.
     number: u64,
-    /// Calls the peer.
+    /// The client that calls the peer.
     pub(crate) client: PeerLinkClient,
 }
 
 impl PeerLinks {
-    /// Returns the link to an address, opening it if need be. Whoever comes while it is
-    /// being opened waits for the same one.
+    /// Returns the link to an address, opening it if needed. Calls that arrive while it is
+    /// being opened wait for it. Returns `None` if it can't be opened.
     pub(crate) async fn open(&self, address: SocketAddr) -> Option<OpenLink> {
         let slot = self.slot(address);
         let mut state = slot.lock().await;
@@ -86,7 +87,7 @@
         state.open.clone()
     }
 
-    /// Closes a link, unless another one has taken its place.
+    /// Closes a link unless another one has replaced it.
     pub(crate) async fn close(&self, address: SocketAddr, link: &OpenLink) {
         let slot = self.slot(address);
         let mut state = slot.lock().await;
@@ -95,14 +96,14 @@
         }
     }
 
-    /// Closes the links to addresses that aren't wanted any more. Calls under way on them
-    /// are answered still.
+    /// Drops the links to addresses that aren't wanted any more. Calls in flight on them are
+    /// still answered.
     pub(crate) fn retain(&self, wanted: impl Fn(&SocketAddr) -> bool) {
         let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
         slots.retain(|address, slot| wanted(address) || Arc::strong_count(slot) > 1);
     }
 
-    /// Returns the slot of an address. Slots that nobody uses go when one is added.
+    /// Returns the slot of an address. Adding one removes unused slots.
     fn slot(&self, address: SocketAddr) -> Arc<LinkSlot> {
         let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(slot) = slots.get(&address) {
@@ -116,7 +117,7 @@
     }
 }
 
-/// Calls a peer, which has so long to answer.
+/// Makes a call to a peer with a deadline.
 ///
 /// # Errors
 ///
@@ -134,11 +135,11 @@
     answer.unwrap_or(Err(RpcError::DeadlineExceeded))
 }
 
-/// The transport of a link.
+/// The transport of a link: length-delimited bincode messages.
 type LinkTransport<Item, SinkItem> =
     serde_transport::Transport<CountedStream, Item, SinkItem, Bincode<Item, SinkItem>>;
 
-/// Makes the transport of a link.
+/// Creates the transport of a link.
 pub(crate) fn transport<Item, SinkItem>(
     stream: TcpStream,
     bytes: &LinkBytes,
--- a/crates/flaxtide-fleet/src/node/crashes.rs
+++ b/crates/flaxtide-fleet/src/node/crashes.rs
@@ -1,5 +1,6 @@
-//! Evidence of requests that crash backend servers: news go to peers at once and are told
-//! again until they have arrived; logs are compared with peers that start or come back.
+//! Exchange of crash reports: evidence of requests that crash backend servers. New reports are
+//! sent to peers at once and resent until they are acknowledged. Logs are compared with peers
+//! that start or come back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,52 +15,54 @@
 use crate::peer::PeerRecord;
 use crate::wire::{CrashNotice, CrashReply};
 
-/// How often the log is compared with a peer's, in turn: what got lost with an instance that
-/// ended is found then.
+/// The interval at which the log is compared with the next peer's. This finds reports that an
+/// instance failed to send on before it ended.
 const COMPARE_PERIOD: Duration = Duration::from_secs(2);
 
-/// With how many peers the log is compared side by side, as each may answer with all of its own.
+/// The most peers with which the log is compared at the same time: each may answer with its
+/// whole log.
 const MAX_PARALLEL_COMPARISONS: usize = 3;
 
-/// How many contacts in each other data centre get news: a second one if the first is lost.
+/// How many contacts in each other data centre are sent new reports. The second one covers the
+/// loss of the first.
 const NOTIFIED_CONTACTS: usize = 2;
 
-/// The most reports in one message: 34 KB.
+/// The most reports in a message, about 34 KB.
 const MAX_REPORTS: usize = 1024;
 
-/// A notice of crashes on its way to a peer.
+/// A crash notice to be sent to a peer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutgoingCrashes {
-    /// The peer.
+    /// The peer that receives it.
     pub to: PeerInfo,
-    /// The notice.
+    /// The message.
     pub notice: CrashNotice,
 }
 
-/// What this instance knows of servers that ended under requests.
+/// The known server crashes, and which of them peers still need.
 #[derive(Debug, Default)]
 pub(super) struct CrashState {
-    /// All of it.
+    /// All known reports.
     log: CrashLog,
-    /// The requests of which this instance has news for its group.
+    /// The requests with new reports for peers, in order.
     changes: ChangeQueue<Fingerprint>,
-    /// When the log was last compared in turn, and how often.
+    /// When the log was last due for a comparison, and how often it has been.
     compared: (Duration, u64),
     /// Whether a peer has answered a comparison since the start.
     has_synced: bool,
 }
 
 impl CrashState {
-    /// Returns the reports that are news after a number.
-    fn changed_reports(&self, told: u64, now: Duration) -> Vec<CrashReport> {
-        let news = self.changes.after(told);
+    /// Returns the reports of requests that changed after a change number.
+    fn changed_reports(&self, recipients: u64, now: Duration) -> Vec<CrashReport> {
+        let news = self.changes.after(recipients);
         let reports = news.flat_map(|request| self.log.reports_of(request, now));
         reports.take(MAX_REPORTS).collect()
     }
 }
 
 impl FleetNode {
-    /// Records what this instance has found out of servers that ended under requests.
+    /// Records crashes that this instance has observed, and queues them for its peers.
     pub fn record_crashes(&mut self, reports: &[CrashReport], now: Duration) {
         for report in reports {
             self.crashes.log.apply(report, now);
@@ -67,22 +70,22 @@
         }
     }
 
-    /// Returns whether a peer has told this instance what it knows of such servers.
+    /// Returns whether a peer has sent this instance the crashes that it knows of.
     #[must_use]
     pub fn has_synced_crashes(&self) -> bool {
         self.crashes.has_synced
     }
 
-    /// Returns the notices of crashes that are due.
+    /// Returns the crash notices that are due.
     pub fn due_crashes(&mut self, now: Duration) -> Vec<OutgoingCrashes> {
         self.schedule_comparison(now);
         let last = self.crashes.changes.last();
-        let told = self.peers_to_notify(
+        let recipients = self.peers_to_notify(
             now,
             |peer| &peer.crash_notices,
             |state| state.is_due(last),
         );
-        if told.is_empty() {
+        if recipients.is_empty() {
             return vec![];
         }
         let comparing = self
@@ -92,7 +95,7 @@
             .count();
         let mut free = MAX_PARALLEL_COMPARISONS.saturating_sub(comparing);
         let mut due = vec![];
-        for name in told {
+        for name in recipients {
             let Some(peer) = self.peers.get_mut(&name) else { continue };
             let state = &mut peer.crash_notices;
             let compares = state.needs_comparison && free > 0;
@@ -121,7 +124,7 @@
         due
     }
 
-    /// Handles a peer's notice. Returns the answer, and what is news.
+    /// Handles a peer's notice. Returns the reply, and notices of the reports that are new.
     pub fn handle_crashes(
         &mut self,
         notice: &CrashNotice,
@@ -136,7 +139,7 @@
         (CrashReply { reports, digest }, news)
     }
 
-    /// Handles the answer to a notice. Returns what is news.
+    /// Handles the reply to a notice. Returns notices of the reports that are new.
     pub fn handle_crash_reply(
         &mut self,
         from: &InstanceName,
@@ -158,22 +161,23 @@
         news
     }
 
-    /// Records that there was no link for a notice to a peer.
+    /// Records that a notice couldn't be sent because there is no link to the peer.
     pub fn handle_crash_no_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
             peer.crash_notices.record_no_link(now);
         }
     }
 
-    /// Records that a notice broke the link to a peer.
+    /// Records that the link to a peer broke while a notice was in flight.
     pub fn handle_crash_broken_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
             peer.crash_notices.record_broken_link(now);
         }
     }
 
-    /// Adds what a peer reports. Returns what is news. `forwards` tells whether that is news for
-    /// others as well, as where another data centre reports it to a few of this one.
+    /// Applies a peer's reports and returns notices of the new ones. `forwards` tells whether
+    /// to send these on to the group, because another data centre sends them to only a few
+    /// instances here.
     fn apply_crash_reports(
         &mut self,
         reports: &[CrashReport],
@@ -193,7 +197,7 @@
         if news.is_empty() { vec![] } else { vec![FleetNotice::Crashes(news)] }
     }
 
-    /// Has one peer of the group and one of the others compared with, now and then.
+    /// Marks the next peer for a comparison once the comparison period is over.
     fn schedule_comparison(&mut self, now: Duration) {
         let (at, turn) = self.crashes.compared;
         if now < at + COMPARE_PERIOD || self.crashes.log.is_empty() {
@@ -211,8 +215,8 @@
         }
     }
 
-    /// Returns which peers get notices of a kind: those of the group, and a few of each other, as
-    /// far as something is due to them.
+    /// Returns the peers that are to be sent notices of one kind now: those of the group, and a
+    /// few contacts in each other data centre, if a notice is due to them.
     pub(super) fn peers_to_notify(
         &self,
         now: Duration,
@@ -220,35 +224,36 @@
         is_due: impl Fn(&NoticeState) -> bool,
     ) -> Vec<InstanceName> {
         let timeout = self.liveness_timeout();
-        let near = self.peers.values().filter(|peer| {
+        let local = self.peers.values().filter(|peer| {
             self.in_own_group(peer)
                 && is_due(state(peer))
                 && peer.heard_within(now, timeout)
         });
-        let far = self.contacts_to_notify(now).into_iter();
-        let far = far.filter(|peer| is_due(state(peer)));
-        let told = near.chain(far).filter(|peer| state(peer).may_send(now));
-        told.map(|peer| peer.info.name.clone()).collect()
+        let remote = self.contacts_to_notify(now).into_iter();
+        let remote = remote.filter(|peer| is_due(state(peer)));
+        let recipients = local.chain(remote).filter(|peer| state(peer).may_send(now));
+        recipients.map(|peer| peer.info.name.clone()).collect()
     }
 
-    /// Returns the contacts in each other data centre that get notices. Each instance has
-    /// an order of its own, so that not all tell the same ones.
+    /// Returns the contacts in each other data centre that are sent notices. Each instance
+    /// orders the candidates differently, so that they don't all notify the same ones.
     fn contacts_to_notify(&self, now: Duration) -> Vec<&PeerRecord> {
         let timeout = self.contact_liveness_timeout();
-        let far = self
+        let remote = self
             .peers
             .values()
             .filter(|peer| !self.in_own_group(peer) && peer.heard_within(now, timeout));
-        let far: Vec<&PeerRecord> = far.collect();
-        let names: Vec<&str> = far.iter().map(|peer| peer.info.name.as_str()).collect();
+        let remote: Vec<&PeerRecord> = remote.collect();
+        let names: Vec<&str> =
+            remote.iter().map(|peer| peer.info.name.as_str()).collect();
         let order = rendezvous_order(u64::from(self.own_key()), &names);
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-        let ordered = order.into_iter().map(|place| far[place]);
-        let told = ordered.filter(|peer| {
+        let ordered = order.into_iter().map(|index| remote[index]);
+        let recipients = ordered.filter(|peer| {
             let count = counts.entry(&peer.info.data_centre).or_default();
             *count += 1;
             *count <= NOTIFIED_CONTACTS
         });
-        told.collect()
+        recipients.collect()
     }
 }
--- a/crates/flaxtide-fleet/src/node/digest.rs
+++ b/crates/flaxtide-fleet/src/node/digest.rs
@@ -1,5 +1,5 @@
-//! Digests: what the instances of a data centre have in sum, asked for by an instance of
-//! another from its contact.
+//! Digests: the summed state of a data centre's instances, which an instance of another data
+//! centre requests from its contact.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,45 +10,45 @@
 use crate::peer::PeerRecord;
 use crate::wire::{GroupDigest, GroupHello, OwnLoad, PartRead};
 
-/// How many further contacts a digest names: enough to replace one that is lost.
+/// The number of further contacts in a digest, as replacements for a contact that fails.
 const MAX_DIGEST_CONTACTS: usize = 2;
 
-/// How many parts of prompts a digest tells at most: those that a data centre of fifty
-/// instances reads in a second under load.
+/// The most prompt parts in a digest: what a data centre of fifty instances prefills in a
+/// second under load.
 const MAX_DIGEST_READS: usize = 96;
 
-/// The bytes of a load or a read in a digest, about.
+/// The approximate size of a load or a prompt part in a digest.
 const ENTRY_BYTES: f64 = 11.0;
 
-/// How many bytes of digests an instance asks for in a second, from all other data centres
-/// together: with its heartbeats within the 17 KB/s of control.
+/// The bytes of digests that an instance requests per second, over all other data centres.
+/// Together with its heartbeats this stays within the control traffic budget of 17 KB/s.
 const DIGEST_BYTES_PER_SECOND: f64 = 6_000.0;
 
-/// A question for a digest on its way to a contact.
+/// A digest request to be sent to a contact.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutgoingHello {
-    /// The contact.
+    /// The contact that receives it.
     pub to: PeerInfo,
-    /// What the contact hears.
+    /// The message.
     pub hello: GroupHello,
 }
 
-/// What servers have read lately for the instances of a data centre, the newest last.
+/// The prompt parts recently prefilled for the instances of a data centre, newest last.
 #[derive(Debug, Default)]
 pub(super) struct GroupReads {
-    /// The reads, and when they were heard.
+    /// The parts, each with the time at which its message arrived.
     entries: VecDeque<(Duration, PartRead)>,
 }
 
 impl GroupReads {
-    /// Records reads.
+    /// Adds prompt parts and drops the oldest over the limit.
     pub(super) fn record(&mut self, reads: &[PartRead], now: Duration) {
         self.entries.extend(reads.iter().map(|read| (now, *read)));
         let surplus = self.entries.len().saturating_sub(MAX_DIGEST_READS);
         self.entries.drain(..surplus);
     }
 
-    /// Returns the reads that were heard within a span, the newest first.
+    /// Returns the parts that arrived within a time span, newest first.
     fn within(&self, span: Duration, now: Duration) -> Vec<PartRead> {
         let newest = self.entries.iter().rev();
         let recent = newest.take_while(|(at, _)| now < *at + span);
@@ -57,8 +57,7 @@
 }
 
 impl FleetNode {
-    /// Returns the questions for digests that are due, one to a contact in each other data
-    /// centre.
+    /// Returns the digest requests that are due, at most one for each other data centre.
     pub fn due_hellos(&mut self, now: Duration) -> Vec<OutgoingHello> {
         if self.group.is_single || !self.uses_digests() {
             return vec![];
@@ -72,19 +71,19 @@
         contacts.into_iter().map(outgoing).collect()
     }
 
-    /// Handles a question from another data centre. Returns this one's digest.
+    /// Handles a digest request from another data centre and returns this one's digest.
     pub fn handle_hello(&mut self, hello: &GroupHello, now: Duration) -> GroupDigest {
         self.record_hello(hello, now);
-        let home: Vec<&PeerRecord> = self.live_data_centre_peers(now).collect();
+        let live: Vec<&PeerRecord> = self.live_data_centre_peers(now).collect();
         GroupDigest {
             hello: self.hello(now),
-            contacts: self.rotating_contacts(&home),
-            loads: sum_loads(home.iter().map(|peer| &peer.loads), &self.status.loads),
+            contacts: self.rotating_contacts(&live),
+            loads: sum_loads(live.iter().map(|peer| &peer.loads), &self.status.loads),
             reads: self.recent_reads(now),
         }
     }
 
-    /// Applies the digest of another data centre. Returns what it has told.
+    /// Applies the digest of another data centre and returns the resulting notices.
     pub fn handle_digest(
         &mut self,
         digest: &GroupDigest,
@@ -100,7 +99,7 @@
         }
         self.digest_load_count = digest.loads.len();
         if self.group.is_single {
-            // Its instances tell of themselves.
+            // In a single group, the heartbeats already carry the loads of each instance.
             return vec![];
         }
         let mut notices =
@@ -111,8 +110,8 @@
         notices
     }
 
-    /// Returns what servers have read lately for the data centre, the newest first. Those of
-    /// two periods, as a digest may be lost.
+    /// Returns the recently prefilled prompt parts of the data centre, newest first. They cover
+    /// two digest periods, because a digest may be lost.
     fn recent_reads(&self, now: Duration) -> Vec<PartRead> {
         let peers = self.reads.within(self.digest_period() * 2, now);
         let mut reads = self.status.reads.clone();
@@ -121,8 +120,8 @@
         reads
     }
 
-    /// Returns the time between two digests of one other data centre: longer the more
-    /// there is to tell, and the more others there are.
+    /// Returns the time between two digests of another data centre. It grows with the size of a
+    /// digest and the number of data centres.
     pub(super) fn digest_period(&self) -> Duration {
         let groups = self.group.others.len() as f64;
         let entries = self.digest_load_count as f64 + MAX_DIGEST_READS as f64;
@@ -133,7 +132,7 @@
         period.clamp(timing.shortest_digest_period, timing.longest_digest_period)
     }
 
-    /// Returns what this instance says of itself and its data centre.
+    /// Returns this instance's state and the number of live instances in its data centre.
     fn hello(&self, now: Duration) -> GroupHello {
         GroupHello {
             from: self.own.clone(),
@@ -145,7 +144,7 @@
         }
     }
 
-    /// Records how an instance of another data centre is.
+    /// Records the state of an instance of another data centre.
     fn record_hello(&mut self, hello: &GroupHello, now: Duration) {
         if self.in_own_data_centre(&hello.from) {
             return;
@@ -162,15 +161,15 @@
         group.record_count(u32::from(hello.live), now);
     }
 
-    /// Returns a few of the peers of this data centre, others each time.
-    fn rotating_contacts(&self, home: &[&PeerRecord]) -> Vec<PeerInfo> {
-        let start = self.rounds as usize * MAX_DIGEST_CONTACTS % home.len().max(1);
-        let turn = home
+    /// Returns a few peers of this data centre, different ones in each round.
+    fn rotating_contacts(&self, live: &[&PeerRecord]) -> Vec<PeerInfo> {
+        let start = self.rounds as usize * MAX_DIGEST_CONTACTS % live.len().max(1);
+        let contacts = live
             .iter()
             .cycle()
             .skip(start)
-            .take(MAX_DIGEST_CONTACTS.min(home.len()));
-        turn.map(|peer| peer.info.clone()).collect()
+            .take(MAX_DIGEST_CONTACTS.min(live.len()));
+        contacts.map(|peer| peer.info.clone()).collect()
     }
 
     /// Returns the live peers of this instance's data centre.
@@ -182,7 +181,7 @@
     }
 }
 
-/// Returns the sums of loads by server.
+/// Sums loads by server.
 fn sum_loads<'a>(
     peers: impl Iterator<Item = &'a Vec<OwnLoad>>,
     own: &'a [OwnLoad],
--- a/crates/flaxtide-fleet/src/node/divide.rs
+++ b/crates/flaxtide-fleet/src/node/divide.rs
@@ -1,4 +1,4 @@
-//! The division of slots and rates among the instances that a node hears.
+//! Division of server slots and organisations' rates among the live instances.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 use crate::wire::{RatePart, ServerShare};
 
 impl FleetNode {
-    /// Returns this instance's share of each server's slots while nothing is heard of
-    /// demands: an equal one. Listed peers count even if they aren't heard, as an instance
-    /// that is cut off from its peers isn't alone at the engines.
+    /// Returns this instance's share of each server's slots while the demand of its peers is
+    /// unknown: an equal share. Listed peers count even if they are silent, because an instance
+    /// that is cut off from its peers still shares the servers with them.
     #[must_use]
     pub fn fallback_shares(&self, now: Duration) -> Vec<ServerShare> {
         let timeout = self.liveness_timeout();
@@ -36,7 +36,8 @@
         self.servers.iter().map(share).collect()
     }
 
-    /// Returns this instance's own shares and parts of what it watches and keeps itself.
+    /// Returns this instance's own shares of the servers that it watches, and its own parts of
+    /// the rates that it owns.
     #[must_use]
     pub fn own_notices(&self, now: Duration) -> Vec<FleetNotice> {
         let until = now + self.liveness_timeout();
@@ -65,8 +66,8 @@
         self.watched.iter().filter_map(share).collect()
     }
 
-    /// Returns the part of an instance's requests that counts for one server: that of the
-    /// server's slots in its pool.
+    /// Returns an instance's demand for one server: its requests for each of the server's
+    /// pools, times the server's part of the pool's slots.
     pub(super) fn demand_for(&self, name: &str, server: &FleetServer) -> SlotDemand {
         let demands = if name == self.own.name {
             &self.status.demands
@@ -87,8 +88,8 @@
         SlotDemand { tiers }
     }
 
-    /// Returns an instance's parts of the rates of some organisations, of those that this
-    /// instance keeps.
+    /// Returns an instance's parts of the given organisations' rates, for those rates that this
+    /// instance owns.
     pub(super) fn rate_parts_of(
         &self,
         name: &str,
@@ -97,25 +98,25 @@
         let Some(index) = self.live.iter().position(|other| other == name) else {
             return vec![];
         };
-        let kept = organisations.iter().copied();
-        let kept = kept.filter(|organisation| self.owns(*organisation, &self.own.name));
-        let data_centres = self.data_centre_part();
+        let owned = organisations.iter().copied();
+        let owned = owned.filter(|organisation| self.owns(*organisation, &self.own.name));
+        let group_part = self.group_part();
         let part = |organisation: FleetKey| {
             let usage: Vec<f64> = self
                 .live
                 .iter()
                 .map(|name| self.usage_at(name, organisation))
                 .collect();
-            let part = rate_part(&usage, index) * data_centres;
+            let part = rate_part(&usage, index) * group_part;
             RatePart {
                 organisation,
                 part: (part * f64::from(u16::MAX)).round() as u16,
             }
         };
-        kept.map(part).collect()
+        owned.map(part).collect()
     }
 
-    /// Returns an organisation's use at one instance, in requests a second.
+    /// Returns an organisation's requests per second at one instance.
     pub(super) fn usage_at(&self, name: &str, organisation: FleetKey) -> f64 {
         let usage = if name == self.own.name {
             Some(&self.usage)
@@ -128,10 +129,11 @@
             .unwrap_or(0.0)
     }
 
-    /// Returns this data centre's part of a rate: by how many of the known instances
-    /// stand in it.
-    pub(super) fn data_centre_part(&self) -> f64 {
-        let near = self.peers.values().filter(|peer| self.in_own_group(peer)).count() + 1;
-        near as f64 / (self.peers.len() + 1) as f64
+    /// Returns this group's part of a rate: the fraction of known instances that are in
+    /// it.
+    pub(super) fn group_part(&self) -> f64 {
+        let local =
+            self.peers.values().filter(|peer| self.in_own_group(peer)).count() + 1;
+        local as f64 / (self.peers.len() + 1) as f64
     }
 }
--- a/crates/flaxtide-fleet/src/node/duty.rs
+++ b/crates/flaxtide-fleet/src/node/duty.rs
@@ -1,5 +1,5 @@
-//! Who holds the duties that one instance has for all, as instances pass it on, and who stands
-//! for them.
+//! Tracks which instance holds the fleet-wide duties, and which instances are candidates for
+//! them.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use crate::duty::UnsentUsage;
 use crate::wire::{DutyHolder, UsageNotice};
 
-/// How many instances stand for the duties if all are one group. If each data centre is one,
-/// one instance of each does.
+/// The number of candidates in a single group. If each data centre is a group, each has one
+/// candidate.
 const MAX_CANDIDATES: usize = 3;
 
-/// How long an instance that has just started waits before it stands for the duties: until it
-/// has met its peers, and knows that others do.
+/// How long after its start an instance isn't a candidate: until it knows its peers, and they
+/// know the candidates.
 const STARTUP_DELAY: Duration = Duration::from_millis(1500);
 
 impl FleetNode {
-    /// Records who holds the duties, if that is unsent: of two holders, the one with the higher
-    /// fencing number is the newer.
+    /// Records the holder of the duties if it is newer than the known one, which is the one
+    /// with the lower fencing number.
     pub fn record_duty_holder(&mut self, holder: Option<DutyHolder>) {
         if holder > self.duty {
             self.duty = holder;
@@ -25,28 +25,28 @@
         }
     }
 
-    /// Returns who holds the duties, as far as is known.
+    /// Returns the known holder of the duties.
     #[must_use]
     pub fn duty_holder(&self) -> Option<DutyHolder> {
         self.duty
     }
 
-    /// Returns whether this instance stands for the duties: few do, so that the platform isn't
-    /// asked by all of them whether the duties are free. No vote is taken; one too many or too
-    /// few for a while is harmless.
+    /// Returns whether this instance is a candidate for the duties. Few are, so that not all
+    /// instances poll the platform for the lease. There is no vote, because a candidate too
+    /// many or too few for a while is harmless.
     #[must_use]
     pub fn is_duty_candidate(&self, now: Duration) -> bool {
         if self.leaving || now < STARTUP_DELAY {
             return false;
         }
-        let places = if self.group.is_single { MAX_CANDIDATES } else { 1 };
-        let end = places.min(self.reader_order.len());
-        let first = self.reader_order[..end].iter();
+        let count = if self.group.is_single { MAX_CANDIDATES } else { 1 };
+        let end = count.min(self.reader_order.len());
+        let candidates = self.reader_order[..end].iter();
         self.reader_order.is_empty()
-            || first.into_iter().any(|place| self.live[*place] == self.own.name)
+            || candidates.into_iter().any(|index| self.live[*index] == self.own.name)
     }
 
-    /// Makes a notice of what this instance has counted.
+    /// Builds a notice of the usage that this instance has counted.
     pub(crate) fn usage_notice(&self, unsent: UnsentUsage) -> UsageNotice {
         UsageNotice {
             from: self.own.clone(),
--- a/crates/flaxtide-fleet/src/node/group.rs
+++ b/crates/flaxtide-fleet/src/node/group.rs
@@ -1,8 +1,9 @@
 //! The group of an instance: the peers with which it exchanges heartbeats.
 //!
-//! A small fleet is one group, whatever its data centres. In a larger one each data centre is
-//! a group, so that the links and messages of an instance follow the size of its data centre
-//! and not that of the fleet. Groups know each other by a few contacts and by digests.
+//! A small fleet is a single group, whatever its data centres. In a larger fleet each data
+//! centre is a group, so that the connections and messages of an instance grow with its data
+//! centre and not with the fleet. Groups know each other by a few contacts, and exchange
+//! digests through them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,62 +18,62 @@
 use crate::peer::PeerRecord;
 use crate::wire::DutyHolder;
 
-/// How many instances of another data centre are known. If one is lost, the next is tried;
-/// all of them at once are seldom lost but with their data centre.
+/// The number of known contacts in another data centre. If one fails, the next is tried; all of
+/// them rarely fail at once unless the whole data centre does.
 const CONTACTS_PER_GROUP: usize = 4;
 
-/// For how long the last count of another data centre's instances holds. A data centre that
-/// is cut off goes on drawing on what all share, such as the retry budget.
+/// How long the last instance count of another data centre stays valid. A data centre that is
+/// cut off still uses shared resources, such as the retry budget, so its instances keep
+/// counting.
 const COUNT_LIFETIME: Duration = Duration::from_secs(60);
 
-/// How long a contact may take to answer before another is called.
+/// How long a contact may take to answer before another one is tried.
 const CONTACT_ANSWER_WAIT: Duration = Duration::from_secs(1);
 
-/// For how long a fleet that was divided into groups stays so: until digests have told how
-/// large it is.
+/// How long a divided fleet stays divided at least: until digests have reported its size.
 const MIN_DIVIDED_TIME: Duration = Duration::from_secs(10);
 
-/// A divided fleet becomes one group again below this part of the size at which it is
-/// divided, so that a few joins and leaves don't change it to and fro.
+/// A divided fleet becomes a single group again below this fraction of the limit. The gap keeps
+/// a few joins and leaves from switching it back and forth.
 const REUNITE_FRACTION: f64 = 0.75;
 
-/// How an instance is grouped with others, and what it knows of other groups.
+/// The grouping of the fleet, and what is known of other groups.
 #[derive(Debug)]
 pub(super) struct GroupState {
-    /// Whether all known instances are one group.
+    /// Whether all known instances are a single group.
     pub(super) is_single: bool,
-    /// Since when it has been so.
+    /// When `is_single` last changed.
     since: Duration,
-    /// What is known of each other data centre.
+    /// The state of each other data centre, by name.
     pub(super) others: BTreeMap<DataCentreName, OtherGroup>,
 }
 
 /// What is known of another data centre.
 #[derive(Debug, Default)]
 pub(super) struct OtherGroup {
-    /// How many of its instances were last alive, and when that was heard.
+    /// The last reported number of live instances, and when the report arrived.
     live_count: Option<(u32, Duration)>,
     /// When a contact last answered.
     answered_at: Option<Duration>,
-    /// The settings version of the last digest to a contact.
+    /// The settings version in the last message to a contact.
     sent_version: SettingsVersion,
-    /// Who held the duties by the last digest to a contact.
+    /// The duty holder in the last message to a contact.
     sent_duty: Option<DutyHolder>,
-    /// The last call to a contact, while it has no answer.
+    /// The last call to a contact, until it is answered.
     pending_call: Option<ContactCall>,
 }
 
 /// A call to a contact.
 #[derive(Debug)]
 struct ContactCall {
-    /// The contact.
+    /// The instance that was called.
     contact: InstanceName,
     /// When it was called.
     at: Duration,
 }
 
 impl OtherGroup {
-    /// Records that so many of its instances are alive.
+    /// Records the number of live instances in the data centre.
     pub(super) fn record_count(&mut self, live: u32, now: Duration) {
         self.live_count = Some((live, now));
     }
@@ -83,7 +84,7 @@
         self.pending_call = None;
     }
 
-    /// Returns how many instances it has, as long as that may be believed.
+    /// Returns the number of live instances, unless the last report has expired.
     fn count(&self, now: Duration) -> Option<u32> {
         let (live, at) = self.live_count?;
         (now < at + COUNT_LIFETIME).then_some(live)
@@ -91,7 +92,7 @@
 }
 
 impl GroupState {
-    /// Starts as one group if the fleet may ever be one.
+    /// Creates the state of a single group, or of divided groups if the limit is zero.
     pub(super) fn new(single_group_limit: u32) -> Self {
         Self {
             is_single: single_group_limit > 0,
@@ -107,35 +108,36 @@
         self.group.is_single || self.in_own_data_centre(&peer.info)
     }
 
-    /// Returns whether data centres may be groups that know each other by digests. Otherwise
-    /// each always is a group, and some heartbeats go to others.
+    /// Returns whether groups exchange digests. They do if the fleet can be a single group;
+    /// otherwise each data centre always is a group, and some heartbeats go to other data
+    /// centres.
     pub(super) fn uses_digests(&self) -> bool {
         self.timing.single_group_limit > 0
     }
 
-    /// Returns whether an instance stands in this one's data centre.
+    /// Returns whether an instance is in this one's data centre.
     pub(super) fn in_own_data_centre(&self, info: &PeerInfo) -> bool {
         info.data_centre == self.own.data_centre
     }
 
-    /// Returns how many instances the fleet has, as far as is known: those of the group that
-    /// are alive, and those that other data centres have last counted.
+    /// Returns the known size of the fleet: the live instances of the group, and the last
+    /// instance counts of other data centres.
     #[must_use]
     pub fn fleet_size(&self, now: Duration) -> u32 {
-        let near = self.live.len() as u32;
+        let local = self.live.len() as u32;
         if self.group.is_single {
-            return near;
+            return local;
         }
         let others = &self.group.others;
         let count = |name: &DataCentreName| others.get(name).and_then(|it| it.count(now));
         let counted: u32 = others.keys().filter_map(&count).sum();
-        let far = self.peers.values().filter(|peer| !self.in_own_group(peer));
-        let uncounted = far.filter(|peer| count(&peer.info.data_centre).is_none());
-        near + counted + uncounted.count() as u32
+        let remote = self.peers.values().filter(|peer| !self.in_own_group(peer));
+        let uncounted = remote.filter(|peer| count(&peer.info.data_centre).is_none());
+        local + counted + uncounted.count() as u32
     }
 
-    /// Divides a fleet that has grown over the limit into groups, and unites one that has
-    /// shrunk.
+    /// Divides a fleet that has grown over the limit into groups, and merges a divided fleet
+    /// that has shrunk.
     pub(super) fn regroup(&mut self, now: Duration) {
         let limit = self.timing.single_group_limit;
         if self.group.is_single {
@@ -154,25 +156,26 @@
         }
     }
 
-    /// Makes all known instances one group, or each data centre one.
+    /// Makes all known instances a single group, or each data centre a group.
     fn set_single(&mut self, is_single: bool, now: Duration) {
         self.group.is_single = is_single;
         self.group.since = now;
     }
 
-    /// Keeps a few contacts of each other data centre, those that were heard before others.
+    /// Keeps a few contacts of each other data centre, preferably ones that have been heard
+    /// from.
     fn forget_surplus_contacts(&mut self) {
         let mut kept: BTreeMap<DataCentreName, usize> = BTreeMap::new();
-        let mut far: Vec<&PeerRecord> = self
+        let mut remote: Vec<&PeerRecord> = self
             .peers
             .values()
             .filter(|peer| !self.in_own_data_centre(&peer.info))
             .collect();
         let own_key = self.own_key();
-        far.sort_by_key(|peer| {
+        remote.sort_by_key(|peer| {
             (peer.heard_at.is_none(), fleet_key(&peer.info.name) ^ own_key)
         });
-        let surplus = far.into_iter().filter(|peer| {
+        let surplus = remote.into_iter().filter(|peer| {
             let count = kept.entry(peer.info.data_centre.clone()).or_default();
             *count += 1;
             *count > CONTACTS_PER_GROUP
@@ -183,7 +186,7 @@
         }
     }
 
-    /// Returns whether one more instance is to be known: any of the group, and a few of each
+    /// Returns whether another peer may be added: any instance of the group, and a few of each
     /// other data centre.
     pub(super) fn accepts_peer(&self, info: &PeerInfo) -> bool {
         if self.group.is_single || !self.uses_digests() || self.in_own_data_centre(info) {
@@ -192,19 +195,20 @@
         self.peers_in(&info.data_centre).count() < CONTACTS_PER_GROUP
     }
 
-    /// Returns the contacts that are to get a digest now, one in each other data centre.
+    /// Returns the contacts to be called now, at most one in each other data centre.
     pub(super) fn due_contacts(&mut self, now: Duration) -> Vec<PeerInfo> {
-        let far = self.peers.values().filter(|peer| !self.in_own_group(peer));
+        let remote = self.peers.values().filter(|peer| !self.in_own_group(peer));
         let known: BTreeSet<DataCentreName> =
-            far.map(|peer| peer.info.data_centre.clone()).collect();
+            remote.map(|peer| peer.info.data_centre.clone()).collect();
         known
             .iter()
             .filter_map(|other| self.due_contact(other, now))
             .collect()
     }
 
-    /// Returns the contact in another data centre if it is to get a digest now. One that
-    /// hasn't answered is replaced at once if another is known, and else called again.
+    /// Returns the contact in another data centre if it is to be called now. A contact that
+    /// hasn't answered is replaced at once if another is known, and otherwise called again
+    /// after the digest period.
     fn due_contact(&mut self, other: &DataCentreName, now: Duration) -> Option<PeerInfo> {
         let (version, duty) = (self.version(), self.duty);
         let replaceable = self.peers_in(other).count() > 1;
@@ -214,13 +218,13 @@
         if group.pending_call.as_ref().is_some_and(|call| now < call.at + wait) {
             return None;
         }
-        let rested = group.answered_at.is_none_or(|at| now >= at + period);
+        let period_over = group.answered_at.is_none_or(|at| now >= at + period);
         let newer = version > group.sent_version || duty > group.sent_duty;
         match group.pending_call.take() {
-            Some(lost) if replaceable => {
-                self.peers.remove(&lost.contact);
+            Some(call) if replaceable => {
+                self.peers.remove(&call.contact);
             }
-            None if !rested && !newer => return None,
+            None if !period_over && !newer => return None,
             _ => {}
         }
         let contact = self.contact(other)?.info.clone();
@@ -242,11 +246,11 @@
             .filter(move |peer| peer.info.data_centre == *other)
     }
 
-    /// Returns the contact in another data centre. Each instance has an order of its own, so
-    /// that not all turn to the same one.
+    /// Returns the contact in another data centre. Each instance orders the candidates
+    /// differently, so that they don't all call the same one.
     fn contact<'a>(&'a self, other: &'a DataCentreName) -> Option<&'a PeerRecord> {
-        let staying = self.peers_in(other).filter(|peer| !peer.leaving);
-        let mut candidates: Vec<&PeerRecord> = staying.collect();
+        let not_leaving = self.peers_in(other).filter(|peer| !peer.leaving);
+        let mut candidates: Vec<&PeerRecord> = not_leaving.collect();
         if candidates.is_empty() {
             candidates = self.peers_in(other).collect();
         }
@@ -256,14 +260,14 @@
         order.first().map(|first| candidates[*first])
     }
 
-    /// Returns after which silence a contact in another data centre isn't alive: it is heard
-    /// with its digests or, without any, with heartbeats.
+    /// Returns how long a contact in another data centre may be silent before it counts as
+    /// dead. It is heard from by digests or, without them, by heartbeats.
     pub(super) fn contact_liveness_timeout(&self) -> Duration {
         let digests = self.digest_period() * self.timing.missed_heartbeats;
         if self.uses_digests() { digests } else { self.liveness_timeout() }
     }
 
-    /// Returns the addresses of all known peers.
+    /// Returns the addresses of all known peers and of the duty holder.
     pub(crate) fn addresses(&self) -> BTreeSet<SocketAddr> {
         let holder = self.duty.map(|duty| duty.address);
         self.peers
@@ -273,29 +277,29 @@
             .collect()
     }
 
-    /// Returns whom this instance tells a peer of: all of the group to one of the group, and
-    /// a few of each other data centre.
+    /// Returns the instances that a peer is counts of: all of the group if the peer belongs to
+    /// it, and a few of each other data centre.
     pub(super) fn peers_for(
         &self,
         data_centre: &DataCentreName,
         now: Duration,
     ) -> Vec<PeerInfo> {
-        let (near_timeout, far_timeout) =
+        let (group_timeout, contact_timeout) =
             (self.liveness_timeout(), self.contact_liveness_timeout());
-        // Without digests, this is the only way to know how many there are elsewhere.
+        // Without digests, the size of other data centres is only known from these lists.
         let all = self.group.is_single || !self.uses_digests();
-        let of_group = *data_centre == self.own.data_centre;
-        let mut told: BTreeMap<&DataCentreName, usize> = BTreeMap::new();
+        let in_group = *data_centre == self.own.data_centre;
+        let mut counts: BTreeMap<&DataCentreName, usize> = BTreeMap::new();
         let known = self.peers.values();
         let known = known.filter(|peer| {
             let timeout =
-                if self.in_own_group(peer) { near_timeout } else { far_timeout };
+                if self.in_own_group(peer) { group_timeout } else { contact_timeout };
             peer.listed || peer.is_alive(now, timeout)
         });
         let known = known.filter(|peer| {
-            let count = told.entry(&peer.info.data_centre).or_default();
+            let count = counts.entry(&peer.info.data_centre).or_default();
             *count += 1;
-            all || (of_group && self.in_own_group(peer)) || *count <= CONTACTS_PER_GROUP
+            all || (in_group && self.in_own_group(peer)) || *count <= CONTACTS_PER_GROUP
         });
         let infos = known.map(|peer| peer.info.clone());
         infos.chain([self.own.clone()]).collect()
--- a/crates/flaxtide-fleet/src/node/heartbeats.rs
+++ b/crates/flaxtide-fleet/src/node/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and replies: how a node builds and handles them.
+//! Building and handling of heartbeats and their replies.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,8 @@
 use crate::wire::{FleetHeartbeat, HeartbeatReply, UsageCount};
 
 impl FleetNode {
-    /// Returns the heartbeats that are due.
+    /// Returns the heartbeats that are due: when the period is over, or sooner if there are
+    /// updates and the traffic budget allows it.
     pub fn due_heartbeats(&mut self, now: Duration) -> Vec<OutgoingHeartbeat> {
         if self.last_round_at.is_some_and(|at| now < at + self.period())
             && !self.may_send_updates(now)
@@ -31,22 +32,21 @@
         self.heartbeats()
     }
 
-    /// Returns whether there are updates, and enough time is saved up to tell them now.
+    /// Returns whether there are updates and the traffic budget allows sending them now.
     fn may_send_updates(&self, now: Duration) -> bool {
         self.has_updates && self.updates_allowed_at <= now
     }
 
-    /// Returns heartbeats to everyone who should hear at once, such as of a server that is
-    /// leaving or a new settings version.
+    /// Returns heartbeats to all recipients and marks the usage counts in them as sent.
     pub fn heartbeats(&mut self) -> Vec<OutgoingHeartbeat> {
         let heartbeats = self.build_heartbeats();
         self.unsent_usage.clear();
         heartbeats
     }
 
-    /// Returns heartbeats to those who should hear at once of a new settings version, or that
-    /// this instance is stopping. Peers that are known to have the version aren't told: each
-    /// instance that gets it from a peer would tell all the others.
+    /// Returns heartbeats that announce a new settings version, or that this instance is
+    /// stopping. Peers that are known to have the version are left out: otherwise each instance
+    /// that fetches it from a peer would announce it to all others.
     pub fn urgent_heartbeats(&mut self) -> Vec<OutgoingHeartbeat> {
         if self.leaving || !self.uses_digests() {
             return self.heartbeats();
@@ -60,26 +60,27 @@
         heartbeats
     }
 
-    /// Builds the heartbeats to all peers of the data centre, and to one of each other.
+    /// Builds the heartbeats to all peers of the group and, without digests, to one instance of
+    /// each other data centre.
     fn build_heartbeats(&self) -> Vec<OutgoingHeartbeat> {
         let mut usage: BTreeMap<usize, Vec<UsageCount>> = BTreeMap::new();
         for (organisation, count) in &self.unsent_usage {
-            let keeper = rendezvous_owner(u64::from(*organisation), &self.live);
+            let owner = rendezvous_owner(u64::from(*organisation), &self.live);
             let count = u16::try_from(*count).unwrap_or(u16::MAX);
-            let told = UsageCount { organisation: *organisation, count };
-            usage.entry(keeper.unwrap_or_default()).or_default().push(told);
+            let entry = UsageCount { organisation: *organisation, count };
+            usage.entry(owner.unwrap_or_default()).or_default().push(entry);
         }
-        let asked = self.peer_to_query();
-        let near = self.peers.values().filter(|peer| self.in_own_group(peer));
-        let far = self.other_data_centre_targets();
-        let heartbeats = near.chain(far).map(|peer| OutgoingHeartbeat {
+        let queried = self.peer_to_query();
+        let local = self.peers.values().filter(|peer| self.in_own_group(peer));
+        let remote = self.other_data_centre_targets();
+        let heartbeats = local.chain(remote).map(|peer| OutgoingHeartbeat {
             to: peer.info.clone(),
-            heartbeat: self.heartbeat_to(peer, &usage, asked),
+            heartbeat: self.heartbeat_to(peer, &usage, queried),
         });
         heartbeats.collect()
     }
 
-    /// Records a peer's heartbeat. Returns the reply, and what it has told.
+    /// Handles a peer's heartbeat. Returns the reply and the resulting notices.
     pub fn handle_heartbeat(
         &mut self,
         heartbeat: &FleetHeartbeat,
@@ -94,20 +95,21 @@
         self.record_duty_holder(heartbeat.duty);
         self.forget_seed(&info);
         self.add_peer(info.clone(), false);
-        let mut changes = false;
+        let mut changed = false;
         if let Some(peer) = self.peers.get_mut(&heartbeat.from) {
             if !peer.listed {
-                // The platform knows best where a listed peer is reached from here.
+                // For listed peers, the address in the platform's list is counts: a peer may not
+                // know the address at which it can be reached from here.
                 peer.info = info.clone();
             }
             let before = peer.is_alive(now, timeout);
             peer.apply_heartbeat(heartbeat, now);
-            changes = before != peer.is_alive(now, timeout);
-            peer.record_liveness_change(changes);
+            changed = before != peer.is_alive(now, timeout);
+            peer.record_liveness_change(changed);
         }
-        // Who falls silent is found with the next demand: a walk over all peers for each
-        // heartbeat would cost most of the processor time of a large group.
-        if changes {
+        // Peers that fall silent are found with the next status: checking all peers at each
+        // heartbeat would take most of the processor time in a large group.
+        if changed {
             self.update_live(now);
         }
         let mut notices = vec![];
@@ -132,7 +134,7 @@
         (self.reply_to(heartbeat, now), notices)
     }
 
-    /// Records a peer's reply. Returns what it has told.
+    /// Handles a peer's reply and returns the resulting notices.
     pub fn handle_reply(
         &mut self,
         from: &InstanceName,
@@ -149,8 +151,8 @@
         let Some(peer) = self.peers.get_mut(from) else { return vec![] };
         let before = peer.is_alive(now, timeout);
         peer.record_alive(reply.epoch, reply.leaving, reply.version, now);
-        let changes = before != peer.is_alive(now, timeout);
-        peer.record_liveness_change(changes);
+        let changed = before != peer.is_alive(now, timeout);
+        peer.record_liveness_change(changed);
         let info = peer.info.clone();
         let shares = reply.shares.iter().map(|share| FleetNotice::Share(*share, until));
         let parts = reply.parts.iter().map(|part| FleetNotice::Rate(*part, until));
@@ -158,7 +160,7 @@
         if reply.version > self.version() {
             notices.push(FleetNotice::Version(reply.version, info));
         }
-        if changes || !reply.peers.is_empty() {
+        if changed || !reply.peers.is_empty() {
             self.update_live(now);
         }
         notices
@@ -169,11 +171,11 @@
         &self,
         peer: &PeerRecord,
         usage: &BTreeMap<usize, Vec<UsageCount>>,
-        asked: Option<&InstanceName>,
+        queried: Option<&InstanceName>,
     ) -> FleetHeartbeat {
-        let near = self.in_own_group(peer);
-        let place = self.live.binary_search(&peer.info.name).ok();
-        let kept = place.and_then(|place| usage.get(&place));
+        let local = self.in_own_group(peer);
+        let index = self.live.binary_search(&peer.info.name).ok();
+        let counts = index.and_then(|index| usage.get(&index));
         FleetHeartbeat {
             from: self.own.name.clone(),
             data_centre: self.own.data_centre.clone(),
@@ -181,40 +183,40 @@
             epoch: self.epoch,
             leaving: self.leaving,
             version: self.version(),
-            demands: if near { self.status.demands.clone() } else { vec![] },
-            servers: if near { self.status.servers.clone() } else { vec![] },
-            loads: if near { self.status.loads.clone() } else { vec![] },
-            reads: if near { self.status.reads.clone() } else { vec![] },
-            unresponsive: if near { self.status.unresponsive.clone() } else { vec![] },
-            usage: kept.cloned().unwrap_or_default(),
+            demands: if local { self.status.demands.clone() } else { vec![] },
+            servers: if local { self.status.servers.clone() } else { vec![] },
+            loads: if local { self.status.loads.clone() } else { vec![] },
+            reads: if local { self.status.reads.clone() } else { vec![] },
+            unresponsive: if local { self.status.unresponsive.clone() } else { vec![] },
+            usage: counts.cloned().unwrap_or_default(),
             wants_peers: self.list_failed
-                && (peer.heard_at.is_none() || asked == Some(&peer.info.name)),
+                && (peer.heard_at.is_none() || queried == Some(&peer.info.name)),
             duty: self.duty,
         }
     }
 
-    /// Returns which peer, of those that have been heard, is to tell this round whom it
-    /// knows. Everyone's answer, every time, would be most of the traffic.
+    /// Returns the one peer that is queried for its list of peers in this round. Asking all of
+    /// them each time would make these lists most of the traffic.
     fn peer_to_query(&self) -> Option<&InstanceName> {
-        let askable =
+        let can_query =
             |peer: &&PeerRecord| !self.uses_digests() || self.in_own_group(peer);
-        let peers = || self.peers.values().filter(askable);
+        let peers = || self.peers.values().filter(can_query);
         let turn = self.rounds % peers().count().max(1) as u64;
         peers().nth(turn as usize).map(|peer| &peer.info.name)
     }
 
     /// Builds the reply to a heartbeat.
     fn reply_to(&self, heartbeat: &FleetHeartbeat, now: Duration) -> HeartbeatReply {
-        let near = heartbeat.data_centre == self.own.data_centre;
-        let used: Vec<FleetKey> =
+        let local = heartbeat.data_centre == self.own.data_centre;
+        let organisations: Vec<FleetKey> =
             heartbeat.usage.iter().map(|usage| usage.organisation).collect();
         let from = &heartbeat.from;
         HeartbeatReply {
             epoch: self.epoch,
             leaving: self.leaving,
             version: self.version(),
-            shares: if near { self.shares_of(from) } else { vec![] },
-            parts: if near { self.rate_parts_of(from, &used) } else { vec![] },
+            shares: if local { self.shares_of(from) } else { vec![] },
+            parts: if local { self.rate_parts_of(from, &organisations) } else { vec![] },
             peers: if heartbeat.wants_peers {
                 self.peers_for(&heartbeat.data_centre, now)
             } else {
@@ -224,12 +226,13 @@
         }
     }
 
-    /// Returns one peer of each other data centre, another one each round; none where
-    /// digests do that duty.
+    /// Returns one peer of each other data centre, a different one in each round; none where
+    /// data centres exchange digests.
     fn other_data_centre_targets(&self) -> impl Iterator<Item = &PeerRecord> {
         let mut by_data_centre: BTreeMap<&str, Vec<&PeerRecord>> = BTreeMap::new();
-        let far = |peer: &&PeerRecord| !self.uses_digests() && !self.in_own_group(peer);
-        for peer in self.peers.values().filter(far) {
+        let remote =
+            |peer: &&PeerRecord| !self.uses_digests() && !self.in_own_group(peer);
+        for peer in self.peers.values().filter(remote) {
             by_data_centre.entry(&peer.info.data_centre).or_default().push(peer);
         }
         let key = self.rounds ^ u64::from(self.epoch);
--- a/crates/flaxtide-fleet/src/node/lists.rs
+++ b/crates/flaxtide-fleet/src/node/lists.rs
@@ -1,4 +1,4 @@
-//! Who reads lists from the platform for the instances of a group.
+//! Chooses the instances of a group that read lists from the platform for the others.
 
 use std::net::SocketAddr;
 
@@ -7,9 +7,9 @@
 use crate::rows::{ListPlan, ListReader, PEERS_PER_READER, STANDBYS};
 
 impl FleetNode {
-    /// Returns who reads lists from the platform for this instance. Fleets below a size
-    /// have no readers. Instances that don't see the same peers may disagree: one that
-    /// is asked and can't tell says so.
+    /// Returns which instance reads lists from the platform for this one. Groups of fewer than
+    /// `alone_below` instances have no readers. Instances that see different peers may
+    /// disagree; a peer that is asked but isn't a reader answers that it has no list.
     #[must_use]
     pub fn list_reader(&self, alone_below: usize) -> ListReader {
         if self.live.len() < alone_below.max(2) {
@@ -19,12 +19,12 @@
         if self.includes_self(&self.reader_order[..count]) {
             return ListReader::ForPeers;
         }
-        let turn = fleet_key(&self.own.name) as usize % count;
-        self.address_at(self.reader_order[turn])
+        let reader_index = fleet_key(&self.own.name) as usize % count;
+        self.address_at(self.reader_order[reader_index])
             .map_or(ListReader::Alone, ListReader::Peer)
     }
 
-    /// Returns from whom this instance gets lists that few read from the platform.
+    /// Returns the reader, and the instances to ask if the reader doesn't answer.
     #[must_use]
     pub fn list_plan(&self, alone_below: usize) -> ListPlan {
         let reader = self.list_reader(alone_below);
@@ -33,9 +33,9 @@
         };
         let count = self.reader_count();
         let end = (count + STANDBYS).min(self.reader_order.len());
-        let places = &self.reader_order[..end];
-        let others = places.iter().filter_map(|place| self.address_at(*place));
-        let peers = places.iter().filter_map(|place| self.peers.get(&self.live[*place]));
+        let indexes = &self.reader_order[..end];
+        let others = indexes.iter().filter_map(|index| self.address_at(*index));
+        let peers = indexes.iter().filter_map(|index| self.peers.get(&self.live[*index]));
         ListPlan {
             reader,
             others: others.filter(|address| *address != asked_first).collect(),
@@ -44,18 +44,18 @@
         }
     }
 
-    /// Returns how many instances of the group read lists for all.
+    /// Returns how many instances of the group read lists for the others.
     fn reader_count(&self) -> usize {
         self.live.len().div_ceil(PEERS_PER_READER)
     }
 
-    /// Returns whether this instance stands at one of these places.
-    fn includes_self(&self, places: &[usize]) -> bool {
-        places.iter().any(|place| self.live[*place] == self.own.name)
+    /// Returns whether this instance is at one of these indexes of `live`.
+    fn includes_self(&self, indexes: &[usize]) -> bool {
+        indexes.iter().any(|index| self.live[*index] == self.own.name)
     }
 
-    /// Returns where the peer at a place is reached; nothing for this instance itself.
-    fn address_at(&self, place: usize) -> Option<SocketAddr> {
-        self.peers.get(&self.live[place]).map(|peer| peer.info.address)
+    /// Returns the address of the peer at an index of `live`; `None` for this instance itself.
+    fn address_at(&self, index: usize) -> Option<SocketAddr> {
+        self.peers.get(&self.live[index]).map(|peer| peer.info.address)
     }
 }
--- a/crates/flaxtide-fleet/src/node/mod.rs
+++ b/crates/flaxtide-fleet/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! The pure part of an instance's place in the fleet: messages and the time go in,
-//! messages and updates come out.
+//! The state of one instance in the fleet, without I/O: its inputs are messages and the time,
+//! its outputs are messages and notices.
 
 mod crashes;
 mod digest;
@@ -42,150 +42,149 @@
     ServerShare, UsageCount,
 };
 
-/// The part that the newest count of use has in its rate.
+/// The weight of the newest count in the moving average of an organisation's request rate.
 const USAGE_SMOOTHING: f64 = 0.2;
 
-/// An instance watches at most this part more than its even part of the servers, as it
-/// tells every peer of each.
+/// An instance watches at most this fraction more than an even share of the servers, because it
+/// reports each watched server to every peer.
 const WATCH_SLACK: f64 = 0.05;
 
-/// A use below this rate is forgotten, in requests a second.
+/// A usage rate below this is dropped from the moving averages, in requests per second.
 const MIN_USAGE_PER_SECOND: f64 = 1e-3;
 
-/// An unlisted peer that is silent for so many times the silence after which it isn't
-/// alive is forgotten.
+/// An unlisted peer is forgotten after this many liveness time-outs without a message.
 const FORGET_AFTER_TIMEOUTS: u32 = 12;
 
-/// Counts of a shorter time than this say little.
+/// The shortest interval that requests are divided by: counts over less give noisy rates.
 const MIN_COUNT_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A backend server of the data centre.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FleetServer {
-    /// How many requests it works on at once.
+    /// How many requests the server runs at once.
     pub slots: u32,
-    /// The pools that it serves.
+    /// The pools that the server belongs to.
     pub pools: Vec<FleetKey>,
 }
 
-/// What this instance has to say of itself.
+/// What this instance publishes about itself in heartbeats.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct NodeStatus {
-    /// Its requests for each pool.
+    /// The instance's running and waiting requests, by pool.
     pub demands: Vec<PoolDemand>,
-    /// The last reports of the servers that it watches.
+    /// The last load reports of the servers that the instance watches.
     pub servers: Vec<ServerDigest>,
-    /// Its own requests at backend servers.
+    /// The instance's own requests, by backend server.
     pub loads: Vec<OwnLoad>,
-    /// The shared parts of prompts that servers have read for it lately.
+    /// The shared prompt parts that servers have recently prefilled for the instance.
     pub reads: Vec<PartRead>,
-    /// The servers that it has found silent lately.
+    /// The servers that recently failed to respond to the instance.
     pub unresponsive: Vec<FleetKey>,
-    /// How many requests of each limited organisation came since the last time.
+    /// The requests of each rate-limited organisation since the last status.
     pub usage: Vec<UsageCount>,
 }
 
-/// A heartbeat on its way to a peer.
+/// A heartbeat to be sent to a peer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutgoingHeartbeat {
-    /// The peer.
+    /// The peer that receives it.
     pub to: PeerInfo,
-    /// The heartbeat.
+    /// The message.
     pub heartbeat: FleetHeartbeat,
 }
 
-/// What has been heard that concerns this instance.
+/// Something learned from peers that this instance has to act on.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FleetNotice {
-    /// A server's load, and how old the report is.
+    /// A server's load, with the age of the report.
     Load(ServerDigest),
-    /// This instance's share of a server's slots, and until when it holds.
+    /// This instance's share of a server's slots, and when the share expires.
     Share(ServerShare, Duration),
-    /// This instance's part of an organisation's rate, and until when it holds.
+    /// This instance's part of an organisation's rate, and when the part expires.
     Rate(RatePart, Duration),
-    /// What a peer has at backend servers; all of it.
+    /// All requests of a peer, by backend server.
     PeerLoads(InstanceName, Vec<OwnLoad>),
-    /// What the instances of another data centre have at backend servers, in sum.
+    /// The summed requests of another data centre's instances, by backend server.
     GroupLoads(DataCentreName, Vec<OwnLoad>),
-    /// What servers have read for a peer.
+    /// The shared prompt parts that servers have prefilled for a peer.
     PeerReads(Vec<PartRead>),
-    /// Servers that a peer has found silent.
+    /// The servers that failed to respond to a peer.
     PeerUnresponsive(Vec<FleetKey>),
-    /// Servers ended under requests; only what is news.
+    /// New reports of servers that crashed while they handled a request.
     Crashes(Vec<CrashReport>),
-    /// What backend servers have said of themselves; only what is news.
+    /// New reports of the limits and departures that backend servers have announced.
     Pushback(Vec<PushbackReport>),
-    /// A newer settings version exists; this peer has it.
+    /// A newer settings version exists, and this peer has it.
     Version(SettingsVersion, PeerInfo),
 }
 
-/// One instance's place in the fleet.
+/// The membership, shares and pending messages of one instance in the fleet.
 #[derive(Debug)]
 pub struct FleetNode {
-    /// Who it is.
+    /// The instance itself.
     own: PeerInfo,
-    /// Its epoch.
+    /// The instance's epoch, drawn at random when it starts.
     epoch: u32,
-    /// How often things happen.
+    /// The periods and time-outs of all messages.
     timing: FleetTiming,
-    /// Whether it is stopping.
+    /// Whether the instance is stopping.
     leaving: bool,
-    /// Its settings, and what it knows of newer ones.
+    /// The settings version in force, and what is known of newer ones.
     settings: SettingsState,
-    /// With whom it is grouped.
+    /// The group of the instance, and what is known of other groups.
     group: GroupState,
-    /// What servers have read lately for the data centre.
+    /// The prompt parts recently prefilled for peers of the group.
     reads: GroupReads,
-    /// What it knows of servers that ended under requests.
+    /// The known server crashes, and which peers have them.
     crashes: CrashState,
-    /// What it knows of what backend servers have said of themselves.
+    /// The known limits and departures of servers, and which peers have them.
     pushback: PushbackState,
-    /// Who holds the duties that one instance has for all.
+    /// The known holder of the fleet-wide duties.
     duty: Option<DutyHolder>,
-    /// How many servers the loads of the last digest of another data centre named.
+    /// The number of loads in the last digest from another data centre.
     digest_load_count: usize,
-    /// The peers that it knows of, by name.
+    /// All known peers, by name.
     peers: BTreeMap<InstanceName, PeerRecord>,
-    /// Where peers may be heard if nobody is known.
+    /// The addresses to contact while no peer is known.
     seeds: Vec<SocketAddr>,
-    /// The backend servers of its data centre.
+    /// The backend servers of the data centre.
     servers: BTreeMap<FleetKey, FleetServer>,
-    /// The slots of each pool, over all its servers.
+    /// The slots of each pool, summed over its servers.
     pool_slots: BTreeMap<FleetKey, u32>,
-    /// Its own requests and use.
+    /// What the instance last published about itself.
     status: NodeStatus,
-    /// Its use of organisations that keepers haven't been told of.
+    /// Request counts by organisation that haven't been sent to the owner of the rate yet.
     unsent_usage: BTreeMap<FleetKey, u32>,
-    /// Its own use of organisations, in requests a second.
+    /// The instance's own requests per second, by organisation.
     usage: BTreeMap<FleetKey, f64>,
-    /// When its use was last counted.
+    /// When the requests of organisations were last counted.
     usage_counted_at: Option<Duration>,
-    /// When it last sent heartbeats, and how often it has.
+    /// When the last round of heartbeats was sent.
     last_round_at: Option<Duration>,
-    /// Until when the heartbeats that were sent are paid for.
+    /// The earliest time at which updates may be sent before the period is over.
     updates_allowed_at: Duration,
-    /// Whether this instance has more at a server than it has told, by more than a little.
+    /// Whether there is something that peers should learn before the period is over.
     has_updates: bool,
-    /// How many rounds of heartbeats it has sent.
+    /// The number of rounds of heartbeats sent.
     rounds: u64,
-    /// Whether the list couldn't be read lately.
+    /// Whether the platform's list of instances couldn't be read last time.
     list_failed: bool,
-    /// The live instances of the data centre, this one included, in order.
+    /// The live instances of the group, including this one, sorted by name.
     live: Vec<InstanceName>,
-    /// The places in `live` of the instances in the order in which they read lists.
+    /// Indexes into `live`, in the order in which instances are chosen as list readers.
     reader_order: Vec<usize>,
     /// The servers that this instance watches.
     watched: Vec<FleetKey>,
-    /// When it first had something to say of itself.
+    /// When the status was first set.
     started: Option<Duration>,
-    /// Whom it saw alive when it last looked.
+    /// The last result of `instance_group`.
     cached_group: Option<CachedInstanceGroup>,
-    /// Grows whenever what this instance watches or falls back on may have changed.
+    /// Increases whenever the watched servers or the fallback shares may have changed.
     generation: u64,
 }
 
 impl FleetNode {
-    /// Starts an instance's place, with no peers.
+    /// Creates a node without peers.
     #[must_use]
     pub fn new(own: PeerInfo, epoch: u32, timing: FleetTiming) -> Self {
         Self {
@@ -222,8 +221,8 @@
         }
     }
 
-    /// Records the platform's list of entry instances; nothing if it can't be read. The
-    /// list lags: a peer that it lacks is kept while it is heard.
+    /// Sets the platform's list of entry instances; `None` if it couldn't be read. The list may
+    /// be out of date, so a peer that is missing from it is kept while it is alive.
     pub fn set_instance_list(&mut self, list: Option<Vec<PeerInfo>>, now: Duration) {
         self.list_failed = list.is_none();
         let Some(list) = list else { return };
@@ -242,14 +241,14 @@
         }
     }
 
-    /// Sets where peers may be heard. A seed's name is learnt from its heartbeats; until then
-    /// its address stands in for it.
+    /// Sets the addresses to contact while no peer is known. A seed goes by its address until
+    /// its first message tells its name.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
         self.add_seeds();
     }
 
-    /// Meets the seeds.
+    /// Adds a peer for each seed whose address isn't known.
     fn add_seeds(&mut self) {
         for address in self.seeds.clone() {
             let known = self.peers.values().any(|peer| peer.info.address == address);
@@ -262,15 +261,15 @@
         }
     }
 
-    /// Forgets peers that no list has and that have been silent for long, and turns to the
-    /// seeds if nobody is left. A group of all instances always turns to those it has
-    /// forgotten: they may stand behind a cut, and nobody else would tell that it has ended.
+    /// Forgets unlisted peers that have been silent for long, and contacts the seeds again if
+    /// no peer is left. A single group always contacts forgotten seeds again: they may be on
+    /// the other side of a network partition, and no other peer would report its end.
     fn forget_expired_peers(&mut self, now: Duration) {
         let timeout = self.liveness_timeout() * FORGET_AFTER_TIMEOUTS;
-        let gone = |peer: &PeerRecord| {
+        let is_expired = |peer: &PeerRecord| {
             !peer.listed && peer.heard_at.is_some_and(|heard| now >= heard + timeout)
         };
-        self.peers.retain(|_, peer| !gone(peer));
+        self.peers.retain(|_, peer| !is_expired(peer));
         if self.group.is_single
             || !self.peers.values().any(|peer| peer.heard_at.is_some())
         {
@@ -278,14 +277,14 @@
         }
     }
 
-    /// Returns the listed peers of the data centre.
+    /// Returns the listed peers of the group.
     fn listed_group_peers(&self) -> Vec<InstanceName> {
         let peers = self.peers.values();
         let peers = peers.filter(|peer| peer.listed && self.in_own_group(peer));
         peers.map(|peer| peer.info.name.clone()).collect()
     }
 
-    /// Records that an instance may be there.
+    /// Adds a possible peer. `listed` tells whether it comes from the platform's list.
     pub fn add_peer(&mut self, info: PeerInfo, listed: bool) {
         let known = self.peers.contains_key(&info.name);
         if info.name == self.own.name || !(known || listed || self.accepts_peer(&info)) {
@@ -301,7 +300,7 @@
         }
     }
 
-    /// Forgets a peer that was known by its address only, now that its name is.
+    /// Forgets the placeholder of a seed whose name is now known.
     fn forget_seed(&mut self, info: &PeerInfo) {
         self.peers.remove(&info.address.to_string());
     }
@@ -318,12 +317,12 @@
         self.assign_watched();
     }
 
-    /// Says that this instance is stopping.
+    /// Marks this instance as stopping.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Records what this instance has to say of itself.
+    /// Sets what this instance publishes about itself.
     pub fn set_status(&mut self, status: NodeStatus, now: Duration) {
         self.started.get_or_insert(now);
         let since = self
@@ -341,18 +340,18 @@
                 u32::from(usage.count);
         }
         self.usage.retain(|_, rate| *rate > MIN_USAGE_PER_SECOND);
-        let newly_silent = |key| !self.status.unresponsive.contains(key);
+        let newly_unresponsive = |key| !self.status.unresponsive.contains(key);
         self.has_updates |= has_load_increase(
             &self.status.loads,
             &status.loads,
             self.timing.update_units,
-        ) || status.unresponsive.iter().any(newly_silent);
+        ) || status.unresponsive.iter().any(newly_unresponsive);
         self.status = status;
         self.update_live(now);
     }
 
-    /// Returns how many instances of the group are known, this one included: each
-    /// gets a heartbeat, whether it is heard or not.
+    /// Returns the number of known instances of the group, including this one. All of them are
+    /// sent heartbeats, alive or not.
     pub(super) fn known_group_size(&self) -> u32 {
         self.peers.values().filter(|peer| self.in_own_group(peer)).count() as u32 + 1
     }
@@ -368,8 +367,8 @@
         )
     }
 
-    /// Works out whom this instance sees alive, and so what it watches. No vote is taken:
-    /// each instance works it out from whom it hears.
+    /// Updates the live instances and the watched servers. There is no vote: each instance
+    /// decides by the messages that reach it.
     fn update_live(&mut self, now: Duration) {
         self.regroup(now);
         let timeout = self.liveness_timeout();
@@ -387,7 +386,7 @@
         self.assign_watched();
     }
 
-    /// Works out which servers this instance watches.
+    /// Updates which servers this instance watches.
     fn assign_watched(&mut self) {
         let keys: Vec<u64> =
             self.servers.keys().map(|server| u64::from(*server)).collect();
@@ -399,20 +398,20 @@
         self.generation += 1;
     }
 
-    /// Returns whether a live instance is the one that a key belongs to.
+    /// Returns whether a live instance owns a key by rendezvous hashing.
     fn owns(&self, key: FleetKey, name: &str) -> bool {
         let owner = rendezvous_owner(u64::from(key), &self.live);
         owner.is_some_and(|owner| self.live[owner] == name)
     }
 
-    /// Returns the names of the live instances of the data centre, this one included, in
-    /// order, as of the last event.
+    /// Returns the sorted names of the group's live instances, including this one, as of the
+    /// last event.
     #[must_use]
     pub fn live(&self) -> &[InstanceName] {
         &self.live
     }
 
-    /// Returns a number that grows whenever what this instance watches or falls back on may
+    /// Returns a number that increases whenever the watched servers or the fallback shares may
     /// have changed.
     #[must_use]
     pub fn generation(&self) -> u64 {
@@ -425,13 +424,14 @@
         &self.watched
     }
 
-    /// Returns after which silence a peer isn't alive, and a share doesn't hold.
+    /// Returns how long a peer may be silent before it counts as dead and its shares expire.
     fn liveness_timeout(&self) -> Duration {
         self.period() * self.timing.missed_heartbeats
     }
 }
 
-/// Returns whether any server has more to read by so many units than it had.
+/// Returns whether the prompt tokens to be prefilled have grown by at least `units` at any
+/// server.
 fn has_load_increase(before: &[OwnLoad], now: &[OwnLoad], units: u16) -> bool {
     let sum = |load: &OwnLoad| {
         load.unread.iter().fold(0u16, |sum, part| sum.saturating_add(*part))
--- a/crates/flaxtide-fleet/src/node/pushback.rs
+++ b/crates/flaxtide-fleet/src/node/pushback.rs
@@ -1,5 +1,6 @@
-//! What backend servers have said of themselves: news go to peers at once and are told again
-//! until they have arrived; an instance that starts or comes back is told all.
+//! Exchange of pushback reports: the limits and departures that backend servers announce. New
+//! reports are sent to peers at once and resent until they are acknowledged. An instance that
+//! starts or comes back is sent all reports.
 
 use std::time::Duration;
 
@@ -12,29 +13,29 @@
 use crate::notice::PendingNotice;
 use crate::wire::PushbackNotice;
 
-/// The most reports in one message: 14 KB.
+/// The most reports in a message, about 14 KB.
 const MAX_REPORTS: usize = 1024;
 
-/// A notice of what servers have said, on its way to a peer.
+/// A pushback notice to be sent to a peer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutgoingPushback {
-    /// The peer.
+    /// The peer that receives it.
     pub to: PeerInfo,
-    /// The notice.
+    /// The message.
     pub notice: PushbackNotice,
 }
 
-/// What this instance knows of what servers have said.
+/// The known pushback reports, and which of them peers still need.
 #[derive(Debug, Default)]
 pub(super) struct PushbackState {
-    /// All of it.
+    /// All known reports.
     log: PushbackLog,
-    /// The servers of which this instance has news for its peers.
+    /// The servers with new reports for peers, in order.
     changes: ChangeQueue<ServerStart>,
 }
 
 impl FleetNode {
-    /// Records what servers have said to this instance.
+    /// Records what servers have announced to this instance, and queues it for its peers.
     pub fn record_pushback(&mut self, reports: &[PushbackReport], now: Duration) {
         for report in reports {
             self.pushback.log.apply(report, now);
@@ -42,19 +43,19 @@
         }
     }
 
-    /// Returns the notices of what servers have said that are due.
+    /// Returns the pushback notices that are due.
     pub fn due_pushback(&mut self, now: Duration) -> Vec<OutgoingPushback> {
         let last = self.pushback.changes.last();
         if last == 0 && self.pushback.log.is_empty() {
             return vec![];
         }
-        let told = self.peers_to_notify(
+        let recipients = self.peers_to_notify(
             now,
             |peer| &peer.pushback_notices,
             |state| state.is_due(last),
         );
         let mut due = vec![];
-        for name in told {
+        for name in recipients {
             let Some(peer) = self.peers.get_mut(&name) else { continue };
             let PushbackState { log, changes } = &self.pushback;
             let state = &mut peer.pushback_notices;
@@ -88,7 +89,7 @@
         due
     }
 
-    /// Handles a peer's notice. Returns what is news.
+    /// Handles a peer's notice. Returns notices of the reports that are new.
     pub fn handle_pushback(
         &mut self,
         notice: &PushbackNotice,
@@ -99,7 +100,7 @@
         for report in &notice.reports {
             match self.pushback.log.apply(report, now) {
                 ReportEffect::Known => {}
-                // The peer lacks what the server has said since, and is told.
+                // This instance has a newer report than the peer, and sends it.
                 ReportEffect::Outdated => self.pushback.changes.push(report.server),
                 ReportEffect::News => {
                     news.push(*report);
@@ -112,21 +113,21 @@
         if news.is_empty() { vec![] } else { vec![FleetNotice::Pushback(news)] }
     }
 
-    /// Records that a peer has got the last notice.
+    /// Records that a peer has acknowledged the last notice.
     pub fn handle_pushback_reply(&mut self, from: &InstanceName) {
         if let Some(peer) = self.peers.get_mut(from) {
             peer.pushback_notices.record_answer();
         }
     }
 
-    /// Records that there was no link for a notice to a peer.
+    /// Records that a notice couldn't be sent because there is no link to the peer.
     pub fn handle_pushback_no_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
             peer.pushback_notices.record_no_link(now);
         }
     }
 
-    /// Records that a notice broke the link to a peer.
+    /// Records that the link to a peer broke while a notice was in flight.
     pub fn handle_pushback_broken_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
             peer.pushback_notices.record_broken_link(now);
--- a/crates/flaxtide-fleet/src/node/roster.rs
+++ b/crates/flaxtide-fleet/src/node/roster.rs
@@ -1,4 +1,4 @@
-//! Which instances share what servers state to all of them together.
+//! The instances among which a limit that a server announces is divided.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,35 +9,35 @@
 use crate::info::PeerInfo;
 use crate::key::{FleetKey, fleet_key};
 
-/// For how long after its start an instance may not have heard who else is there: two of the
-/// longest periods between heartbeats.
+/// How long after its start an instance may not know its peers yet: two of the longest
+/// heartbeat periods.
 const STARTUP_DELAY: Duration = Duration::from_secs(5);
 
-/// Whom this instance saw alive when it last looked.
+/// An instance group, with the state that it was built from.
 #[derive(Debug)]
 pub(super) struct CachedInstanceGroup {
-    /// The generation of the node.
+    /// The node's generation when the group was built.
     generation: u64,
-    /// The other data centres with live instances that aren't all known.
+    /// The other data centres with live instances, of which only a few instances are reusable.
     others: Vec<FleetKey>,
-    /// What follows.
+    /// The group.
     group: Arc<InstanceGroup>,
 }
 
 impl FleetNode {
-    /// Returns the instances that this one sees alive; nothing before it may know them.
+    /// Returns the live instances that this one knows; `None` shortly after its start, while
+    /// peers may be missing.
     pub fn instance_group(&mut self, now: Duration) -> Option<Arc<InstanceGroup>> {
         let started = self.started?;
         if now < started + STARTUP_DELAY && !self.seeds.is_empty() {
             return None;
         }
         let others = self.other_data_centres(now);
-        let known = self
-            .cached_group
-            .as_ref()
-            .filter(|copy| copy.generation == self.generation && copy.others == others);
-        if let Some(copy) = known {
-            return Some(copy.group.clone());
+        let reusable = self.cached_group.as_ref().filter(|cached| {
+            cached.generation == self.generation && cached.others == others
+        });
+        if let Some(cached) = reusable {
+            return Some(cached.group.clone());
         }
         let own = member(&self.own);
         let live = self.live.iter().filter_map(|name| self.peers.get(name));
@@ -50,22 +50,22 @@
         Some(group)
     }
 
-    /// Returns the data centres, but for this one's own, of which only some instances are known.
+    /// Returns the other data centres with live instances of which only a few are reusable.
     fn other_data_centres(&self, now: Duration) -> Vec<FleetKey> {
         let timeout = self.contact_liveness_timeout();
-        let far = self
+        let remote = self
             .peers
             .values()
             .filter(|peer| !self.in_own_group(peer) && peer.heard_within(now, timeout));
         let mut others: Vec<FleetKey> =
-            far.map(|peer| fleet_key(&peer.info.data_centre)).collect();
+            remote.map(|peer| fleet_key(&peer.info.data_centre)).collect();
         others.sort_unstable();
         others.dedup();
         others
     }
 }
 
-/// Returns what stands for an instance.
+/// Returns the keys of an instance and its data centre.
 fn member(info: &PeerInfo) -> GroupMember {
     GroupMember {
         instance: fleet_key(&info.name),
--- a/crates/flaxtide-fleet/src/node/settings.rs
+++ b/crates/flaxtide-fleet/src/node/settings.rs
@@ -1,4 +1,4 @@
-//! Which settings an instance has, and when it turns to peers for newer ones.
+//! The settings version of an instance, and when it fetches newer settings from peers.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -12,51 +12,51 @@
 use crate::peer::PeerRecord;
 use crate::settings::{SettingsCopy, checksum};
 
-/// Fetched settings that aren't in force after so long are fetched again.
+/// Fetched settings that aren't in force after this time are fetched again.
 const ADOPTION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// For how long an instance is taken to be only a little behind its peers. Longer than that,
-/// what they say of newer settings may be wrong.
+/// How long a newer version that peers announce is believed. An instance that hasn't got it by
+/// then isn't just a little behind: the announcement may be wrong.
 const MAX_TIME_BEHIND: Duration = Duration::from_secs(15);
 
-/// The settings of an instance, and what it knows of newer ones.
+/// The settings version of an instance, and what is known of newer ones.
 #[derive(Debug, Default)]
 pub(super) struct SettingsState {
     /// The version in force.
     version: SettingsVersion,
-    /// Since when a version is known that is newer than what is in force or just fetched.
+    /// Since when peers have had a version that is newer than the one in force or just fetched.
     newer_since: Option<Duration>,
-    /// When the instance's own source last brought something.
+    /// When data last arrived from the instance's own source, the platform.
     source_progress_at: Duration,
-    /// Whether only peers tell of newer settings, so that waiting for the platform is vain.
+    /// Whether to fetch from peers without waiting for the platform.
     follows_peers: bool,
-    /// When it last turned to peers.
+    /// When a fetch from peers was last started.
     last_fetch_at: Option<Duration>,
-    /// What was last fetched from a peer.
+    /// The settings last fetched from a peer.
     fetched: Option<FetchedCopy>,
-    /// The version and checksum of what was fetched, but can't be put in force.
+    /// The version and checksum of fetched settings that couldn't be put in force.
     rejected: Option<(SettingsVersion, u64)>,
 }
 
 /// A peer that has newer settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsSource {
-    /// The peer.
+    /// The peer that is asked.
     pub info: PeerInfo,
-    /// The version that it has told of.
+    /// The version that the peer has announced.
     pub version: SettingsVersion,
 }
 
-/// Settings that a peer has given.
+/// A record of settings fetched from a peer.
 #[derive(Debug)]
 struct FetchedCopy {
-    /// The version.
+    /// The version of the settings.
     version: SettingsVersion,
-    /// The checksum.
+    /// The checksum of the settings.
     checksum: u64,
-    /// The peer.
+    /// The peer that sent the last piece.
     provider: InstanceName,
-    /// When they were whole.
+    /// When the last piece arrived.
     fetched_at: Duration,
 }
 
@@ -75,23 +75,23 @@
         self.settings.version
     }
 
-    /// Returns what stands for this instance.
+    /// Returns the key of this instance.
     pub(crate) fn own_key(&self) -> FleetKey {
         fleet_key(&self.own.name)
     }
 
-    /// Records that the instance's own source of settings brings something.
+    /// Records that data has arrived from the instance's own source of settings.
     pub fn record_source_progress(&mut self, now: Duration) {
         self.settings.source_progress_at = now;
     }
 
-    /// Sets whether only peers tell of newer settings: this instance doesn't follow its own
-    /// source just now, and turns to peers without waiting for it.
+    /// Sets whether this instance doesn't follow its own source at present, and fetches newer
+    /// settings from peers without waiting for it.
     pub fn set_follows_peers(&mut self, follows_peers: bool) {
         self.settings.follows_peers = follows_peers;
     }
 
-    /// Records that settings have been fetched from a peer. They are in force soon.
+    /// Records that settings have been fetched from a peer and are about to be put in force.
     pub fn record_fetched(&mut self, copy: &SettingsCopy, provider: &str, now: Duration) {
         self.settings.fetched = Some(FetchedCopy {
             version: copy.version,
@@ -101,8 +101,8 @@
         });
     }
 
-    /// Records that the settings of a version that were fetched can't be put in force: they
-    /// aren't understood, or are of another version. They aren't fetched again.
+    /// Records that fetched settings of this version can't be put in force, because they are
+    /// malformed or of another version. They aren't fetched again.
     pub fn reject_fetched(&mut self, version: SettingsVersion) {
         let fetched = self.settings.fetched.take_if(|copy| copy.version == version);
         let Some(fetched) = fetched else { return };
@@ -110,8 +110,8 @@
         self.reject_provider(&fetched.provider, version);
     }
 
-    /// Records that what a peer gives of a version can't be used. It isn't asked while it
-    /// has that version.
+    /// Records that a peer's settings of this version can't be used. The peer isn't asked again
+    /// until it has another version.
     pub(crate) fn reject_provider(&mut self, provider: &str, version: SettingsVersion) {
         if let Some(peer) = self.peers.get_mut(provider) {
             peer.rejected_version = Some(version);
@@ -123,8 +123,8 @@
         self.settings.rejected == Some((version, checksum))
     }
 
-    /// Notes since when newer settings are known. To be called often, also while they are
-    /// being fetched.
+    /// Updates since when peers have had newer settings. The caller does so at every poll, also
+    /// during a fetch.
     pub fn update_newer_since(&mut self, now: Duration) {
         if self.newer_peers(now).next().is_none() {
             self.settings.newer_since = None;
@@ -133,9 +133,9 @@
         }
     }
 
-    /// Returns whether settings are to be fetched from a peer now: one that is heard has newer
-    /// ones, and the instance's own source hasn't brought them in time. Whoever asks is
-    /// expected to fetch them then.
+    /// Returns whether to fetch settings from a peer now: a live peer has newer ones, and the
+    /// instance's own source hasn't delivered them in time. Starts the pause until the next
+    /// fetch, so the caller must fetch if this returns true.
     pub fn settings_fetch_due(&mut self, now: Duration) -> bool {
         let Some(since) = self.settings.newer_since else { return false };
         let idle_since = since.max(self.settings.source_progress_at);
@@ -152,8 +152,8 @@
         due
     }
 
-    /// Returns the newest version that a peer has told of and that may be in force here
-    /// soon; 0 if there is none, or if it is too long ago to be believed.
+    /// Returns the newest version that a peer has announced and that may soon be in force here;
+    /// 0 if there is none or if it was announced too long ago.
     #[must_use]
     pub fn newest_known_version(&self, now: Duration) -> SettingsVersion {
         let since = self.settings.newer_since;
@@ -165,35 +165,34 @@
         peers.map(|peer| peer.version).max().unwrap_or_default()
     }
 
-    /// Returns the peers that have newer settings and are heard, in the order in which they
-    /// are asked: those with the newest version first, then those of the data centre; and
-    /// among equals in an order of this instance's own, so that not all instances ask the
-    /// same one.
+    /// Returns the live peers that have newer settings, in the order in which they are asked:
+    /// the newest version first, then peers of the group. Each instance orders equal peers
+    /// differently, so that they don't all ask the same one.
     #[must_use]
     pub fn settings_sources(&self, now: Duration) -> Vec<SettingsSource> {
         let peers: Vec<&PeerRecord> = self.heard_newer_peers(now).collect();
         let names: Vec<&str> = peers.iter().map(|peer| peer.info.name.as_str()).collect();
         let mut order = rendezvous_order(u64::from(self.own_key()), &names);
-        order.sort_by_key(|place| {
-            let peer = peers[*place];
+        order.sort_by_key(|index| {
+            let peer = peers[*index];
             (Reverse(peer.version), !self.in_own_group(peer))
         });
-        let source = |place: &usize| SettingsSource {
-            info: peers[*place].info.clone(),
-            version: peers[*place].version,
+        let source = |index: &usize| SettingsSource {
+            info: peers[*index].info.clone(),
+            version: peers[*index].version,
         };
         order.iter().map(source).collect()
     }
 
-    /// Returns those of them that have been heard lately.
+    /// Returns the live peers that have newer settings.
     fn heard_newer_peers(&self, now: Duration) -> impl Iterator<Item = &PeerRecord> {
         let timeout = self.liveness_timeout();
         self.newer_peers(now)
             .filter(move |peer| peer.heard_within(now, timeout))
     }
 
-    /// Returns the peers whose settings are newer than what this instance has or has just
-    /// fetched, but for those that it couldn't use.
+    /// Returns the peers with settings that are newer than those in force or just fetched,
+    /// without peers whose settings couldn't be used.
     fn newer_peers(&self, now: Duration) -> impl Iterator<Item = &PeerRecord> {
         let known = self.known_version(now);
         self.peers.values().filter(move |peer| {
@@ -201,7 +200,7 @@
         })
     }
 
-    /// Returns the version in force, or one that has just been fetched.
+    /// Returns the version in force, or a newer one that has just been fetched.
     fn known_version(&self, now: Duration) -> SettingsVersion {
         let fetched = self.settings.fetched.as_ref();
         let fetched = fetched.filter(|copy| now < copy.fetched_at + ADOPTION_TIMEOUT);
--- a/crates/flaxtide-fleet/src/node/timing.rs
+++ b/crates/flaxtide-fleet/src/node/timing.rs
@@ -1,39 +1,41 @@
-//! How often things happen between instances.
+//! Periods and time-outs of the messages between instances.
 
 use std::time::Duration;
 
-/// How often things happen between instances.
+/// Periods, time-outs and limits of the messages between instances.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetTiming {
-    /// The longest time between two heartbeats to one peer.
+    /// The longest time between two heartbeats to a peer.
     pub longest_period: Duration,
-    /// The shortest.
+    /// The shortest time between two heartbeats to a peer.
     pub shortest_period: Duration,
-    /// The time between two heartbeats, for each live instance of the data centre, so that the
-    /// traffic of one instance stays the same however many there are.
+    /// The heartbeat period for each known instance of the group, so that an instance's traffic
+    /// doesn't depend on the size of the group.
     pub period_per_instance: Duration,
-    /// What one heartbeat to each live instance costs, in time that must pass before more updates
-    /// is told sooner than the period: 406 bytes with the answer, within 17 KB a second.
+    /// The cost of a round of updates for each known instance, as the time until the next round
+    /// may be sent ahead of the period. A heartbeat with its reply takes 406 bytes, of 17 KB/s
+    /// for all.
     pub update_cost_per_instance: Duration,
-    /// How many heartbeats may be saved up for updates.
+    /// How many rounds of updates may be sent in a burst.
     pub update_burst: u32,
-    /// So many more prompt tokens to be read at one server, in units of 16, are updates.
+    /// How many more prompt tokens must wait for prefill at a server to be an update, in units
+    /// of 16 tokens.
     pub update_units: u16,
-    /// Up to how many instances are one group, whatever their data centres; 0 if each data
-    /// centre always is a group of its own.
+    /// The largest fleet that is a single group whatever its data centres; 0 if each data
+    /// centre is always a group of its own.
     pub single_group_limit: u32,
-    /// The shortest time between two digests of one other data centre.
+    /// The shortest time between two digests of another data centre.
     pub shortest_digest_period: Duration,
-    /// The longest.
+    /// The longest time between two digests of another data centre.
     pub longest_digest_period: Duration,
-    /// A peer that isn't heard for so many periods isn't alive.
+    /// The number of silent heartbeat or digest periods after which a peer counts as dead.
     pub missed_heartbeats: u32,
-    /// How long an instance that hears of newer settings waits for its own source, the
-    /// platform, while that brings nothing, before it asks a peer: longer than a store that
-    /// is ninety times slower than usual takes to begin its answer.
+    /// How long an instance that learns of newer settings waits for its own source, the
+    /// platform, before it asks a peer, if no data arrives. A platform store that is ninety
+    /// times slower than usual still starts its answer within this time.
     pub settings_source_wait: Duration,
-    /// How long it waits while the source brings something. A row of 1.2 MB takes a second
-    /// on an idle link of 10 Mbit/s.
+    /// How long it waits while data keeps arriving. A row of 1.2 MB takes a second on an idle
+    /// link of 10 Mbit/s.
     pub settings_source_max_wait: Duration,
 }
 
--- a/crates/flaxtide-fleet/src/notice.rs
+++ b/crates/flaxtide-fleet/src/notice.rs
@@ -1,62 +1,61 @@
-//! What one peer has been told by notices of one kind, and what it is owed.
+//! The delivery state of the notices of one kind to one peer.
 
 use std::time::Duration;
 
 use crate::links::RECONNECT_PAUSE;
 
-/// How long a peer may take to answer a notice before it is told again.
+/// How long a peer may take to answer a notice before it is sent another one.
 const RESEND_AFTER: Duration = Duration::from_millis(1200);
 
-/// After so many notices in a row that broke their link the peer is left alone for a while: it
-/// may be of a version that doesn't know them, and its link carries heartbeats too.
+/// After this many notices in a row that broke the link, notices to the peer pause: it may run
+/// a version that doesn't know them, and its link also carries heartbeats.
 const MAX_LINK_BREAKS: u32 = 3;
 
-/// For how long.
+/// How long notices pause after too many broken links.
 const BREAK_PAUSE: Duration = Duration::from_secs(30);
 
-/// What one peer has been told, and whether it is to be compared with.
+/// The delivery state of the notices of one kind to one peer.
 #[derive(Debug, Clone)]
 pub(crate) struct NoticeState {
-    /// Up to which news it has been told.
+    /// The number of the last change that the peer has acknowledged.
     pub(crate) acknowledged: u64,
-    /// Whether what it knows is to be compared with what this instance knows: it has started,
-    /// or wasn't heard for a while.
+    /// Whether to compare logs with the peer, because it has started or was silent for a while.
     pub(crate) needs_comparison: bool,
-    /// Whether it is to be told everything.
+    /// Whether to send all reports to the peer.
     pub(crate) needs_all: bool,
-    /// The notice that it hasn't answered yet.
+    /// The last notice, until it is answered.
     pub(crate) pending: Option<PendingNotice>,
-    /// How many notices in a row broke their link.
+    /// The number of notices in a row that broke the link.
     link_breaks: u32,
-    /// Until when it isn't told anything.
+    /// Until when no notices are sent.
     paused_until: Duration,
 }
 
-/// A notice without an answer yet.
+/// A notice that hasn't been answered yet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingNotice {
-    /// When it was sent.
+    /// When the notice was sent.
     pub(crate) sent_at: Duration,
-    /// Up to which news it tells.
+    /// The number of the last change in the notice.
     pub(crate) last_change: u64,
-    /// Whether it asks for a comparison.
+    /// Whether the notice asks for a comparison of logs.
     pub(crate) compares: bool,
-    /// Whether it tells everything.
+    /// Whether the notice contains all reports.
     pub(crate) sends_all: bool,
 }
 
 impl NoticeState {
-    /// Starts with a peer that is to be compared with.
+    /// Creates the state of a peer to compare logs with.
     pub(crate) fn needing_comparison() -> Self {
         Self { needs_comparison: true, ..Self::new() }
     }
 
-    /// Starts with a peer that is to be told everything.
+    /// Creates the state of a peer to send all reports to.
     pub(crate) fn needing_all() -> Self {
         Self { needs_all: true, ..Self::new() }
     }
 
-    /// Starts with a peer that has been told nothing.
+    /// Creates the state of a peer that has received nothing.
     fn new() -> Self {
         Self {
             acknowledged: 0,
@@ -68,19 +67,19 @@
         }
     }
 
-    /// Returns whether it is to be told anything, if the last news have this number.
+    /// Returns whether a notice is due, given the number of the last change.
     pub(crate) fn is_due(&self, last: u64) -> bool {
         self.needs_comparison || self.needs_all || self.acknowledged < last
     }
 
-    /// Returns whether a notice may be sent now.
+    /// Returns whether a notice may be sent now: none is unanswered, and notices aren't paused.
     pub(crate) fn may_send(&self, now: Duration) -> bool {
         let waits =
             self.pending.is_some_and(|notice| now < notice.sent_at + RESEND_AFTER);
         !waits && now >= self.paused_until
     }
 
-    /// Returns whether it is being compared with.
+    /// Returns whether a comparison with the peer is in progress.
     pub(crate) fn is_comparing(&self, now: Duration) -> bool {
         let pending = self.pending.filter(|notice| now < notice.sent_at + RESEND_AFTER);
         pending.is_some_and(|notice| notice.compares)
@@ -91,7 +90,7 @@
         self.pending = Some(notice);
     }
 
-    /// Records the answer to the last notice. Returns that notice.
+    /// Records the answer to the last notice, and returns that notice.
     pub(crate) fn record_answer(&mut self) -> Option<PendingNotice> {
         let notice = self.pending.take()?;
         self.link_breaks = 0;
@@ -105,8 +104,8 @@
         Some(notice)
     }
 
-    /// Records that there was no link for the last notice. It is sent again as soon as one may be
-    /// opened, and not only when an answer would be overdue.
+    /// Records that there was no link for the last notice. It is resent as soon as a link may
+    /// be opened again, without waiting for the answer time-out.
     pub(crate) fn record_no_link(&mut self, now: Duration) {
         self.pending = None;
         self.paused_until = self.paused_until.max(now + RECONNECT_PAUSE);
--- a/crates/flaxtide-fleet/src/peer.rs
+++ b/crates/flaxtide-fleet/src/peer.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of one peer.
+//! The state of a peer as this instance knows it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,39 +10,39 @@
 use crate::notice::NoticeState;
 use crate::wire::{FleetHeartbeat, OwnLoad, PoolDemand};
 
-/// A peer, as last heard.
+/// A peer, as of its last messages.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerRecord {
-    /// Who it is.
+    /// The identity of the peer.
     pub(crate) info: PeerInfo,
-    /// Whether the platform's list has it.
+    /// Whether the peer is on the platform's list.
     pub(crate) listed: bool,
-    /// Its epoch, once heard.
+    /// The peer's epoch; `None` before its first message.
     pub(crate) epoch: Option<u32>,
-    /// When it was last heard, by a heartbeat or a reply.
+    /// When the last message from the peer arrived.
     pub(crate) heard_at: Option<Duration>,
-    /// Whether it is stopping.
+    /// Whether the peer is stopping.
     pub(crate) leaving: bool,
-    /// Its settings version.
+    /// The peer's settings version in force.
     pub(crate) version: SettingsVersion,
-    /// The version of its settings that this instance couldn't use.
+    /// A version that the peer provided and that couldn't be used here.
     pub(crate) rejected_version: Option<SettingsVersion>,
-    /// Its requests for each pool.
+    /// The peer's running and waiting requests, by pool.
     pub(crate) demands: Vec<PoolDemand>,
-    /// Its requests at backend servers.
+    /// The peer's own requests, by backend server.
     pub(crate) loads: Vec<OwnLoad>,
-    /// The use of organisations whose rate this instance keeps, in requests a second.
+    /// The peer's requests per second, by organisation, for the rates that this instance owns.
     pub(crate) usage: BTreeMap<FleetKey, f64>,
-    /// When its last heartbeat came.
+    /// When the peer's last heartbeat arrived.
     last_heartbeat_at: Option<Duration>,
-    /// What it has been told of crashes.
+    /// Which crash reports the peer has received.
     pub(crate) crash_notices: NoticeState,
-    /// What it has been told of what servers say of themselves.
+    /// Which pushback reports the peer has received.
     pub(crate) pushback_notices: NoticeState,
 }
 
 impl PeerRecord {
-    /// Starts to know a peer.
+    /// Creates the record of a peer that hasn't been heard from.
     pub(crate) fn new(info: PeerInfo, listed: bool) -> Self {
         Self {
             info,
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Records that the peer is there, with a new life if its epoch is another.
+    /// Records a message from the peer. A changed epoch means that it has restarted, so
+    /// everything known of its previous run is dropped.
     pub(crate) fn record_alive(
         &mut self,
         epoch: u32,
@@ -84,18 +85,19 @@
         self.version = version;
     }
 
-    /// Records whether the peer is back, or has gone: it may lack what others know, or know
-    /// what they lack.
+    /// Records whether the peer has started, come back or stopped. It may then lack reports
+    /// that other instances have, or have reports that they lack.
     pub(crate) fn record_liveness_change(&mut self, changed: bool) {
         self.crash_notices.needs_comparison |= changed;
         self.pushback_notices.needs_all |= changed;
     }
 
-    /// Records what the peer says of itself.
+    /// Applies the peer's heartbeat.
     pub(crate) fn apply_heartbeat(&mut self, heartbeat: &FleetHeartbeat, now: Duration) {
-        /// The part that the newest count has in the rate of use.
+        /// The weight of the newest count in the moving average of a request rate.
         const USAGE_SMOOTHING: f64 = 0.5;
-        /// Heartbeats may come in bunches; counts of a shorter time than this say little.
+        /// The shortest interval that requests are divided by: heartbeats may arrive in bursts,
+        /// and counts over less give noisy rates.
         const MIN_COUNT_INTERVAL: Duration = Duration::from_millis(100);
         self.record_alive(heartbeat.epoch, heartbeat.leaving, heartbeat.version, now);
         self.demands.clone_from(&heartbeat.demands);
@@ -115,12 +117,13 @@
         self.usage.retain(|_, rate| *rate > 1e-3);
     }
 
-    /// Returns whether the peer has been heard lately and isn't stopping.
+    /// Returns whether a message from the peer arrived within the time-out and the peer isn't
+    /// stopping.
     pub(crate) fn is_alive(&self, now: Duration, timeout: Duration) -> bool {
         !self.leaving && self.heard_within(now, timeout)
     }
 
-    /// Returns whether the peer has been heard lately.
+    /// Returns whether a message from the peer arrived within the time-out.
     pub(crate) fn heard_within(&self, now: Duration, timeout: Duration) -> bool {
         self.heard_at.is_some_and(|heard| now < heard + timeout)
     }
--- a/crates/flaxtide-fleet/src/rate.rs
+++ b/crates/flaxtide-fleet/src/rate.rs
@@ -1,11 +1,11 @@
-//! The division of an organisation's rate among the instances that it uses.
+//! Division of an organisation's rate among the instances that it uses.
 
-/// The part of a rate that is divided equally, whatever the use, so that an instance that
-/// the organisation begins to use isn't without any.
+/// The fraction of a rate that is divided equally whatever the usage, so that an instance which
+/// the organisation starts to use has some.
 const EQUAL_PART: f64 = 0.2;
 
-/// Returns the part of an organisation's rate that the instance at `index` gets, by the
-/// use that each instance has seen. The parts of all instances add up to 1.
+/// Returns the part of an organisation's rate for the instance at `index`, given the usage at
+/// each instance. The parts of all instances add up to 1.
 ///
 /// ```
 /// use flaxtide_fleet::rate_part;
--- a/crates/flaxtide-fleet/src/rows.rs
+++ b/crates/flaxtide-fleet/src/rows.rs
@@ -1,5 +1,5 @@
-//! Lists that one instance reads from the platform for many, so that the platform isn't
-//! asked by all of them for the same.
+//! Lists that a few instances read from the platform for the others, to limit the load on the
+//! platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,91 +9,94 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-/// Fleets of at least so many instances for each reader have more than one.
+/// The number of instances for each list reader.
 pub(crate) const PEERS_PER_READER: usize = 32;
 
-/// How many standbys a group has beside its readers: an outage of the platform is felt by few
-/// calls, and one that turns away a third of the instances seldom all of these.
+/// The number of standbys of a group besides its readers. There are few of them, so that an
+/// outage of the platform affects few calls, but enough that a platform that rejects a third of
+/// the instances rarely rejects all readers and standbys.
 pub(crate) const STANDBYS: usize = 2;
 
-/// The key by which readers are drawn, so that all instances draw the same.
+/// The rendezvous hashing key by which all instances choose the same readers.
 pub(crate) const READER_KEY: u64 = 0x7265_6164;
 
-/// A row, as it travels between instances.
+/// A row of a list, as sent between instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowCopy {
-    /// Its name.
+    /// The name of the row.
     pub name: String,
-    /// Its text; nothing if it is gone.
+    /// The text of the row; `None` if the row was removed.
     pub text: Option<String>,
 }
 
-/// The rows that have changed after a version.
+/// The rows that changed after a version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowChanges {
-    /// Up to which version these are all.
+    /// The version up to which the changes are complete.
     pub version: StoreVersion,
-    /// The rows, in the order of their changes.
+    /// The changed rows, in the order of their changes.
     pub rows: Vec<RowCopy>,
 }
 
-/// Gives peers what this instance has read.
+/// Provides the rows that this instance has read to its peers.
 pub trait RowSource: Send + Sync {
-    /// Returns what has changed after a version; nothing if that can't be told just now.
+    /// Returns the rows that changed after a version; `None` if the changes aren't known.
     fn changes_after(&self, version: StoreVersion) -> Option<RowChanges>;
 
-    /// Returns what is notified when rows have changed.
+    /// Returns the notifier that is signalled when rows change.
     fn change_notifier(&self) -> Arc<Notify>;
 }
 
-/// Who reads a list from the platform for an instance.
+/// Which instance reads a list from the platform for an instance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ListReader {
-    /// The instance itself, for itself only.
+    /// The instance reads the list for itself only.
     #[default]
     Alone,
-    /// The instance itself, and for peers.
+    /// The instance reads the list for itself and its peers.
     ForPeers,
-    /// The peer that is reached at this address.
+    /// The peer at this address reads the list.
     Peer(SocketAddr),
 }
 
-/// From whom an instance gets a list that few read from the platform.
+/// How an instance gets a list that only a few instances read from the platform.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ListPlan {
-    /// Who reads it.
+    /// The instance that reads the list.
     pub reader: ListReader,
-    /// Who else may have read it, in the order in which they are asked: the other readers,
-    /// then the standbys.
+    /// Other instances that may have the list, in the order in which they are asked: the other
+    /// readers, then the standbys.
     pub others: Vec<SocketAddr>,
-    /// The epochs of all of these: one that has started again makes another plan.
+    /// The epochs of these instances, so that the restart of one changes the plan.
     pub epochs: Vec<u32>,
-    /// Whether this instance is a standby, which reads as soon as no reader tells.
+    /// Whether this instance is a standby, which reads from the platform as soon as no reader
+    /// answers.
     pub standby: bool,
 }
 
-/// What came of a question for rows.
+/// The outcome of a question for rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RowAnswer {
-    /// The peer has told what changed.
+    /// The peer sent the rows that changed.
     Changes(RowChanges),
-    /// The peer is there, but the platform hasn't told it enough lately.
+    /// The peer answered that it doesn't know the changes, because it hasn't read enough from
+    /// the platform lately.
     Unavailable,
-    /// No answer came in time.
+    /// No answer arrived in time.
     Unreachable,
 }
 
-/// A question for the rows that a peer has read.
+/// A question to a peer for the rows that it has read.
 pub struct RowQuestion {
-    /// The peer.
+    /// The address of the peer.
     pub peer: SocketAddr,
-    /// After which version.
+    /// The version after which changes are wanted.
     pub after: StoreVersion,
-    /// How long the peer waits for updates.
+    /// How long the peer waits for changes before it answers without any.
     pub wait: Duration,
-    /// How long its answer may take on top.
+    /// How much longer the answer may take.
     pub margin: Duration,
-    /// Takes the answer.
+    /// The callback that receives the answer.
     pub answer: Box<dyn FnOnce(RowAnswer) + Send>,
 }
 
--- a/crates/flaxtide-fleet/src/serve.rs
+++ b/crates/flaxtide-fleet/src/serve.rs
@@ -1,4 +1,4 @@
-//! The answers to peers.
+//! The server side of the links: accepts them and answers the requests of peers.
 
 use std::future::Future;
 use std::sync::{Arc, PoisonError};
@@ -19,13 +19,14 @@
     PeerLink, PushbackNotice, UsageNotice,
 };
 
-/// The pause after a link that couldn't be accepted, as when descriptors have run out.
+/// The pause after a failure to accept a link, for example because file descriptors have run
+/// out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How many requests of one link are answered side by side.
+/// The most requests of one link that are handled at the same time.
 const MAX_PARALLEL_REQUESTS: usize = 8;
 
-/// Answers peers.
+/// Accepts links from peers and answers their requests.
 pub(crate) async fn serve(listener: TcpListener, shared: Arc<FleetShared>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -39,7 +40,8 @@
     }
 }
 
-/// Answers the requests of one link. One that waits for rows doesn't hold up the others.
+/// Handles the requests of a link concurrently, so that a request that waits for rows doesn't
+/// hold up the others.
 async fn handle_requests<Response: Future<Output = ()>>(
     requests: impl futures::Stream<Item = Response>,
 ) {
@@ -48,10 +50,10 @@
         .await;
 }
 
-/// The part that answers peers.
+/// Implements the service that peers call.
 #[derive(Clone)]
 struct PeerServer {
-    /// What all tasks share.
+    /// The state shared by all tasks.
     shared: Arc<FleetShared>,
 }
 
@@ -111,21 +113,24 @@
         if !changes.rows.is_empty() {
             return Some(changes);
         }
-        // Without changes in time, the answer says up to when there was none.
+        // Without changes in time, the answer has no rows, and the version up to which there
+        // are none.
         let _ = tokio::time::timeout(wait, notified).await;
         source.changes_after(after)
     }
 }
 
-/// Logs that settings are given, once a copy, and that a peer is sent elsewhere.
+/// Logs the first piece of each transfer, and requests turned down as busy.
 fn log_provided(question: PieceQuestion, answer: &PieceAnswer) {
     let newer_than = question.newer_than;
     match answer {
         PieceAnswer::Piece(piece) if piece.offset == 0 => log::info!(
             newer_than, version = piece.version, bytes = piece.length;
-            "settings given to peer"
+            "settings sent to peer"
         ),
-        PieceAnswer::Busy => log::debug!(newer_than; "settings not given, too many ask"),
+        PieceAnswer::Busy => {
+            log::debug!(newer_than; "settings not sent, too many transfers")
+        }
         PieceAnswer::Piece(_) | PieceAnswer::NothingNewer => {}
     }
 }
--- a/crates/flaxtide-fleet/src/settings/assembly.rs
+++ b/crates/flaxtide-fleet/src/settings/assembly.rs
@@ -1,17 +1,17 @@
-//! The side that takes settings from peers.
+//! The receiving side of a settings transfer.
 
 use flaxtide_core::SettingsVersion;
 
 use super::{PieceQuestion, SettingsCopy, SettingsPiece, checksum};
 use crate::key::FleetKey;
 
-/// The most bytes of settings that are taken from a peer: seven times the largest that are
-/// known to be in use. Larger ones would take the memory of small instances; the platform's
-/// client has the same limit for them, a third more in base64.
+/// The largest settings that are accepted from a peer: seven times the largest known to be in
+/// use. Larger ones would exhaust the memory of small instances. The platform's client has the
+/// same limit, plus a third for base64.
 const MAX_SETTINGS_BYTES: u32 = 6 * 1024 * 1024;
 
-/// Settings of which some pieces have come. Another peer that has the same version can give
-/// the rest.
+/// Settings that are received piece by piece. Another peer that has the same version can send
+/// the remaining pieces.
 ///
 /// ```
 /// use flaxtide_fleet::CopyAssembly;
@@ -20,31 +20,32 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct CopyAssembly {
-    /// Only newer settings are of use.
+    /// Only newer settings are accepted.
     newer_than: SettingsVersion,
-    /// The version that has been begun; 0 before the first piece.
+    /// The version being received; 0 before the first piece.
     version: SettingsVersion,
-    /// The bytes of the whole.
+    /// The size of the whole settings in bytes.
     length: u32,
-    /// The checksum of the whole.
+    /// The checksum of the whole settings.
     checksum: u64,
-    /// What has come.
+    /// The text received so far.
     text: String,
 }
 
-/// What a piece has brought.
+/// The result of adding a piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PieceOutcome {
-    /// More is to come.
+    /// More pieces are needed.
     Partial,
-    /// The settings are whole.
+    /// The settings are complete.
     Whole(SettingsCopy),
-    /// It doesn't fit; or the whole isn't what the peer has, and is begun anew.
+    /// The piece doesn't fit; or the complete settings have the wrong checksum and are
+    /// discarded.
     Rejected,
 }
 
 impl CopyAssembly {
-    /// Starts with nothing.
+    /// Creates an assembly that has received nothing.
     #[must_use]
     pub fn new(newer_than: SettingsVersion) -> Self {
         Self {
@@ -56,20 +57,19 @@
         }
     }
 
-    /// Returns the version that has been begun; 0 before the first piece.
+    /// Returns the version being received; 0 before the first piece.
     #[must_use]
     pub fn version(&self) -> SettingsVersion {
         self.version
     }
 
-    /// Returns how many bytes of it have come.
+    /// Returns how many bytes of it have been received.
     #[must_use]
     pub fn received_bytes(&self) -> usize {
         self.text.len()
     }
 
-    /// Goes on as an instance whose settings in force are these. What has been begun is
-    /// dropped if it isn't newer.
+    /// Sets the version in force. A partly received version that isn't newer is dropped.
     pub fn set_newer_than(&mut self, newer_than: SettingsVersion) {
         if self.version <= newer_than {
             *self = Self::new(newer_than);
@@ -77,7 +77,7 @@
         self.newer_than = newer_than;
     }
 
-    /// Returns the question of an instance for the next piece.
+    /// Returns the request for the next piece.
     #[must_use]
     pub fn question(&self, requester: FleetKey) -> PieceQuestion {
         PieceQuestion {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Records a piece. One that doesn't fit leaves what has come as it is.
+    /// Adds a piece. A piece that doesn't fit is ignored.
     pub fn add_piece(&mut self, piece: &SettingsPiece) -> PieceOutcome {
         let is_first =
             piece.offset == 0 && (piece.version > self.version || self.text.is_empty());
@@ -111,7 +111,7 @@
         PieceOutcome::Whole(SettingsCopy { version, tree: text.into() })
     }
 
-    /// Begins with the first piece of a version, without its text.
+    /// Starts to receive the version of a first piece, without adding its text.
     fn begin(newer_than: SettingsVersion, piece: &SettingsPiece) -> Self {
         Self {
             newer_than,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Returns whether a piece is the next one of what has been begun, and brings something.
+    /// Returns whether a piece is the next one of the version being received, and isn't empty.
     fn fits(&self, piece: &SettingsPiece) -> bool {
         let left = self.length as usize - self.text.len().min(self.length as usize);
         piece.version == self.version
--- a/crates/flaxtide-fleet/src/settings/provider.rs
+++ b/crates/flaxtide-fleet/src/settings/provider.rs
@@ -1,4 +1,4 @@
-//! The side that gives settings to peers.
+//! The sending side of a settings transfer.
 
 use std::time::Duration;
 
@@ -7,15 +7,15 @@
 };
 use crate::key::FleetKey;
 
-/// How many peers are given settings at the same time. A few at a time are done sooner than
-/// all at once, and then give them on; others ask elsewhere.
+/// The most parallel transfers. A few at a time finish sooner than all at once, and their
+/// receivers become providers; the others ask elsewhere.
 const MAX_TRANSFERS: usize = 4;
 
-/// A peer that asks for no further piece for so long has given up, or is gone. It asks again
-/// sooner if an answer was lost: within 2.6 s, with the opening of a link.
+/// A transfer without a request for this long is dropped: the peer has given up or is gone.
+/// After a lost answer, a peer asks again within 2.6 s, including the time to reconnect.
 const TRANSFER_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Gives settings to a few peers at a time, in pieces. It is told the time.
+/// Sends settings to a few peers at a time, in pieces. The caller passes in the time.
 ///
 /// ```
 /// use std::time::Duration;
@@ -28,27 +28,28 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct PieceProvider {
-    /// The copies that are being given.
+    /// The transfers in progress.
     transfers: Vec<OutgoingCopy>,
 }
 
-/// A copy that a peer is being given. It stays the same until it is whole, also when newer
-/// settings come meanwhile: with changes faster than a transfer, none would end otherwise.
+/// A transfer to a peer. The copy stays the same until it is complete, even if newer settings
+/// arrive: otherwise no transfer would finish while settings change faster than a transfer
+/// takes.
 #[derive(Debug)]
 struct OutgoingCopy {
-    /// The peer.
+    /// The key of the receiving peer.
     requester: FleetKey,
-    /// The copy.
+    /// The settings being sent.
     copy: SettingsCopy,
-    /// Its checksum.
+    /// The checksum of the copy.
     checksum: u64,
-    /// When the peer last asked_at.
+    /// When the peer last requested a piece.
     asked_at: Duration,
 }
 
 impl PieceProvider {
-    /// Answers a question. `newest` returns the settings in force, if newer than what the
-    /// peer has.
+    /// Answers a request for a piece. `newest` returns the settings in force if they are newer
+    /// than the peer's.
     pub fn answer(
         &mut self,
         question: PieceQuestion,
@@ -67,7 +68,7 @@
         }
         let current =
             current.filter(|transfer| transfer.copy.version == question.version);
-        // Older settings than those that the peer has current are of no use to it.
+        // Settings older than those that the peer is receiving are of no use to it.
         let newest = || newest().filter(|copy| copy.version >= question.version);
         let transfer = current
             .or_else(|| Some(OutgoingCopy::new(question.requester, newest()?, now)));
@@ -83,14 +84,14 @@
 }
 
 impl OutgoingCopy {
-    /// Begins to give a copy to a peer.
+    /// Starts a transfer to a peer.
     fn new(requester: FleetKey, copy: SettingsCopy, now: Duration) -> Self {
         let checksum = checksum(&copy.tree);
         Self { requester, copy, checksum, asked_at: now }
     }
 
-    /// Cuts the piece that a question asks for; the first one if it asks for a version that
-    /// isn't given, or for a place that can't be in it.
+    /// Returns the requested piece; the first one if the request is for another version or its
+    /// offset isn't valid.
     fn piece(&self, question: PieceQuestion) -> SettingsPiece {
         let tree = &*self.copy.tree;
         let offset = question.offset as usize;
--- a/crates/flaxtide-fleet/src/shared.rs
+++ b/crates/flaxtide-fleet/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the fleet thread share, and their calls to peers.
+//! The state shared by the tasks of the fleet thread, and calls to peers.
 
 use std::future::Future;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -20,56 +20,56 @@
 /// How long a peer may take to answer.
 pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the fleet thread passes on: what peers have told, or settings.
+/// What the fleet thread passes on to the rest of the instance.
 pub(crate) enum FleetOutput {
-    /// What peers have told, as it came in one message.
+    /// The notices from one message of a peer.
     Notices(Vec<FleetNotice>),
-    /// The settings that a peer sent.
+    /// Settings fetched from peers.
     Settings(SettingsCopy),
 }
 
-/// Takes what the fleet thread passes on.
+/// Receives the output of the fleet thread.
 type OutputHandler = Box<dyn Fn(FleetOutput) + Send + Sync>;
 
-/// Gives the settings in force, if newer than a version.
+/// Returns the settings in force if they are newer than a version.
 type SettingsLookup = Box<dyn Fn(SettingsVersion) -> Option<SettingsCopy> + Send + Sync>;
 
-/// What all tasks of the fleet thread share.
+/// The state shared by all tasks of the fleet thread.
 pub(crate) struct FleetShared {
-    /// The node.
+    /// The instance's state in the fleet.
     node: Mutex<FleetNode>,
-    /// The clock.
+    /// The clock of all times that the node is given.
     pub(crate) clock: MilliClock,
-    /// Takes what is heard.
+    /// Receives notices and fetched settings.
     pub(crate) output: OutputHandler,
-    /// Gives the settings in force to peers.
+    /// Returns the settings to send to a peer, if it has older ones.
     pub(crate) settings_newer_than: SettingsLookup,
-    /// What this instance has read from the platform for peers, once it does.
+    /// The rows that this instance has read from the platform for its peers, once set.
     pub(crate) row_source: OnceLock<Arc<dyn RowSource>>,
-    /// What this instance counts for the one that holds the duties, if there are any.
+    /// The exchange of usage counts with the duty holder, once set.
     pub(crate) usage_exchange: OnceLock<Arc<dyn UsageExchange>>,
     /// The open links to peers.
     pub(crate) links: PeerLinks,
-    /// Gives the settings to a few peers at a time.
+    /// Sends settings to a few peers at a time.
     pub(crate) provider: Mutex<PieceProvider>,
-    /// What has come of the settings that are being fetched. It outlasts a fetch that ends
-    /// before they are whole.
+    /// The settings being fetched. Pieces outlast a fetch that ends before the settings are
+    /// complete.
     partial: Mutex<PartialCopy>,
 }
 
 /// Why a peer hasn't answered a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallFault {
-    /// There was no link to it.
+    /// There was no link to the peer, and none could be opened.
     NoLink,
-    /// No answer came in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// The call broke its link.
+    /// The call broke the link.
     Broken,
 }
 
 impl FleetShared {
-    /// Starts without links or rows to give.
+    /// Creates the state without links, row source and usage exchange.
     pub(crate) fn new(
         node: FleetNode,
         clock: MilliClock,
@@ -89,18 +89,18 @@
         }
     }
 
-    /// Locks the node. A panic elsewhere doesn't spoil it.
+    /// Locks the node. It stays usable after a panic in another task.
     pub(crate) fn node(&self) -> MutexGuard<'_, FleetNode> {
         self.node.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks what has come of settings.
+    /// Locks the settings being fetched.
     pub(crate) fn partial(&self) -> MutexGuard<'_, PartialCopy> {
         self.partial.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Calls a peer over its link, which is closed unless an answer comes in time. Returns
-    /// nothing without an answer.
+    /// Calls a peer and returns its answer. Without an answer in time, closes the link and
+    /// returns `None`.
     pub(crate) async fn call_peer<Answer, Call>(
         &self,
         peer: &PeerInfo,
@@ -113,7 +113,7 @@
         self.try_call_peer(peer, timeout, ask).await.ok()
     }
 
-    /// The same.
+    /// Calls a peer and returns its answer. Without an answer in time, closes the link.
     ///
     /// # Errors
     ///
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Passes on what has been heard.
+    /// Passes notices on to the rest of the instance.
     pub(crate) fn notify(&self, notices: Vec<FleetNotice>) {
         if !notices.is_empty() {
             (self.output)(FleetOutput::Notices(notices));
--- a/crates/flaxtide-fleet/src/thread.rs
+++ b/crates/flaxtide-fleet/src/thread.rs
@@ -1,4 +1,4 @@
-//! The fleet thread: it carries messages over tarpc. Nothing else in flaxtide is async.
+//! The fleet thread: it runs an async runtime that exchanges messages with peers over tarpc.
 
 use std::future::Future;
 use std::io;
@@ -30,36 +30,36 @@
 use crate::usage::UsageSender;
 use crate::wire::PeerLinkClient;
 
-/// How often the thread polls its rings.
+/// How often the thread polls for events and due messages.
 const POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// The shortest time between two rounds of heartbeats that don't wait for their period.
+/// The shortest time between two rounds of heartbeats that are sent ahead of the period.
 const URGENT_PERIOD: Duration = Duration::from_millis(200);
 
-/// How often links to peers that aren't known any more are closed.
+/// How often links to peers that are no longer known are closed.
 const LINK_PRUNE_PERIOD: Duration = Duration::from_secs(5);
 
-/// An event for the fleet thread.
+/// A command for the fleet thread.
 #[derive(Debug)]
 pub enum FleetEvent {
-    /// The node is to be changed.
+    /// Changes the node.
     Update(FleetUpdate),
-    /// Everyone is to hear at once.
+    /// Sends heartbeats without waiting for the period.
     SendHeartbeats,
-    /// A peer is to be asked for the rows that it has read.
+    /// Asks a peer for the rows that it has read from the platform.
     AskRows(RowQuestion),
-    /// The thread is to end.
+    /// Ends the thread.
     Stop,
 }
 
-/// A change of the node, made on the fleet thread.
+/// A change of the node that is made on the fleet thread.
 pub struct FleetUpdate(NodeChange);
 
-/// What changes a node.
+/// The function that changes a node, at the given time.
 type NodeChange = Box<dyn FnOnce(&mut FleetNode, Duration) + Send>;
 
 impl FleetUpdate {
-    /// Makes a change.
+    /// Wraps a function that changes the node.
     #[must_use]
     pub fn new(change: impl FnOnce(&mut FleetNode, Duration) + Send + 'static) -> Self {
         Self(Box::new(change))
@@ -72,23 +72,24 @@
     }
 }
 
-/// The fleet thread, before it runs.
+/// The fleet thread before it is run.
 pub struct FleetThread {
-    /// The listener for peers.
+    /// The socket that accepts links from peers.
     listener: std::net::TcpListener,
-    /// The async runtime, of one thread.
+    /// The single-threaded async runtime.
     runtime: Runtime,
-    /// What all tasks share.
+    /// The state shared by all tasks.
     shared: Arc<FleetShared>,
 }
 
 impl FleetThread {
-    /// Listens for peers. `notices` takes what is heard, `adopt` takes settings that a peer
-    /// sent, and `settings` gives the settings in force if newer than a version.
+    /// Starts to listen for peers. `notices` receives what peers report, `adopt` receives
+    /// settings that were fetched from a peer, `settings` returns the settings in force if they
+    /// are newer than a version, and `node` creates the node for the listening address.
     ///
     /// # Errors
     ///
-    /// Returns the fault if it can't listen on the address.
+    /// Returns an error if it can't listen on the address.
     pub fn listen(
         address: SocketAddr,
         clock: MilliClock,
@@ -110,35 +111,35 @@
         Ok(Self { listener, runtime, shared })
     }
 
-    /// Has it give peers what this instance has read. Only the first source counts.
+    /// Sets the source of the rows that peers are given. Only the first call has an effect.
     pub fn set_row_source(&self, source: Arc<dyn RowSource>) {
-        // A second source would be a fault of the caller's, and the first stays right.
+        // A second call would be an error of the caller; the first source stays in use.
         let _ = self.shared.row_source.set(source);
     }
 
-    /// Has it tell the one that holds the duties what this instance has counted. Only the first
-    /// exchange counts.
+    /// Sets the exchange of usage counts with the duty holder. Only the first call has an
+    /// effect.
     pub fn set_usage_exchange(&self, exchange: Arc<dyn UsageExchange>) {
-        // A second exchange would be a fault of the caller's, and the first stays right.
+        // A second call would be an error of the caller; the first exchange stays in use.
         let _ = self.shared.usage_exchange.set(exchange);
     }
 
-    /// Returns where it listens.
+    /// Returns the listening address.
     ///
     /// # Errors
     ///
-    /// Returns the fault if the address can't be told.
+    /// Returns an error if the socket has no address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Returns the count of the bytes on its links.
+    /// Returns the byte counters of all links.
     #[must_use]
     pub fn bytes(&self) -> LinkBytes {
         self.shared.links.bytes.clone()
     }
 
-    /// Carries messages until told to stop.
+    /// Exchanges messages until told to stop.
     pub fn run(self, events: &Receiver<FleetEvent>) {
         let Self { listener, runtime, shared } = self;
         runtime.block_on(async {
@@ -147,15 +148,15 @@
                     tokio::spawn(serve(listener, shared.clone()));
                     run_loop(&shared, events).await;
                 }
-                Err(cause) => log::error!("no listener for peers: {cause}"),
+                Err(cause) => log::error!("failed to listen for peers: {cause}"),
             }
         });
-        // Links that are still open are dropped, not waited for.
+        // Open links are dropped without waiting for them.
         runtime.shutdown_background();
     }
 }
 
-/// Takes events and sends heartbeats until told to stop.
+/// Handles events and sends messages until told to stop.
 async fn run_loop(shared: &Arc<FleetShared>, events: &Receiver<FleetEvent>) {
     let mut urgent = UrgentRound::default();
     let mut fetch = None;
@@ -194,23 +195,23 @@
     }
 }
 
-/// A round of heartbeats that doesn't wait for its period.
+/// The state of heartbeats sent ahead of the period.
 #[derive(Debug, Default)]
 struct UrgentRound {
-    /// Whether there is something that everyone is to hear at once.
+    /// Whether such a round has been requested and not yet sent.
     requested: bool,
-    /// When the last one was.
+    /// When the last such round was sent.
     last: Option<Duration>,
 }
 
 impl UrgentRound {
-    /// Returns whether it is to be sent now.
+    /// Returns whether to send such a round now.
     fn is_due(&self, now: Duration) -> bool {
         self.requested && self.last.is_none_or(|at| now >= at + URGENT_PERIOD)
     }
 }
 
-/// Takes all events that are in the ring. Returns whether to go on.
+/// Handles all queued events. Returns whether to go on.
 fn handle_events(
     shared: &Arc<FleetShared>,
     events: &Receiver<FleetEvent>,
@@ -232,9 +233,9 @@
     }
 }
 
-/// Begins a fetch of settings if one is due and none is under way. One at a time, also
-/// if several peers tell of newer settings: a fetch for each notice filled links with hundreds
-/// of copies, and the memory of the providers.
+/// Starts a fetch of settings if one is due and none is in progress. There is one at a time,
+/// even if several peers announce newer settings: one fetch per announcement filled the links
+/// with hundreds of copies, and the memory of the providers.
 fn fetch_if_due(
     shared: &Arc<FleetShared>,
     fetch: &mut Option<JoinHandle<()>>,
@@ -249,7 +250,7 @@
     }
 }
 
-/// Sends one heartbeat and handles the reply.
+/// Sends a heartbeat and handles the reply.
 async fn send_heartbeat(shared: Arc<FleetShared>, outgoing: OutgoingHeartbeat) {
     let OutgoingHeartbeat { to, heartbeat } = outgoing;
     let ask = |client: PeerLinkClient, context| async move {
@@ -261,7 +262,7 @@
     shared.notify(notices);
 }
 
-/// Asks a contact in another data centre for its digest.
+/// Requests the digest of a contact in another data centre.
 async fn request_digest(shared: Arc<FleetShared>, outgoing: OutgoingHello) {
     let OutgoingHello { to, hello } = outgoing;
     let ask = |client: PeerLinkClient, context| async move {
@@ -273,7 +274,7 @@
     shared.notify(notices);
 }
 
-/// Tells a peer of servers that ended under requests, and handles its answer.
+/// Sends a crash notice to a peer and handles the reply.
 async fn send_crash_notice(shared: Arc<FleetShared>, outgoing: OutgoingCrashes) {
     let OutgoingCrashes { to, notice } = outgoing;
     let faults = NoticeFaultHandlers {
@@ -289,7 +290,7 @@
     shared.notify(notices);
 }
 
-/// Tells a peer what backend servers have said of themselves.
+/// Sends a pushback notice to a peer and records that it was received.
 async fn send_pushback_notice(shared: Arc<FleetShared>, outgoing: OutgoingPushback) {
     let OutgoingPushback { to, notice } = outgoing;
     let faults = NoticeFaultHandlers {
@@ -304,15 +305,15 @@
     }
 }
 
-/// What a node does about a notice that doesn't arrive.
+/// The node's handlers for a notice that can't be delivered.
 struct NoticeFaultHandlers {
-    /// There was no link for it.
+    /// Called if there was no link to the peer.
     no_link: fn(&mut FleetNode, &InstanceName, Duration),
-    /// It broke its link.
+    /// Called if the notice broke its link.
     broken_link: fn(&mut FleetNode, &InstanceName, Duration),
 }
 
-/// Delivers a notice to a peer. Returns the reply, if one came in time.
+/// Sends a notice to a peer. Returns the reply if one arrives in time.
 async fn send_notice<Reply, Answer>(
     shared: &FleetShared,
     to: &PeerInfo,
@@ -335,8 +336,8 @@
     None
 }
 
-/// Asks a peer for the rows that it has read. An answer that is late doesn't close the link:
-/// its heartbeats tell whether the peer is there.
+/// Asks a peer for the rows that it has read. A late answer doesn't close the link: heartbeats
+/// tell whether the peer is alive.
 async fn ask_rows(shared: Arc<FleetShared>, question: RowQuestion) {
     let RowQuestion { peer, after, wait, margin, answer } = question;
     let query = async {
--- a/crates/flaxtide-fleet/src/usage.rs
+++ b/crates/flaxtide-fleet/src/usage.rs
@@ -1,4 +1,4 @@
-//! Telling the one that holds the duties what this instance has counted.
+//! Reports the usage that this instance has counted to the duty holder.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,25 +9,25 @@
 use crate::shared::{ANSWER_TIMEOUT, FleetShared};
 use crate::wire::DutyHolder;
 
-/// The time between two notices to the holder.
+/// The time between two reports to the holder.
 const USAGE_PERIOD: Duration = Duration::from_secs(1);
 
-/// The time until the next one if there was no answer.
+/// The time until the next report if the last one is still unanswered.
 const RETRY_PERIOD: Duration = Duration::from_millis(300);
 
-/// Tells the holder, one notice at a time.
+/// Sends reports to the holder, one at a time.
 #[derive(Debug, Default)]
 pub(crate) struct UsageSender {
-    /// The notice under way.
+    /// The task of the last report.
     in_flight: Option<JoinHandle<()>>,
-    /// When the next one is due.
+    /// When the next report is due.
     due_at: Duration,
-    /// The holder that was last told.
+    /// The holder that was last sent a report.
     last_holder: Option<DutyHolder>,
 }
 
 impl UsageSender {
-    /// Tells the holder if that is due: at once if there is a new one.
+    /// Sends a report if one is due. A new holder is sent one at once.
     pub(crate) fn send_if_due(&mut self, shared: &Arc<FleetShared>, now: Duration) {
         let Some(holder) = shared.node().duty_holder() else { return };
         if self.in_flight.as_ref().is_some_and(|task| !task.is_finished()) {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Tells a holder what it hasn't heard.
+/// Sends a holder the usage that it hasn't received.
 async fn send_usage(shared: Arc<FleetShared>, holder: DutyHolder) {
     let Some(exchange) = shared.usage_exchange.get() else { return };
     let unsent = exchange.unsent(holder.fence);
@@ -61,7 +61,7 @@
         Ok(true) => exchange.confirm(holder.fence, mark),
         Ok(false) => {}
         Err(cause) => {
-            log::debug!("no answer from the holder of the duties: {cause}");
+            log::debug!("no answer from the duty holder: {cause}");
             shared.links.close(holder.address, &link).await;
         }
     }
--- a/crates/flaxtide-fleet/src/wire.rs
+++ b/crates/flaxtide-fleet/src/wire.rs
@@ -1,4 +1,5 @@
-//! The messages between instances.
+//! The messages between instances. They are encoded with bincode, so the order of methods,
+//! variants and fields must not change.
 
 use std::net::SocketAddr;
 
@@ -11,245 +12,255 @@
 use crate::rows::RowChanges;
 use crate::settings::{PieceAnswer, PieceQuestion};
 
-/// What an instance answers its peers.
+/// The service that each instance offers its peers.
 #[tarpc::service]
 pub(crate) trait PeerLink {
-    /// Records what a peer says of itself, and answers with what the peer should know.
+    /// Records a peer's state, and answers with the peer's shares and this instance's state.
     async fn heartbeat(heartbeat: FleetHeartbeat) -> HeartbeatReply;
 
     /// Returns the next piece of the settings in force.
     async fn settings(question: PieceQuestion) -> PieceAnswer;
 
-    /// Returns the rows that changed after a version, as soon as there are any or after so
-    /// many milliseconds; nothing if that can't be told.
+    /// Returns the rows that changed after a version, as soon as there are any or after
+    /// `wait_ms` milliseconds; `None` if this instance can't tell which changed.
     async fn rows(after: StoreVersion, wait_ms: u32) -> Option<RowChanges>;
 
-    /// Hears how an instance of another data centre is, and answers with this one's digest.
+    /// Records the state of an instance of another data centre, and answers with this one's
+    /// digest.
     async fn digest(hello: GroupHello) -> GroupDigest;
 
-    /// Hears which servers ended under which requests, and answers with what the peer lacks.
+    /// Records a peer's crash reports, and answers with those that the peer lacks if it asks
+    /// for a comparison.
     async fn crashes(notice: CrashNotice) -> CrashReply;
 
-    /// Hears what a peer has counted, and answers whether this instance holds the duties.
+    /// Records the usage that a peer has counted, and answers whether this instance holds the
+    /// duties.
     async fn usage(notice: UsageNotice) -> bool;
 
-    /// Hears what backend servers have said of themselves.
+    /// Records a peer's pushback reports.
     async fn pushback(notice: PushbackNotice);
 }
 
-/// Who holds the duties that one instance has for all.
+/// The instance that holds the duties that a single instance carries out for the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DutyHolder {
-    /// Its fencing number. Of two holders the one with the higher is the newer.
+    /// The fencing number of its lease. Of two holders, the one with the higher number is the
+    /// newer.
     pub fence: u64,
-    /// Where it hears its peers.
+    /// The address at which the holder accepts links.
     pub address: SocketAddr,
 }
 
-/// What an instance tells the one that holds the duties.
+/// The usage that an instance reports to the duty holder.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UsageNotice {
-    /// The instance.
+    /// The reporting instance.
     pub from: PeerInfo,
-    /// Drawn at random at its start.
+    /// The instance's epoch, drawn at random when it starts.
     pub epoch: u32,
-    /// Whether it is stopping.
+    /// Whether the instance is stopping.
     pub leaving: bool,
-    /// Up to when it has told everything, in milliseconds since the start of 1970.
+    /// The time up to which its reports are complete, in Unix milliseconds.
     pub told_until_ms: u64,
-    /// The windows that have changed since it last told.
+    /// The windows that have changed since its last report to this holder.
     pub windows: Vec<WindowCounts>,
-    /// How many of its requests run or wait, by service.
+    /// The number of its running and waiting requests, by service.
     pub open: Vec<(FleetKey, u32)>,
 }
 
-/// What an instance says of itself, once a period, to each peer of its data centre and to
-/// one of each other data centre.
+/// The state of an instance, sent once per period to each peer of its group and, without
+/// digests, to one instance of each other data centre.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FleetHeartbeat {
-    /// Its name.
+    /// The name of the instance.
     pub from: InstanceName,
-    /// Its data centre.
+    /// The data centre of the instance.
     pub data_centre: DataCentreName,
-    /// Where it hears its peers.
+    /// The address at which the instance accepts links.
     pub address: SocketAddr,
-    /// Drawn at random at its start.
+    /// The instance's epoch, drawn at random when it starts.
     pub epoch: u32,
-    /// Whether it is stopping.
+    /// Whether the instance is stopping.
     pub leaving: bool,
     /// The settings version in force.
     pub version: SettingsVersion,
-    /// Its requests for each pool.
+    /// The instance's running and waiting requests, by pool.
     pub demands: Vec<PoolDemand>,
-    /// The backend servers that it watches.
+    /// The load reports of the servers that the instance watches.
     pub servers: Vec<ServerDigest>,
-    /// Its own requests at backend servers.
+    /// The instance's own requests, by backend server.
     pub loads: Vec<OwnLoad>,
-    /// The shared parts of prompts that servers have read for it lately.
+    /// The shared prompt parts that servers have recently prefilled for the instance.
     pub reads: Vec<PartRead>,
-    /// The servers that it has found silent lately.
+    /// The servers that recently failed to respond to the instance.
     pub unresponsive: Vec<FleetKey>,
-    /// The use of organisations whose rate the receiver keeps.
+    /// The requests of the organisations whose rates the receiver owns.
     pub usage: Vec<UsageCount>,
-    /// Whether it wants to be told of other instances, as it can't read the list.
+    /// Whether the reply should list other instances, because the sender couldn't read the
+    /// platform's list.
     pub wants_peers: bool,
-    /// Who holds the duties, as far as it knows.
+    /// The known holder of the duties.
     pub duty: Option<DutyHolder>,
 }
 
-/// The answer to a heartbeat.
+/// The reply to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// The epoch of the instance that answers.
+    /// The epoch of the replying instance.
     pub epoch: u32,
-    /// Whether it is stopping.
+    /// Whether the replying instance is stopping.
     pub leaving: bool,
     /// Its settings version in force.
     pub version: SettingsVersion,
-    /// The sender's shares of the servers that the answering instance watches.
+    /// The receiver's shares of the servers that the replying instance watches.
     pub shares: Vec<ServerShare>,
-    /// The sender's parts of the rates that the answering instance keeps.
+    /// The receiver's parts of the rates that the replying instance owns.
     pub parts: Vec<RatePart>,
-    /// The instances that it knows of, if that was asked for.
+    /// The instances that the replying instance knows of, if the heartbeat asked for them.
     pub peers: Vec<PeerInfo>,
-    /// Who holds the duties, as far as it knows.
+    /// The known holder of the duties.
     pub duty: Option<DutyHolder>,
 }
 
-/// What an instance says of itself and its data centre to a contact in another.
+/// The state of an instance and the size of its data centre, sent to a contact in another data
+/// centre.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GroupHello {
-    /// The instance.
+    /// The sending instance.
     pub from: PeerInfo,
-    /// Drawn at random at its start.
+    /// The instance's epoch, drawn at random when it starts.
     pub epoch: u32,
-    /// Whether it is stopping.
+    /// Whether the instance is stopping.
     pub leaving: bool,
     /// Its settings version in force.
     pub version: SettingsVersion,
-    /// How many instances of its data centre are alive.
+    /// The number of live instances in its data centre.
     pub live: u16,
-    /// Who holds the duties, as far as it knows.
+    /// The known holder of the duties.
     pub duty: Option<DutyHolder>,
 }
 
-/// What the instances of a data centre have in sum.
+/// The summed state of the instances of a data centre.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GroupDigest {
-    /// The instance that tells it.
+    /// The state of the instance that sends the digest.
     pub hello: GroupHello,
-    /// A few others, as further contacts.
+    /// A few other instances, as further contacts.
     pub contacts: Vec<PeerInfo>,
-    /// Their requests at backend servers, in sum.
+    /// The summed requests of the instances, by backend server.
     pub loads: Vec<OwnLoad>,
-    /// The shared parts of prompts that servers have read for them lately, the newest first.
+    /// The shared prompt parts that servers have recently prefilled for the instances, newest
+    /// first.
     pub reads: Vec<PartRead>,
 }
 
-/// What an instance tells a peer of servers that ended under requests.
+/// Reports of crashed servers, sent to a peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CrashNotice {
-    /// The instance.
+    /// The sending instance.
     pub from: PeerInfo,
-    /// News, or all that it knows.
+    /// New reports, or all that the sender knows.
     pub reports: Vec<CrashReport>,
-    /// Whether it tells all other instances itself, so that nobody has to pass it on.
+    /// Whether the sender notifies all instances itself, so that the receiver doesn't forward
+    /// the reports.
     pub to_all: bool,
-    /// What its log adds up to, if the peer is to compare and tell what it knows.
+    /// The digest of the sender's log, if the receiver should compare logs and return its
+    /// reports.
     pub digest: Option<u64>,
 }
 
-/// The answer to a notice of crashes.
+/// The reply to a crash notice.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CrashReply {
-    /// What the answering instance knows, if it was asked and its log differs.
+    /// All reports of the replying instance, if a comparison was requested and the logs differ.
     pub reports: Vec<CrashReport>,
-    /// What its log adds up to.
+    /// The digest of the replying instance's log.
     pub digest: u64,
 }
 
-/// What an instance tells a peer of what backend servers have said of themselves.
+/// Reports of what backend servers have announced, sent to a peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PushbackNotice {
-    /// The instance.
+    /// The sending instance.
     pub from: PeerInfo,
-    /// News, or all that it knows.
+    /// New reports, or all that the sender knows.
     pub reports: Vec<PushbackReport>,
-    /// Whether it tells all other instances itself, so that nobody has to pass it on.
+    /// Whether the sender notifies all instances itself, so that the receiver doesn't forward
+    /// the reports.
     pub to_all: bool,
 }
 
-/// An instance's requests for one pool, running or waiting.
+/// An instance's running and waiting requests for one pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolDemand {
-    /// The pool.
+    /// The key of the pool.
     pub pool: FleetKey,
-    /// The requests of each tier, from the highest.
+    /// The number of requests by tier, from the highest tier.
     pub tiers: Vec<u16>,
 }
 
 /// The last load report of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerDigest {
-    /// The server.
+    /// The key of the server.
     pub server: FleetKey,
-    /// How many requests it works on.
+    /// The number of requests that the server is running.
     pub running: u16,
-    /// How many requests wait in it.
+    /// The number of requests that wait in the server.
     pub waiting: u16,
-    /// How long a step takes, in units of 10 microseconds.
+    /// The duration of a step, in units of 10 microseconds.
     pub step: u16,
-    /// How old the report is, in units of 10 milliseconds.
+    /// The age of the report, in units of 10 milliseconds.
     pub age: u16,
-    /// Whether the server is leaving.
+    /// Whether the server has announced that it is leaving.
     pub leaving: bool,
 }
 
-/// What one instance has at a backend server.
+/// One instance's requests at a backend server, or the sum over several instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnLoad {
-    /// The server.
+    /// The key of the server.
     pub server: FleetKey,
-    /// How many of the instance's requests with short prompts, or none, are there.
+    /// The number of requests with a short prompt or none.
     pub short: u8,
-    /// How many with long prompts.
+    /// The number of requests with a long prompt.
     pub long: u8,
-    /// How many prompt tokens of them are still to be read, in units of 16, by the level of
-    /// their class.
+    /// The prompt tokens of these requests still to be prefilled, in units of 16 tokens, by the
+    /// level of the request class.
     pub unread: [u16; 3],
 }
 
-/// A server has read a shared part of a prompt.
+/// A shared prompt part that a server has prefilled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartRead {
-    /// The server.
+    /// The key of the server.
     pub server: FleetKey,
-    /// What stands for the part.
+    /// The key of the prompt part.
     pub part: u32,
 }
 
-/// How many requests of an organisation came since the last heartbeat.
+/// The number of an organisation's requests since the last heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageCount {
-    /// The organisation.
+    /// The key of the organisation.
     pub organisation: FleetKey,
-    /// How many requests.
+    /// The number of requests, capped at the largest `u16`.
     pub count: u16,
 }
 
-/// A share of a server's slots.
+/// An instance's share of a server's slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerShare {
-    /// The server.
+    /// The key of the server.
     pub server: FleetKey,
-    /// How many slots.
+    /// The number of slots in the share.
     pub slots: u16,
 }
 
-/// A part of an organisation's rate.
+/// An instance's part of an organisation's rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RatePart {
-    /// The organisation.
+    /// The key of the organisation.
     pub organisation: FleetKey,
     /// The part, in units of 1/65535.
     pub part: u16,
