--- a/crates/flaxtide-fleet/tests/common/mod.rs
+++ b/crates/flaxtide-fleet/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet on a manual clock. Messages pass between real nodes; only the network is played.
+//! A fleet on a manual clock. Messages pass between real nodes; only the network is simulated.
 
 #![allow(dead_code, unreachable_pub)]
 
@@ -14,52 +14,52 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// How much the clock moves in a step.
+/// How far the clock advances in a step.
 pub const STEP: Duration = Duration::from_millis(50);
 
-/// How often an instance says what it has at servers.
-const DEMAND_PERIOD: Duration = Duration::from_millis(100);
+/// How often an instance publishes its loads.
+const STATUS_PERIOD: Duration = Duration::from_millis(100);
 
-/// Up to how many instances are one group.
+/// The largest fleet that is a single group.
 const SINGLE_GROUP_LIMIT: u32 = 58;
 
 /// A fleet and the network between its instances.
 pub struct Fleet {
-    /// Up to how many instances are one group.
+    /// The largest fleet that is a single group.
     pub single_group_limit: u32,
     /// The nodes, by address.
     pub nodes: BTreeMap<SocketAddr, FleetNode>,
-    /// The data centre of each address, also of nodes that are gone.
-    pub places: BTreeMap<SocketAddr, String>,
-    /// Data centres that nothing reaches or leaves.
-    pub cut: BTreeSet<String>,
-    /// The time.
+    /// The data centre of each address, including nodes that have ended.
+    pub data_centres: BTreeMap<SocketAddr, String>,
+    /// Data centres that no message enters or leaves.
+    pub isolated: BTreeSet<String>,
+    /// The current time.
     pub now: Duration,
-    /// What each node has at servers.
+    /// The loads that each node publishes.
     pub loads: BTreeMap<SocketAddr, Vec<OwnLoad>>,
-    /// Whom each node has called since the last reset.
+    /// The addresses that each node has called since the last reset.
     pub called: BTreeMap<SocketAddr, BTreeSet<SocketAddr>>,
-    /// How many messages were sent since the last reset.
+    /// The number of messages sent since the last reset.
     pub messages: usize,
-    /// The last sums that each node has heard of each other data centre.
+    /// The last load sums that each node received for each other data centre.
     pub sums: BTreeMap<(SocketAddr, String), Vec<OwnLoad>>,
-    /// What each instance has been told of crashes.
+    /// The crash reports that each instance has received.
     pub crashes: BTreeMap<SocketAddr, CrashLog>,
-    /// What each instance has been told that servers say.
+    /// The pushback reports that each instance has received.
     pub pushback: BTreeMap<SocketAddr, PushbackLog>,
-    /// The part of messages about crashes that get lost, and of answers to them.
+    /// The fraction of crash and pushback notices that are lost, and of the answers to them.
     pub loss: f64,
-    /// Draws what gets lost.
+    /// Decides which messages are lost.
     pub random: StdRng,
 }
 
 impl Fleet {
-    /// Starts so many instances in so many data centres, that know three seeds.
+    /// Starts instances spread over data centres, which know three seeds.
     pub fn new(instances: usize, data_centres: usize) -> Self {
         Self::with_limit(instances, data_centres, SINGLE_GROUP_LIMIT)
     }
 
-    /// Starts instances of which up to so many are one group.
+    /// Starts such instances with a limit for a single group.
     pub fn with_limit(
         instances: usize,
         data_centres: usize,
@@ -68,8 +68,8 @@
         let mut fleet = Self {
             single_group_limit,
             nodes: BTreeMap::new(),
-            places: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            data_centres: BTreeMap::new(),
+            isolated: BTreeSet::new(),
             now: Duration::from_secs(1),
             loads: BTreeMap::new(),
             called: BTreeMap::new(),
@@ -93,7 +93,7 @@
             data_centre: format!("dc{data_centre}"),
             address: address(number),
         };
-        self.places.insert(own.address, own.data_centre.clone());
+        self.data_centres.insert(own.address, own.data_centre.clone());
         let timing = FleetTiming {
             single_group_limit: self.single_group_limit,
             ..FleetTiming::default()
@@ -104,37 +104,40 @@
         self.nodes.insert(address(number), node);
     }
 
-    /// Ends an instance without a word.
+    /// Ends an instance without any message to its peers.
     pub fn kill(&mut self, number: usize) {
         self.nodes.remove(&address(number));
         self.crashes.remove(&address(number));
         self.pushback.remove(&address(number));
     }
 
-    /// Returns whether a message passes.
+    /// Returns whether messages from one address reach another.
     pub fn passes(&self, from: SocketAddr, to: SocketAddr) -> bool {
-        let (one, other) = (self.places.get(&from), self.places.get(&to));
+        let (one, other) = (self.data_centres.get(&from), self.data_centres.get(&to));
         one == other
-            || [one, other].into_iter().flatten().all(|at| !self.cut.contains(at))
+            || [one, other]
+                .into_iter()
+                .flatten()
+                .all(|at| !self.isolated.contains(at))
     }
 
-    /// Lets time pass.
+    /// Advances the clock and runs all nodes.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.now += STEP;
             let addresses: Vec<SocketAddr> = self.nodes.keys().copied().collect();
             for from in addresses {
-                self.turn(from);
+                self.step_node(from);
             }
         }
     }
 
-    /// Gives a node its turn.
-    pub fn turn(&mut self, from: SocketAddr) {
+    /// Has a node send its due messages.
+    pub fn step_node(&mut self, from: SocketAddr) {
         let now = self.now;
         let node = self.nodes.get_mut(&from).unwrap();
-        if now.as_millis().is_multiple_of(DEMAND_PERIOD.as_millis()) {
+        if now.as_millis().is_multiple_of(STATUS_PERIOD.as_millis()) {
             let loads = self.loads.get(&from).cloned().unwrap_or_default();
             node.set_status(NodeStatus { loads, ..NodeStatus::default() }, now);
         }
@@ -143,102 +146,102 @@
         let crashes = node.due_crashes(now);
         for outgoing in heartbeats {
             let to = outgoing.to.address;
-            let Some(peer) = self.reach(from, to) else { continue };
+            let Some(peer) = self.call_node(from, to) else { continue };
             let (reply, notices) = peer.handle_heartbeat(&outgoing.heartbeat, now);
-            self.note(to, notices);
+            self.record_notices(to, notices);
             let node = self.nodes.get_mut(&from).unwrap();
             let notices = node.handle_reply(&outgoing.to.name, &reply, now);
-            self.note(from, notices);
+            self.record_notices(from, notices);
         }
         for outgoing in hellos {
             let to = outgoing.to.address;
-            let Some(peer) = self.reach(from, to) else { continue };
+            let Some(peer) = self.call_node(from, to) else { continue };
             let digest = peer.handle_hello(&outgoing.hello, now);
             let node = self.nodes.get_mut(&from).unwrap();
             let notices = node.handle_digest(&digest, now);
-            self.note(from, notices);
+            self.record_notices(from, notices);
         }
         for outgoing in crashes {
-            self.tell_crashes(from, &outgoing);
+            self.deliver_crashes(from, &outgoing);
         }
         for outgoing in self.nodes.get_mut(&from).unwrap().due_pushback(now) {
-            self.tell_pushback(from, &outgoing);
+            self.deliver_pushback(from, &outgoing);
         }
     }
 
-    /// Carries a notice of what servers say, or loses it or its answer.
-    fn tell_pushback(&mut self, from: SocketAddr, outgoing: &OutgoingPushback) {
+    /// Delivers a pushback notice, or loses it or its answer.
+    fn deliver_pushback(&mut self, from: SocketAddr, outgoing: &OutgoingPushback) {
         let (now, to) = (self.now, outgoing.to.address);
         if self.random.random_bool(self.loss) {
             return;
         }
-        let Some(peer) = self.reach(from, to) else { return };
+        let Some(peer) = self.call_node(from, to) else { return };
         let notices = peer.handle_pushback(&outgoing.notice, now);
-        self.note(to, notices);
+        self.record_notices(to, notices);
         if !self.random.random_bool(self.loss) {
             let node = self.nodes.get_mut(&from).unwrap();
             node.handle_pushback_reply(&outgoing.to.name);
         }
     }
 
-    /// Has an instance hear a server state a rate, or none.
-    pub fn hear_rate(&mut self, number: usize, server: u32, requests: Option<f64>) {
+    /// Has a server announce a rate to an instance, or that it has none.
+    pub fn announce_rate(&mut self, number: usize, server: u32, requests: Option<f64>) {
         let rate = requests.and_then(RequestRate::from_per_second);
         let report = PushbackReport { server, rate, age_ms: 0, leaving: false };
-        self.hear(number, report);
+        self.announce(number, report);
     }
 
-    /// Has an instance hear a server say that it leaves.
-    pub fn hear_leaving(&mut self, number: usize, server: u32) {
+    /// Has a server announce to an instance that it is leaving.
+    pub fn announce_leaving(&mut self, number: usize, server: u32) {
         let report = PushbackReport { server, rate: None, age_ms: 0, leaving: true };
-        self.hear(number, report);
+        self.announce(number, report);
     }
 
-    /// Has an instance hear a server say something.
-    fn hear(&mut self, number: usize, report: PushbackReport) {
+    /// Gives an instance a pushback report of a server.
+    fn announce(&mut self, number: usize, report: PushbackReport) {
         let (at, now) = (address(number), self.now);
         self.pushback.entry(at).or_default().apply(&report, now);
         self.nodes.get_mut(&at).unwrap().record_pushback(&[report], now);
     }
 
-    /// Returns how many live instances know that a server leaves.
-    pub fn leaving(&self, server: u32) -> usize {
-        let leaves = |at| {
+    /// Returns how many running instances know that a server is leaving.
+    pub fn count_with_leaving(&self, server: u32) -> usize {
+        let is_leaving = |at| {
             let report = self.pushback.get(at)?.report_of(server, self.now)?;
             Some(report.leaving)
         };
-        self.nodes.keys().filter(|at| leaves(at) == Some(true)).count()
+        self.nodes.keys().filter(|at| is_leaving(at) == Some(true)).count()
     }
 
-    /// Returns how many live instances believe that a server states a rate, or none.
-    pub fn believing(&self, server: u32, requests: Option<f64>) -> usize {
+    /// Returns how many running instances know this rate of a server, or that it has none.
+    pub fn count_with_rate(&self, server: u32, requests: Option<f64>) -> usize {
         let rate = requests.and_then(RequestRate::from_per_second);
-        let believed = |at| {
+        let has_rate = |at| {
             let report = self.pushback.get(at)?.report_of(server, self.now)?;
             Some(report.rate == rate)
         };
-        self.nodes.keys().filter(|at| believed(at) == Some(true)).count()
+        self.nodes.keys().filter(|at| has_rate(at) == Some(true)).count()
     }
 
-    /// Carries a notice of crashes, or loses it or its answer.
-    fn tell_crashes(&mut self, from: SocketAddr, outgoing: &OutgoingCrashes) {
+    /// Delivers a crash notice, or loses it or its answer.
+    fn deliver_crashes(&mut self, from: SocketAddr, outgoing: &OutgoingCrashes) {
         let (now, to) = (self.now, outgoing.to.address);
         if self.random.random_bool(self.loss) {
             return;
         }
-        let Some(peer) = self.reach(from, to) else { return };
+        let Some(peer) = self.call_node(from, to) else { return };
         let (reply, notices) = peer.handle_crashes(&outgoing.notice, now);
-        self.note(to, notices);
+        self.record_notices(to, notices);
         if self.random.random_bool(self.loss) {
             return;
         }
         let node = self.nodes.get_mut(&from).unwrap();
         let notices = node.handle_crash_reply(&outgoing.to.name, &reply, now);
-        self.note(from, notices);
+        self.record_notices(from, notices);
     }
 
-    /// Has an instance see a server end under a request.
-    pub fn see_crash(&mut self, number: usize, fingerprint: u128, server: u32) {
+    /// Has an instance observe a server that crashes under a request.
+    pub fn observe_crash(&mut self, number: usize, fingerprint: u128, server: u32) {
         let (at, now) = (address(number), self.now);
         let progress = CallProgress { sent: now, begun: false };
         let log = self.crashes.entry(at).or_default();
@@ -249,14 +252,18 @@
         }
     }
 
-    /// Returns how many live instances keep a request in quarantine.
-    pub fn quarantining(&self, fingerprint: u128) -> usize {
+    /// Returns how many running instances have quarantined a request.
+    pub fn count_quarantining(&self, fingerprint: u128) -> usize {
         let logs = self.nodes.keys().filter_map(|at| self.crashes.get(at));
         logs.filter(|log| log.is_quarantined(fingerprint)).count()
     }
 
-    /// Calls a node.
-    pub fn reach(&mut self, from: SocketAddr, to: SocketAddr) -> Option<&mut FleetNode> {
+    /// Returns the node that is called, unless the message is lost.
+    pub fn call_node(
+        &mut self,
+        from: SocketAddr,
+        to: SocketAddr,
+    ) -> Option<&mut FleetNode> {
         self.messages += 1;
         self.called.entry(from).or_default().insert(to);
         if !self.passes(from, to) {
@@ -265,8 +272,8 @@
         self.nodes.get_mut(&to)
     }
 
-    /// Notes the sums that a node has heard.
-    pub fn note(&mut self, at: SocketAddr, notices: Vec<FleetNotice>) {
+    /// Records what a node's notices report.
+    pub fn record_notices(&mut self, at: SocketAddr, notices: Vec<FleetNotice>) {
         for notice in notices {
             match notice {
                 FleetNotice::GroupLoads(data_centre, loads) => {
@@ -289,36 +296,40 @@
         }
     }
 
-    /// Forgets who has called whom.
+    /// Clears the recorded calls.
     pub fn reset(&mut self) {
         self.called.clear();
         self.messages = 0;
     }
 
-    /// Returns how many live instances a data centre has.
+    /// Returns the number of running instances in a data centre.
     pub fn count_in(&self, data_centre: &str) -> usize {
-        let places = self.nodes.keys().map(|address| &self.places[address]);
+        let places = self.nodes.keys().map(|address| &self.data_centres[address]);
         places.filter(|place| *place == data_centre).count()
     }
 
-    /// Returns the nodes that don't know how many instances are alive in their data centre,
+    /// Returns the nodes that don't know the number of running instances in their data centre
     /// or in the fleet.
-    pub fn mistaken(&self) -> Vec<String> {
+    pub fn misinformed(&self) -> Vec<String> {
         let all = self.nodes.len() as u32;
         let wrong = self.nodes.iter().filter_map(|(address, node)| {
-            let near = self.count_in(&self.places[address]);
+            let local = self.count_in(&self.data_centres[address]);
             let (live, fleet) = (node.live().len(), node.fleet_size(self.now));
-            (live != near || fleet != all)
-                .then(|| format!("{address}: {live} of {near} near, {fleet} of {all}"))
+            (live != local || fleet != all)
+                .then(|| format!("{address}: {live} of {local} near, {fleet} of {all}"))
         });
         wrong.collect()
     }
 
-    /// Lets time pass until no node is mistaken. Returns how long that took.
-    pub fn settle(&mut self, most: Duration) -> Duration {
+    /// Runs the fleet until no node is misinformed. Returns how long that took.
+    pub fn run_until_informed(&mut self, limit: Duration) -> Duration {
         let start = self.now;
-        while !self.mistaken().is_empty() {
-            assert!(self.now < start + most, "after {most:?}: {:?}", self.mistaken());
+        while !self.misinformed().is_empty() {
+            assert!(
+                self.now < start + limit,
+                "after {limit:?}: {:?}",
+                self.misinformed()
+            );
             self.run(Duration::from_millis(500));
         }
         self.now - start
--- a/crates/flaxtide-fleet/tests/crashes.rs
+++ b/crates/flaxtide-fleet/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! Evidence of requests that crash servers reaches all instances: those that are there, those
-//! that start later, and those that come back from a cut, also where messages get lost.
+//! Crash reports reach all instances: running ones, ones that start later, and ones that come
+//! back from a network partition, even if messages are lost.
 
 mod common;
 
@@ -8,26 +8,28 @@
 use common::Fleet;
 use flaxtide_fleet::FleetNode;
 
-/// A request.
+/// The fingerprint of the request.
 const REQUEST: u128 = 7;
 
-/// Sooner than this after the third server has ended, further tries are allowed to servers.
+/// The time after the third crash within which all instances must know of it. Until then,
+/// further attempts at servers are acceptable.
 const STABLE: Duration = Duration::from_secs(3);
 
-/// Sizes of fleets, and in how many data centres they stand: one group, several, many.
+/// Fleet sizes as instances and data centres: a single group, a few groups, many groups.
 const SIZES: [(usize, usize); 3] = [(9, 4), (61, 4), (300, 6)];
 
-/// Returns a fleet whose instances see each other.
-fn settled(instances: usize, data_centres: usize) -> Fleet {
+/// Returns a fleet whose instances know each other.
+fn informed_fleet(instances: usize, data_centres: usize) -> Fleet {
     let mut fleet = Fleet::new(instances, data_centres);
     fleet.run(Duration::from_secs(15));
     fleet
 }
 
-/// Has three instances see a server end under the request, each in another data centre.
-fn crash_three(fleet: &mut Fleet, numbers: [usize; 3]) {
+/// Has three instances, each in another data centre, observe a server that crashes under the
+/// request.
+fn crash_three_servers(fleet: &mut Fleet, numbers: [usize; 3]) {
     for (place, number) in numbers.into_iter().enumerate() {
-        fleet.see_crash(number, REQUEST, 100 + place as u32);
+        fleet.observe_crash(number, REQUEST, 100 + place as u32);
         fleet.run(Duration::from_millis(100));
     }
 }
@@ -35,32 +37,32 @@
 #[test]
 fn three_crashes_seen_by_three_instances_are_known_to_all_at_once() {
     for (instances, data_centres) in SIZES {
-        let mut fleet = settled(instances, data_centres);
-        crash_three(&mut fleet, [0, 1, 2]);
+        let mut fleet = informed_fleet(instances, data_centres);
+        crash_three_servers(&mut fleet, [0, 1, 2]);
         fleet.run(Duration::from_millis(200));
-        assert_eq!(fleet.quarantining(REQUEST), instances, "of {instances}");
+        assert_eq!(fleet.count_quarantining(REQUEST), instances, "of {instances}");
     }
 }
 
 #[test]
-fn they_are_known_in_time_though_half_of_the_exchanges_get_lost() {
+fn crashes_are_known_in_time_although_half_of_the_exchanges_are_lost() {
     for seed in 0..3 {
-        let mut fleet = settled(61, 4);
+        let mut fleet = informed_fleet(61, 4);
         fleet.random = rand::SeedableRng::seed_from_u64(seed);
         fleet.loss = 0.3;
-        crash_three(&mut fleet, [0, 1, 2]);
+        crash_three_servers(&mut fleet, [0, 1, 2]);
         fleet.run(STABLE * 2);
-        assert_eq!(fleet.quarantining(REQUEST), 61, "seed {seed}");
+        assert_eq!(fleet.count_quarantining(REQUEST), 61, "seed {seed}");
     }
 }
 
 #[test]
-fn an_instance_that_starts_later_learns_it_before_it_is_ready() {
+fn an_instance_that_starts_later_learns_of_crashes_before_it_is_ready() {
     for (instances, data_centres) in SIZES {
-        let mut fleet = settled(instances, data_centres);
-        crash_three(&mut fleet, [4, 5, 6]);
+        let mut fleet = informed_fleet(instances, data_centres);
+        crash_three_servers(&mut fleet, [4, 5, 6]);
         fleet.run(Duration::from_secs(5));
-        // Those who saw it are gone when the others are asked.
+        // The observers end before the others are asked.
         for number in [4, 5, 6] {
             fleet.kill(number);
         }
@@ -73,27 +75,27 @@
             assert!(fleet.now < start + STABLE, "not informed, of {instances}");
             fleet.run(common::STEP);
         }
-        assert_eq!(fleet.quarantining(REQUEST), instances - 2, "of {instances}");
+        assert_eq!(fleet.count_quarantining(REQUEST), instances - 2, "of {instances}");
     }
 }
 
 #[test]
-fn two_sides_of_a_cut_add_up_what_each_has_seen() {
+fn the_sides_of_a_partition_add_up_their_crashes() {
     for (instances, data_centres) in SIZES {
-        let mut fleet = settled(instances, data_centres);
-        fleet.cut.insert("dc1".into());
-        fleet.see_crash(0, REQUEST, 100);
-        fleet.see_crash(1, REQUEST, 101);
+        let mut fleet = informed_fleet(instances, data_centres);
+        fleet.isolated.insert("dc1".into());
+        fleet.observe_crash(0, REQUEST, 100);
+        fleet.observe_crash(1, REQUEST, 101);
         fleet.run(Duration::from_secs(20));
-        // The same end, seen by a second instance, counts once.
-        fleet.see_crash(2, REQUEST, 100);
+        // A crash that a second instance observes too counts once.
+        fleet.observe_crash(2, REQUEST, 100);
         fleet.run(Duration::from_secs(1));
-        fleet.see_crash(1, REQUEST, 102);
+        fleet.observe_crash(1, REQUEST, 102);
         fleet.run(Duration::from_secs(20));
-        assert_eq!(fleet.quarantining(REQUEST), 0);
-        fleet.cut.clear();
+        assert_eq!(fleet.count_quarantining(REQUEST), 0);
+        fleet.isolated.clear();
         let start = fleet.now;
-        while fleet.quarantining(REQUEST) < instances {
+        while fleet.count_quarantining(REQUEST) < instances {
             assert!(fleet.now < start + STABLE, "of {instances}");
             fleet.run(Duration::from_millis(500));
         }
@@ -103,23 +105,24 @@
 
 #[test]
 fn a_request_that_was_answered_is_cleared_everywhere() {
-    let mut fleet = settled(61, 4);
-    crash_three(&mut fleet, [0, 1, 2]);
+    let mut fleet = informed_fleet(61, 4);
+    crash_three_servers(&mut fleet, [0, 1, 2]);
     fleet.run(Duration::from_secs(1));
     let at = common::address(5);
     let now = fleet.now;
     let reports = fleet.crashes.get_mut(&at).unwrap().clear(REQUEST, now);
     fleet.nodes.get_mut(&at).unwrap().record_crashes(&reports, now);
     fleet.run(Duration::from_millis(200));
-    assert_eq!(fleet.quarantining(REQUEST), 0);
+    assert_eq!(fleet.count_quarantining(REQUEST), 0);
 }
 
-/// Seen on processes that had just started: news waited for 1.2 s where a link couldn't be
-/// opened, as a peer's port was closed when heartbeats tried it 0.2 s before.
+/// Guards against a notice that is only resent after the answer time-out of 1.2 s if its link
+/// couldn't be opened. This occurs when a peer has just started: if its port was still closed
+/// when a heartbeat tried it 0.2 s before, no new attempt is made yet.
 #[test]
 fn a_notice_without_a_link_is_sent_again_soon() {
-    let mut fleet = settled(9, 4);
-    fleet.see_crash(0, REQUEST, 100);
+    let mut fleet = informed_fleet(9, 4);
+    fleet.observe_crash(0, REQUEST, 100);
     let now = fleet.now;
     let node = fleet.nodes.get_mut(&common::address(0)).unwrap();
     let due = node.due_crashes(now);
@@ -131,9 +134,9 @@
 }
 
 #[test]
-fn nothing_is_said_while_no_server_ends() {
+fn nothing_is_sent_while_no_server_crashes() {
     for (instances, data_centres) in SIZES {
-        let mut fleet = settled(instances, data_centres);
+        let mut fleet = informed_fleet(instances, data_centres);
         let due = |node: &mut FleetNode| node.due_crashes(fleet.now).len();
         let said: usize = fleet.nodes.values_mut().map(due).sum();
         assert_eq!(said, 0, "of {instances}");
--- a/crates/flaxtide-fleet/tests/groups.rs
+++ b/crates/flaxtide-fleet/tests/groups.rs
@@ -1,6 +1,6 @@
-//! A fleet of hundreds of instances on a manual clock: whom an instance talks to, and what
-//! it knows of the others, through starts, losses, joins and cuts. Messages pass between
-//! real nodes; only the network is played.
+//! A fleet of hundreds of instances on a manual clock: which peers an instance calls, and what
+//! it knows of the others, through starts, losses, joins and network partitions. Messages pass
+//! between real nodes; only the network is simulated.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use common::{Fleet, address};
 use flaxtide_fleet::{FleetNode, OwnLoad, fleet_key};
 
-/// Returns a load of so many short prompts at one server.
+/// Returns a load of short prompts at one server.
 fn load(server: &str, short: u8) -> OwnLoad {
     OwnLoad {
         server: fleet_key(server),
@@ -21,10 +21,10 @@
 }
 
 #[test]
-fn calls_follow_the_data_centre_and_not_the_fleet() {
+fn calls_grow_with_the_data_centre_and_not_with_the_fleet() {
     for instances in [300, 600] {
         let mut fleet = Fleet::new(instances, instances / 50);
-        fleet.settle(Duration::from_secs(12));
+        fleet.run_until_informed(Duration::from_secs(12));
         fleet.run(Duration::from_secs(10));
         fleet.reset();
         fleet.run(Duration::from_secs(10));
@@ -32,16 +32,18 @@
         for (from, called) in &fleet.called {
             assert!(called.len() <= 49 + others, "{from} called {}", called.len());
         }
-        let a_second = fleet.messages as f64 / instances as f64 / 10.0;
-        println!("{instances} instances: {a_second:.1} messages a second each");
-        assert!(a_second < 36.0, "{a_second}");
+        let messages_per_second = fleet.messages as f64 / instances as f64 / 10.0;
+        println!(
+            "{instances} instances: {messages_per_second:.1} messages a second each"
+        );
+        assert!(messages_per_second < 36.0, "{messages_per_second}");
     }
 }
 
-/// Where data centres are always groups of their own, instances without a list are told of all
-/// others, as rates are divided by how many there are.
+/// Where each data centre is always a group of its own, instances without a list learn of all
+/// others, because rates are divided by the number of instances.
 #[test]
-fn without_a_common_group_all_instances_are_told_of() {
+fn without_a_single_group_replies_list_all_instances() {
     let mut fleet = Fleet::with_limit(30, 2, 0);
     fleet.run(Duration::from_secs(20));
     assert!(fleet.nodes.values().all(|node| node.live().len() == 15));
@@ -60,14 +62,14 @@
 }
 
 #[test]
-fn a_fleet_that_grows_is_divided_and_one_that_shrinks_is_united() {
+fn a_growing_fleet_is_divided_and_a_shrinking_one_is_reunited() {
     let mut fleet = Fleet::new(40, 4);
     fleet.run(Duration::from_secs(10));
     assert!(fleet.nodes.values().all(|node| node.live().len() == 40));
     for number in 40..100 {
         fleet.start(number, number % 4);
     }
-    fleet.settle(Duration::from_secs(15));
+    fleet.run_until_informed(Duration::from_secs(15));
     assert!(fleet.nodes.values().all(|node| node.live().len() == 25));
     for number in 30..100 {
         fleet.kill(number);
@@ -79,45 +81,45 @@
 #[test]
 fn losses_and_joins_of_many_are_known_everywhere_within_seconds() {
     let mut fleet = Fleet::new(300, 6);
-    fleet.settle(Duration::from_secs(12));
-    // Six in ten are lost at once, one of three seeds with them.
+    fleet.run_until_informed(Duration::from_secs(12));
+    // Three of five instances are lost at once, including one of the three seeds.
     for number in (0..300).filter(|number| number % 5 > 1) {
         fleet.kill(number);
     }
-    let lost = fleet.settle(Duration::from_secs(20));
-    // A fifth of the first size joins.
+    let lost = fleet.run_until_informed(Duration::from_secs(20));
+    // As many instances as a fifth of the initial fleet join.
     for number in 300..360 {
         fleet.start(number, number % 6);
     }
-    let joined = fleet.settle(Duration::from_secs(20));
+    let joined = fleet.run_until_informed(Duration::from_secs(20));
     println!("losses known after {lost:?}, joins after {joined:?}");
 }
 
 #[test]
-fn a_data_centre_that_is_cut_off_goes_on_counts_still_and_joins_again() {
+fn a_partitioned_data_centre_still_counts_and_rejoins() {
     let mut fleet = Fleet::new(300, 6);
-    fleet.settle(Duration::from_secs(12));
-    fleet.cut.insert("dc2".into());
+    fleet.run_until_informed(Duration::from_secs(12));
+    fleet.isolated.insert("dc2".into());
     fleet.run(Duration::from_secs(20));
-    // It goes on drawing on what all share, so it is counted.
-    assert!(fleet.mistaken().is_empty(), "{:?}", fleet.mistaken());
-    fleet.cut.clear();
-    // All instances of a data centre but one in ten go meanwhile: contacts are replaced.
+    // The data centre still uses shared resources, so its instances are counted.
+    assert!(fleet.misinformed().is_empty(), "{:?}", fleet.misinformed());
+    fleet.isolated.clear();
+    // Meanwhile nine of ten instances of another data centre end, so its contacts are replaced.
     for number in (0..300).filter(|number| number % 6 == 4 && number % 60 != 4) {
         fleet.kill(number);
     }
-    fleet.settle(Duration::from_secs(25));
+    fleet.run_until_informed(Duration::from_secs(25));
 }
 
 #[test]
 fn newer_settings_of_one_data_centre_are_known_in_all() {
     let mut fleet = Fleet::new(300, 6);
-    fleet.settle(Duration::from_secs(12));
+    fleet.run_until_informed(Duration::from_secs(12));
     let home: Vec<SocketAddr> = fleet
         .nodes
         .keys()
         .copied()
-        .filter(|at| fleet.places[at] == "dc1")
+        .filter(|at| fleet.data_centres[at] == "dc1")
         .collect();
     for address in home {
         fleet.nodes.get_mut(&address).unwrap().set_version(7);
@@ -133,16 +135,16 @@
 }
 
 #[test]
-fn sums_of_loads_are_told_to_every_other_data_centre() {
+fn load_sums_reach_every_other_data_centre() {
     let mut fleet = Fleet::new(120, 3);
-    fleet.settle(Duration::from_secs(12));
+    fleet.run_until_informed(Duration::from_secs(12));
     for number in (0..120).filter(|number| number % 3 == 0) {
         fleet
             .loads
             .insert(address(number), vec![load("engine-1", 2), load("engine-2", 1)]);
     }
     fleet.run(Duration::from_secs(8));
-    for at in fleet.nodes.keys().filter(|at| fleet.places[at] != "dc0") {
+    for at in fleet.nodes.keys().filter(|at| fleet.data_centres[at] != "dc0") {
         let sums = &fleet.sums[&(*at, "dc0".to_owned())];
         let of = |server: &str| {
             sums.iter().find(|sum| sum.server == fleet_key(server)).unwrap()
--- a/crates/flaxtide-fleet/tests/news.rs
+++ b/crates/flaxtide-fleet/tests/news.rs
@@ -1,11 +1,11 @@
-//! Heartbeats that go out before their period, as there is something that peers should know.
+//! Heartbeats that are sent before their period is over, because there are updates.
 
 use std::time::Duration;
 
 use flaxtide_fleet::{FleetNode, FleetTiming, NodeStatus, OwnLoad, PeerInfo};
 
-/// How often the thread looks whether heartbeats are due.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often the fleet thread polls for due heartbeats.
+const POLL_PERIOD: Duration = Duration::from_millis(50);
 
 fn info(number: usize) -> PeerInfo {
     PeerInfo {
@@ -15,8 +15,8 @@
     }
 }
 
-/// Returns one node among so many that it has heard.
-fn node_among(count: usize) -> FleetNode {
+/// Returns one node of `count` that has received heartbeats from all others.
+fn node_with_peers(count: usize) -> FleetNode {
     let timing = FleetTiming::default();
     let mut node = FleetNode::new(info(0), 0, timing.clone());
     node.set_instance_list(Some((0..count).map(info).collect()), Duration::ZERO);
@@ -33,8 +33,8 @@
     node
 }
 
-/// Returns a demand with so many units to be read at a server.
-fn unread(units: u16) -> NodeStatus {
+/// Returns a status with this many units of prompt tokens to be prefilled at a server.
+fn status_with_unread(units: u16) -> NodeStatus {
     let load = OwnLoad {
         server: 1,
         short: 0,
@@ -44,53 +44,60 @@
     NodeStatus { loads: vec![load], ..NodeStatus::default() }
 }
 
-/// Counts rounds of heartbeats in twenty seconds, once what was saved up for updates is spent.
-fn rounds(node: &mut FleetNode, demand: impl Fn(bool) -> NodeStatus) -> usize {
+/// Counts rounds of heartbeats in twenty seconds, after the burst allowance for updates is used
+/// up.
+fn count_rounds(node: &mut FleetNode, status: impl Fn(bool) -> NodeStatus) -> usize {
     let mut rounds = 0;
-    for look in 1..=500 {
-        let now = Duration::from_secs(1) + LOOK * look;
-        node.set_status(demand(look % 4 < 2), now);
+    for poll in 1..=500 {
+        let now = Duration::from_secs(1) + POLL_PERIOD * poll;
+        node.set_status(status(poll % 4 < 2), now);
         let due = !node.due_heartbeats(now).is_empty();
-        rounds += usize::from(due && look > 100);
+        rounds += usize::from(due && poll > 100);
     }
     rounds
 }
 
 #[test]
-fn a_long_prompt_is_told_before_the_period_is_over() {
-    let mut node = node_among(9);
-    node.set_status(unread(0), Duration::from_secs(1));
+fn a_long_prompt_is_sent_before_the_period_is_over() {
+    let mut node = node_with_peers(9);
+    node.set_status(status_with_unread(0), Duration::from_secs(1));
     node.due_heartbeats(Duration::from_secs(1));
     let soon = Duration::from_millis(1050);
-    node.set_status(unread(10), soon);
+    node.set_status(status_with_unread(10), soon);
     assert!(node.due_heartbeats(soon).is_empty(), "a little more is no news");
     let later = Duration::from_millis(1100);
-    node.set_status(unread(200), later);
+    node.set_status(status_with_unread(200), later);
     assert_eq!(node.due_heartbeats(later).len(), 8);
 }
 
 #[test]
-fn a_silent_server_is_told_at_once_and_not_again() {
-    let mut node = node_among(9);
+fn an_unresponsive_server_is_sent_at_once_and_only_once() {
+    let mut node = node_with_peers(9);
     node.due_heartbeats(Duration::from_secs(1));
-    let silent = || NodeStatus { unresponsive: vec![5], ..NodeStatus::default() };
+    let status = || NodeStatus { unresponsive: vec![5], ..NodeStatus::default() };
     for (at, due) in [(1050, true), (1100, false), (1150, false)] {
         let now = Duration::from_millis(at);
-        node.set_status(silent(), now);
+        node.set_status(status(), now);
         assert_eq!(!node.due_heartbeats(now).is_empty(), due, "at {at}");
     }
 }
 
 #[test]
-fn news_keep_within_the_bytes_of_control() {
-    /// Bytes of a heartbeat with its answer.
-    const BEAT: f64 = 406.0;
+fn updates_stay_within_the_traffic_budget() {
+    /// The size of a heartbeat with its reply.
+    const HEARTBEAT_BYTES: f64 = 406.0;
     for instances in [9, 30, 58] {
-        let mut node = node_among(instances);
-        let busy = rounds(&mut node, |more| unread(if more { 500 } else { 0 }));
-        let a_second = busy as f64 * (instances - 1) as f64 * BEAT / 20.0;
-        assert!(a_second < 17_500.0, "{instances} instances: {a_second} bytes a second");
-        let mut node = node_among(instances);
-        assert!(rounds(&mut node, |_| unread(0)) <= busy);
+        let mut node = node_with_peers(instances);
+        let busy = count_rounds(&mut node, |more| {
+            status_with_unread(if more { 500 } else { 0 })
+        });
+        let bytes_per_second =
+            busy as f64 * (instances - 1) as f64 * HEARTBEAT_BYTES / 20.0;
+        assert!(
+            bytes_per_second < 17_500.0,
+            "{instances} instances: {bytes_per_second} bytes a second"
+        );
+        let mut node = node_with_peers(instances);
+        assert!(count_rounds(&mut node, |_| status_with_unread(0)) <= busy);
     }
 }
--- a/crates/flaxtide-fleet/tests/node.rs
+++ b/crates/flaxtide-fleet/tests/node.rs
@@ -1,5 +1,5 @@
-//! Instances together: membership, shares and rates through cuts and losses, on a manual
-//! clock. Messages pass between real nodes; only the network is played.
+//! Membership, shares and rates of several instances through network partitions and losses, on
+//! a manual clock. Messages pass between real nodes; only the network is simulated.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,25 +10,25 @@
     PeerInfo, PoolDemand, UsageCount, fleet_key,
 };
 
-/// How much the clock moves in a step.
+/// How far the clock advances in a step.
 const STEP: Duration = Duration::from_millis(50);
 
-/// Slots of each server.
+/// The slots of each server.
 const SLOTS: u32 = 8;
 
-/// A few nodes and the network between them.
+/// Several nodes and the network between them.
 struct Net {
-    /// The nodes by name.
+    /// The nodes, by name.
     nodes: BTreeMap<String, FleetNode>,
-    /// Pairs of data centres, or of instances, between which nothing passes.
-    cuts: BTreeSet<(String, String)>,
-    /// The time.
+    /// Pairs of data centres or instances between which messages are lost.
+    partitions: BTreeSet<(String, String)>,
+    /// The current time.
     now: Duration,
-    /// What each node says of itself.
-    demands: BTreeMap<String, NodeStatus>,
-    /// The last updates of shares, by node and server, with until when they hold.
+    /// The status of each node.
+    statuses: BTreeMap<String, NodeStatus>,
+    /// The last shares and their expiry, by node and server.
     shares: BTreeMap<(String, FleetKey), (u16, Duration)>,
-    /// The last updates of rates, by node.
+    /// The last parts of the rate and their expiry, by node.
     rates: BTreeMap<String, (f64, Duration)>,
 }
 
@@ -42,9 +42,9 @@
             .collect();
         let mut net = Self {
             nodes: BTreeMap::new(),
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             now: Duration::ZERO,
-            demands: BTreeMap::new(),
+            statuses: BTreeMap::new(),
             shares: BTreeMap::new(),
             rates: BTreeMap::new(),
         };
@@ -54,7 +54,7 @@
         net
     }
 
-    /// Starts a node.
+    /// Starts a node that knows the list.
     fn start(&mut self, own: PeerInfo, epoch: u32, list: &[PeerInfo], servers: usize) {
         let name = own.name.clone();
         let mut node = FleetNode::new(own, epoch, FleetTiming::default());
@@ -63,44 +63,46 @@
         let server = FleetServer { slots: SLOTS, pools };
         let keys = (0..servers).map(|number| fleet_key(&format!("e{number}")));
         node.set_servers(keys.map(|key| (key, server.clone())).collect());
-        self.demands.insert(name.clone(), NodeStatus::default());
+        self.statuses.insert(name.clone(), NodeStatus::default());
         self.nodes.insert(name, node);
     }
 
-    /// Cuts two data centres or two instances off from each other.
+    /// Separates two data centres or two instances from each other.
     fn cut(&mut self, one: &str, other: &str) {
-        self.cuts.insert((one.into(), other.into()));
-        self.cuts.insert((other.into(), one.into()));
+        self.partitions.insert((one.into(), other.into()));
+        self.partitions.insert((other.into(), one.into()));
     }
 
-    /// Returns whether a message passes.
+    /// Returns whether messages from one instance reach another.
     fn passes(&self, from: &str, to: &str) -> bool {
-        let centre = |name: &str| name.split('-').next().unwrap_or_default().to_owned();
-        let pairs = [(from.to_owned(), to.to_owned()), (centre(from), centre(to))];
-        !pairs.iter().any(|pair| self.cuts.contains(pair))
+        let data_centre =
+            |name: &str| name.split('-').next().unwrap_or_default().to_owned();
+        let pairs =
+            [(from.to_owned(), to.to_owned()), (data_centre(from), data_centre(to))];
+        !pairs.iter().any(|pair| self.partitions.contains(pair))
     }
 
-    /// Lets time pass.
+    /// Advances the clock and runs all nodes.
     fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.now += STEP;
             let names: Vec<String> = self.nodes.keys().cloned().collect();
             for name in &names {
-                self.turn(name);
+                self.step_node(name);
             }
         }
     }
 
-    /// Gives a node its turn.
-    fn turn(&mut self, name: &str) {
+    /// Has a node send its due heartbeats.
+    fn step_node(&mut self, name: &str) {
         let now = self.now;
-        let demand = self.demands[name].clone();
+        let status = self.statuses[name].clone();
         let node = self.nodes.get_mut(name).unwrap();
-        node.set_status(demand, now);
+        node.set_status(status, now);
         let own = node.own_notices(now);
         let heartbeats = node.due_heartbeats(now);
-        self.take(name, own);
+        self.apply_notices(name, own);
         for outgoing in heartbeats {
             let to = outgoing.to.name;
             if !self.passes(name, &to) {
@@ -108,17 +110,17 @@
             }
             let Some(peer) = self.nodes.get_mut(&to) else { continue };
             let (reply, notices) = peer.handle_heartbeat(&outgoing.heartbeat, now);
-            self.take(&to, notices);
+            self.apply_notices(&to, notices);
             let node = self.nodes.get_mut(name).unwrap();
             let notices = node.handle_reply(&to, &reply, now);
-            self.take(name, notices);
+            self.apply_notices(name, notices);
         }
     }
 
-    /// Records a node's updates.
-    fn take(&mut self, name: &str, notices: Vec<FleetNotice>) {
-        for notices in notices {
-            match notices {
+    /// Records a node's notices.
+    fn apply_notices(&mut self, name: &str, notices: Vec<FleetNotice>) {
+        for notice in notices {
+            match notice {
                 FleetNotice::PeerLoads(..)
                 | FleetNotice::GroupLoads(..)
                 | FleetNotice::PeerReads(_)
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Returns a node's slots at all servers, by shares that hold.
+    /// Returns a node's slots at all servers, by its unexpired shares.
     fn slots(&self, name: &str) -> u32 {
         let own = self.shares.iter().filter(|((owner, _), _)| owner == name);
         own.filter(|(_, (_, until))| *until > self.now)
@@ -148,7 +150,7 @@
             .sum()
     }
 
-    /// Returns the live instances as a node sees them.
+    /// Returns the number of live instances that a node knows.
     fn live(&self, name: &str) -> usize {
         self.nodes[name].live().len()
     }
@@ -157,11 +159,11 @@
     fn set_requests(&mut self, name: &str, tiers: [u16; 3]) {
         let pool = fleet_key("model/m");
         let demands = vec![PoolDemand { pool, tiers: tiers.to_vec() }];
-        self.demands.get_mut(name).unwrap().demands = demands;
+        self.statuses.get_mut(name).unwrap().demands = demands;
     }
 }
 
-/// Returns who an instance is.
+/// Returns the identity of an instance.
 fn info(data_centre: usize, number: usize) -> PeerInfo {
     let port = 1000 + 100 * data_centre as u16 + number as u16;
     PeerInfo {
@@ -186,7 +188,7 @@
     };
     assert_eq!(watchers(&net).len(), 60);
     assert!(watchers(&net).values().all(|count| *count == 1));
-    // A rack with three instances is lost; within the silence the rest see it.
+    // Three instances are lost with their rack. The others notice within the liveness time-out.
     for name in ["dc0-1", "dc0-4", "dc0-6"] {
         net.nodes.remove(name);
     }
@@ -207,7 +209,7 @@
     let total: u32 = net.nodes.keys().map(|name| net.slots(name)).sum();
     assert_eq!(total, 12 * SLOTS, "shares add up");
     assert!(net.slots("dc0-3") >= 36, "{}", net.slots("dc0-3"));
-    // The demand moves on, and so do the slots.
+    // The demand moves, and the slots follow.
     net.set_requests("dc0-3", [0, 0, 0]);
     net.set_requests("dc0-0", [60, 0, 500]);
     net.run(Duration::from_secs(2));
@@ -215,7 +217,7 @@
 }
 
 #[test]
-fn an_instance_that_hears_nobody_falls_back_on_its_equal_part() {
+fn an_isolated_instance_falls_back_on_an_equal_share() {
     let mut net = Net::new(1, 4, 12);
     net.run(Duration::from_secs(2));
     for other in ["dc0-1", "dc0-2", "dc0-3"] {
@@ -224,11 +226,11 @@
     net.run(Duration::from_secs(3));
     assert_eq!(net.live("dc0-0"), 1);
     assert_eq!(net.live("dc0-1"), 3);
-    // It isn't alone at the engines, and knows so from the list.
+    // It knows from the list that other instances use the servers too.
     let fallback = net.nodes["dc0-0"].fallback_shares(net.now);
     let slots: u32 = fallback.iter().map(|share| u32::from(share.slots)).sum();
     assert!((18..=30).contains(&slots), "{slots} of {}", 12 * SLOTS);
-    net.cuts.clear();
+    net.partitions.clear();
     net.run(Duration::from_secs(3));
     assert!(
         net.nodes.values().all(|node| node.live().len() == 4),
@@ -237,7 +239,7 @@
 }
 
 #[test]
-fn a_restarted_instance_is_a_new_one() {
+fn a_restart_clears_the_demand_of_the_previous_run() {
     let mut net = Net::new(1, 3, 6);
     net.set_requests("dc0-0", [100, 0, 0]);
     net.run(Duration::from_secs(2));
@@ -246,13 +248,13 @@
     net.start(info(0, 0), 77, &list, 6);
     net.run(Duration::from_secs(1));
     assert!(net.nodes.values().all(|node| node.live().len() == 3));
-    // Nothing is left of the demand of its former life.
+    // The demand of its previous run is forgotten.
     let shares: Vec<u32> = net.nodes.keys().map(|name| net.slots(name)).collect();
     assert!(shares.iter().all(|slots| (14..=18).contains(slots)), "{shares:?}");
 }
 
 #[test]
-fn a_cut_data_centre_goes_on_and_joins_again_without_going_back() {
+fn a_partitioned_data_centre_rejoins_without_reverting_settings() {
     let mut net = Net::new(2, 3, 6);
     net.run(Duration::from_secs(2));
     net.cut("dc0", "dc1");
@@ -265,20 +267,20 @@
     assert_eq!(versions(&net, "dc0"), [5, 5, 5]);
     assert_eq!(versions(&net, "dc1"), [0, 0, 0]);
     assert!(net.nodes.values().all(|node| node.live().len() == 3), "both sides go on");
-    net.cuts.clear();
+    net.partitions.clear();
     net.run(Duration::from_secs(3));
     assert_eq!(versions(&net, "dc1"), [5, 5, 5]);
     assert_eq!(versions(&net, "dc0"), [5, 5, 5]);
 }
 
 #[test]
-fn an_asymmetric_cut_leaves_each_side_with_whom_it_hears() {
+fn instances_stay_alive_if_links_fail_in_one_direction() {
     let mut net = Net::new(1, 3, 6);
     net.run(Duration::from_secs(2));
-    // Links that dc0-0 opens to dc0-1 fail; those that dc0-1 opens to dc0-0 don't.
-    net.cuts.insert(("dc0-0".into(), "dc0-1".into()));
+    // Links that dc0-0 opens to dc0-1 fail; links in the other direction work.
+    net.partitions.insert(("dc0-0".into(), "dc0-1".into()));
     net.run(Duration::from_secs(3));
-    // A heartbeat and its reply use one link, so either direction is enough to be heard.
+    // A heartbeat and its reply use one link, so one direction is enough to be heard.
     assert!(net.nodes.values().all(|node| node.live().len() == 3));
 }
 
@@ -288,17 +290,18 @@
     let organisation = fleet_key("arica");
     for (name, count) in [("dc0-0", 10), ("dc0-1", 5), ("dc1-0", 5)] {
         let usage = vec![UsageCount { organisation, count }];
-        net.demands.get_mut(name).unwrap().usage = usage;
+        net.statuses.get_mut(name).unwrap().usage = usage;
     }
     net.run(Duration::from_secs(3));
     let parts: f64 = net.rates.values().map(|(part, _)| part).sum();
-    // Instances that the organisation doesn't use keep an equal part of a fifth, which
-    // nobody hears of: the rate is undershot by that, never overshot.
+    // Instances that the organisation doesn't use keep an equal part of a fifth of the rate, of
+    // which they aren't notified. The notified parts add up to less than the rate, never to
+    // more.
     assert!((0.8..=1.001).contains(&parts), "{parts}: {:?}", net.rates);
     assert!(net.rates["dc0-0"].0 > 1.5 * net.rates["dc0-1"].0, "{:?}", net.rates);
 }
 
-/// Returns the instances that read lists for peers, as they see it themselves.
+/// Returns the instances that consider themselves list readers.
 fn readers(net: &Net) -> Vec<String> {
     let nodes = net.nodes.iter();
     let reading = nodes.filter(|(_, node)| node.list_reader(17) == ListReader::ForPeers);
@@ -322,7 +325,7 @@
             reader => assert!(first.contains(name), "{name}: {reader:?}"),
         }
     }
-    // A reader that is lost is replaced once its peers miss it.
+    // A lost reader is replaced once its peers have noticed the loss.
     net.nodes.remove(&first[0]);
     net.run(Duration::from_secs(12));
     let second = readers(&net);
@@ -331,7 +334,7 @@
 }
 
 #[test]
-fn a_small_fleet_reads_lists_each_for_itself() {
+fn instances_of_a_small_fleet_read_lists_themselves() {
     let mut net = Net::new(1, 16, 1);
     net.run(Duration::from_secs(5));
     let alone = |node: &FleetNode| node.list_reader(17) == ListReader::Alone;
--- a/crates/flaxtide-fleet/tests/pushback.rs
+++ b/crates/flaxtide-fleet/tests/pushback.rs
@@ -1,5 +1,5 @@
-//! What a server says of itself to one instance reaches all: those that are there, those that
-//! start later, and those that come back from a cut, also where messages get lost.
+//! What a server announces to one instance reaches all: running ones, ones that start later,
+//! and ones that come back from a network partition, even if messages are lost.
 
 mod common;
 
@@ -8,17 +8,17 @@
 use common::Fleet;
 use flaxtide_policy::{RequestRate, ServerStart};
 
-/// A server.
+/// The key of the server's current run.
 const SERVER: ServerStart = 7;
 
-/// Within this time what a server says must be known to all.
+/// The time within which all instances must know an announcement.
 const STABLE: Duration = Duration::from_secs(3);
 
-/// Sizes of fleets, and in how many data centres they stand: one group, several, many.
+/// Fleet sizes as instances and data centres: a single group, a few groups, many groups.
 const SIZES: [(usize, usize); 3] = [(9, 4), (81, 4), (295, 6)];
 
-/// Returns a fleet whose instances see each other.
-fn settled(instances: usize, data_centres: usize) -> Fleet {
+/// Returns a fleet whose instances know each other.
+fn informed_fleet(instances: usize, data_centres: usize) -> Fleet {
     let mut fleet = Fleet::new(instances, data_centres);
     fleet.run(Duration::from_secs(15));
     fleet
@@ -27,80 +27,80 @@
 #[test]
 fn a_rate_and_its_end_are_known_to_all() {
     for (instances, data_centres) in SIZES {
-        let mut fleet = settled(instances, data_centres);
-        fleet.hear_rate(3, SERVER, Some(2.0));
+        let mut fleet = informed_fleet(instances, data_centres);
+        fleet.announce_rate(3, SERVER, Some(2.0));
         fleet.run(STABLE);
-        assert_eq!(fleet.believing(SERVER, Some(2.0)), instances, "of {instances}");
-        fleet.hear_rate(5, SERVER, None);
+        assert_eq!(fleet.count_with_rate(SERVER, Some(2.0)), instances, "of {instances}");
+        fleet.announce_rate(5, SERVER, None);
         fleet.run(STABLE);
-        assert_eq!(fleet.believing(SERVER, None), instances, "of {instances}");
+        assert_eq!(fleet.count_with_rate(SERVER, None), instances, "of {instances}");
     }
 }
 
 #[test]
-fn a_server_that_leaves_is_known_to_all_and_takes_nothing_back() {
+fn a_leaving_server_is_known_to_all_and_stays_leaving() {
     for (instances, data_centres) in SIZES {
-        let mut fleet = settled(instances, data_centres);
-        fleet.hear_leaving(3, SERVER);
+        let mut fleet = informed_fleet(instances, data_centres);
+        fleet.announce_leaving(3, SERVER);
         fleet.run(STABLE);
-        assert_eq!(fleet.leaving(SERVER), instances, "of {instances}");
-        // An answer that was made before comes late to another instance.
-        fleet.hear_rate(5, SERVER, None);
+        assert_eq!(fleet.count_with_leaving(SERVER), instances, "of {instances}");
+        // An answer from before the announcement arrives late at another instance.
+        fleet.announce_rate(5, SERVER, None);
         fleet.start(instances, 1);
         fleet.run(STABLE * 2);
-        assert_eq!(fleet.leaving(SERVER), instances + 1, "of {instances}");
+        assert_eq!(fleet.count_with_leaving(SERVER), instances + 1, "of {instances}");
     }
 }
 
 #[test]
-fn they_are_known_though_a_third_of_the_messages_get_lost() {
+fn rates_are_known_although_a_third_of_the_messages_are_lost() {
     for seed in 0..3 {
-        let mut fleet = settled(81, 4);
+        let mut fleet = informed_fleet(81, 4);
         fleet.random = rand::SeedableRng::seed_from_u64(seed);
         fleet.loss = 0.3;
-        fleet.hear_rate(3, SERVER, Some(2.0));
+        fleet.announce_rate(3, SERVER, Some(2.0));
         fleet.run(STABLE * 3);
-        assert_eq!(fleet.believing(SERVER, Some(2.0)), 81, "seed {seed}");
-        fleet.hear_rate(5, SERVER, None);
+        assert_eq!(fleet.count_with_rate(SERVER, Some(2.0)), 81, "seed {seed}");
+        fleet.announce_rate(5, SERVER, None);
         fleet.run(STABLE * 3);
-        assert_eq!(fleet.believing(SERVER, None), 81, "seed {seed}");
+        assert_eq!(fleet.count_with_rate(SERVER, None), 81, "seed {seed}");
     }
 }
 
 #[test]
-fn an_instance_that_starts_later_learns_it_though_who_heard_it_is_gone() {
+fn an_instance_that_starts_later_learns_a_rate_whose_receiver_is_gone() {
     for (instances, data_centres) in SIZES {
-        let mut fleet = settled(instances, data_centres);
-        fleet.hear_rate(3, SERVER, Some(2.0));
+        let mut fleet = informed_fleet(instances, data_centres);
+        fleet.announce_rate(3, SERVER, Some(2.0));
         fleet.run(STABLE);
         fleet.kill(3);
         fleet.start(instances, 2);
         fleet.run(STABLE * 2);
-        assert_eq!(fleet.believing(SERVER, Some(2.0)), instances, "of {instances}");
+        assert_eq!(fleet.count_with_rate(SERVER, Some(2.0)), instances, "of {instances}");
     }
 }
 
 #[test]
-fn after_a_cut_the_newest_statement_holds_on_both_sides() {
+fn after_a_partition_the_newest_statement_holds_on_both_sides() {
     for (instances, data_centres) in SIZES {
-        let mut fleet = settled(instances, data_centres);
-        fleet.cut.insert("dc1".into());
+        let mut fleet = informed_fleet(instances, data_centres);
+        fleet.isolated.insert("dc1".into());
         fleet.run(Duration::from_secs(20));
-        // One that stands behind the cut, then one before it.
-        fleet.hear_rate(1, SERVER, Some(1.0));
+        // First a statement on one side of the partition, then a newer one on the other.
+        fleet.announce_rate(1, SERVER, Some(1.0));
         fleet.run(Duration::from_secs(5));
-        fleet.hear_rate(0, SERVER, Some(4.0));
+        fleet.announce_rate(0, SERVER, Some(4.0));
         fleet.run(Duration::from_secs(5));
-        fleet.cut.clear();
+        fleet.isolated.clear();
         fleet.run(Duration::from_secs(15));
-        assert_eq!(fleet.believing(SERVER, Some(4.0)), instances, "of {instances}");
+        assert_eq!(fleet.count_with_rate(SERVER, Some(4.0)), instances, "of {instances}");
     }
 }
 
 #[test]
 fn the_parts_of_all_instances_add_up_to_the_rate() {
     for (instances, data_centres) in SIZES {
-        let mut fleet = settled(instances, data_centres);
+        let mut fleet = informed_fleet(instances, data_centres);
         for requests in [0.5, 2.0, 20.0, 200.0] {
             let rate = RequestRate::from_per_second(requests).unwrap();
             let now = fleet.now;
--- a/crates/flaxtide-fleet/tests/settings.rs
+++ b/crates/flaxtide-fleet/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings on their way between instances: in pieces, from few providers to few requesters at a
-//! time, and only when the platform hasn't brought them.
+//! Transfer of settings between instances: in pieces, with few parallel transfers, and only if
+//! the platform hasn't delivered the settings.
 
 use std::time::Duration;
 
@@ -8,16 +8,17 @@
     PieceOutcome, PieceProvider, PieceQuestion, SettingsCopy, SettingsPiece,
 };
 
-/// How many peers are given settings at the same time.
-const PERMITS: u32 = 4;
+/// The most parallel transfers of a provider.
+const MAX_TRANSFERS: u32 = 4;
 
-/// Returns settings of a version, of several pieces, with characters of two bytes.
+/// Returns settings of several pieces, with some two-byte characters.
 fn settings(version: u64) -> SettingsCopy {
     let tree = format!("{version:08}{}", "kavakäik, ".repeat(20_000));
     SettingsCopy { version, tree: tree.into() }
 }
 
-/// Returns the answer to a question of an instance.
+/// Returns the answer to a request for a piece. `newest` is the provider's version in force,
+/// `now` the time in milliseconds.
 fn ask(
     provider: &mut PieceProvider,
     requester: u32,
@@ -30,7 +31,7 @@
     provider.answer(question, newest, Duration::from_millis(now))
 }
 
-/// Returns the piece that an answer brings.
+/// Returns the piece in an answer.
 fn piece(answer: PieceAnswer) -> SettingsPiece {
     match answer {
         PieceAnswer::Piece(piece) => piece,
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn settings_come_whole_in_pieces() {
+fn settings_arrive_complete_in_pieces() {
     let (mut provider, mut assembly) = (PieceProvider::default(), CopyAssembly::new(6));
     for count in 1.. {
         let piece = piece(ask(&mut provider, 1, assembly.question(1), 7, count));
@@ -57,10 +58,10 @@
 }
 
 #[test]
-fn a_copy_that_is_begun_is_ended_though_newer_settings_come() {
+fn a_started_transfer_finishes_although_newer_settings_arrive() {
     let (mut provider, mut assembly) = (PieceProvider::default(), CopyAssembly::new(6));
     for newest in 7.. {
-        // Each question finds a newer version in force.
+        // At each request, a newer version is in force.
         let piece = piece(ask(&mut provider, 1, assembly.question(1), newest, newest));
         assert_eq!(piece.version, 7);
         if let PieceOutcome::Whole(copy) = assembly.add_piece(&piece) {
@@ -71,14 +72,14 @@
 }
 
 #[test]
-fn another_giver_of_the_same_version_gives_the_rest() {
+fn another_provider_of_the_same_version_sends_the_rest() {
     let (mut first, mut second) = (PieceProvider::default(), PieceProvider::default());
     let mut assembly = CopyAssembly::new(6);
     assembly.add_piece(&piece(ask(&mut first, 1, assembly.question(1), 7, 0)));
     let begun = assembly.question(1);
     assert!(begun.offset > 0);
     assert_eq!(piece(ask(&mut second, 1, begun, 7, 0)).offset, begun.offset);
-    // One with another version begins anew.
+    // A provider with another version starts over.
     let other = piece(ask(&mut PieceProvider::default(), 1, begun, 8, 0));
     assert_eq!((other.version, other.offset), (8, 0));
     assert_eq!(assembly.add_piece(&other), PieceOutcome::Partial);
@@ -86,27 +87,27 @@
 }
 
 #[test]
-fn few_are_given_settings_at_a_time() {
+fn few_transfers_run_at_a_time() {
     let mut provider = PieceProvider::default();
     let first = CopyAssembly::new(6).question(1);
-    for requester in 0..PERMITS {
+    for requester in 0..MAX_TRANSFERS {
         piece(ask(&mut provider, requester, first, 7, 0));
     }
-    assert_eq!(ask(&mut provider, PERMITS, first, 7, 1), PieceAnswer::Busy);
-    // Who has a permit goes on, and one that is silent for long loses it.
+    assert_eq!(ask(&mut provider, MAX_TRANSFERS, first, 7, 1), PieceAnswer::Busy);
+    // A peer with a transfer may go on; one that is silent for long loses its transfer.
     piece(ask(&mut provider, 0, first, 7, 2900));
-    piece(ask(&mut provider, PERMITS, first, 7, 3100));
-    for place in 1..PERMITS - 1 {
-        piece(ask(&mut provider, PERMITS + place, first, 7, 3100));
+    piece(ask(&mut provider, MAX_TRANSFERS, first, 7, 3100));
+    for index in 1..MAX_TRANSFERS - 1 {
+        piece(ask(&mut provider, MAX_TRANSFERS + index, first, 7, 3100));
     }
-    assert_eq!(ask(&mut provider, 2 * PERMITS, first, 7, 3100), PieceAnswer::Busy);
+    assert_eq!(ask(&mut provider, 2 * MAX_TRANSFERS, first, 7, 3100), PieceAnswer::Busy);
     piece(ask(&mut provider, 0, first, 7, 3200));
 }
 
 #[test]
-fn who_has_all_pieces_leaves_its_seat() {
+fn a_finished_transfer_makes_room_for_another() {
     let mut provider = PieceProvider::default();
-    for requester in 0..3 * PERMITS {
+    for requester in 0..3 * MAX_TRANSFERS {
         let mut assembly = CopyAssembly::new(6);
         loop {
             let piece = piece(ask(&mut provider, requester, assembly.question(1), 7, 0));
@@ -118,29 +119,29 @@
 }
 
 #[test]
-fn who_asks_again_keeps_its_one_seat_and_its_version() {
+fn a_repeated_request_keeps_its_transfer_and_version() {
     let mut provider = PieceProvider::default();
     let mut assembly = CopyAssembly::new(6);
     assembly.add_piece(&piece(ask(&mut provider, 1, assembly.question(1), 7, 0)));
-    // Answers are lost, and it asks over further links while newer settings come.
-    for newest in 8..8 + 3 * u64::from(PERMITS) {
+    // Answers are lost, and the peer asks again over other links while newer settings arrive.
+    for newest in 8..8 + 3 * u64::from(MAX_TRANSFERS) {
         let again = piece(ask(&mut provider, 1, assembly.question(1), newest, newest));
         assert_eq!((again.version, again.offset), (7, assembly.received_bytes() as u32));
     }
-    for other in 2..=PERMITS {
+    for other in 2..=MAX_TRANSFERS {
         piece(ask(&mut provider, other, CopyAssembly::new(6).question(other), 7, 30));
     }
 }
 
 #[test]
-fn an_older_giver_does_not_undo_what_has_come() {
+fn an_older_provider_does_not_reset_the_assembly() {
     let mut assembly = CopyAssembly::new(6);
     let first = piece(ask(&mut PieceProvider::default(), 1, assembly.question(1), 8, 0));
     assembly.add_piece(&first);
     let begun = assembly.question(1);
     let older = ask(&mut PieceProvider::default(), 1, begun, 7, 0);
     assert_eq!(older, PieceAnswer::NothingNewer);
-    // Nor does one that sends older settings all the same.
+    // A peer that sends older settings unasked doesn't reset it either.
     let unasked = piece(ask(
         &mut PieceProvider::default(),
         1,
@@ -150,13 +151,13 @@
     ));
     assert_eq!(assembly.add_piece(&unasked), PieceOutcome::Rejected);
     assert_eq!(assembly.question(1), begun);
-    // Nor does one that begins the same settings again and again.
+    // Nor does one that sends the first piece again.
     assert_eq!(assembly.add_piece(&first), PieceOutcome::Rejected);
     assert_eq!(assembly.question(1), begun);
 }
 
 #[test]
-fn what_has_begun_goes_on_while_it_is_newer_than_what_is_in_force() {
+fn an_assembly_is_kept_while_it_is_newer_than_the_version_in_force() {
     let mut assembly = CopyAssembly::new(6);
     let first = piece(ask(&mut PieceProvider::default(), 1, assembly.question(1), 8, 0));
     assembly.add_piece(&first);
@@ -167,14 +168,14 @@
 }
 
 #[test]
-fn nothing_newer_is_said() {
+fn a_provider_without_newer_settings_answers_so() {
     let question = CopyAssembly::new(7).question(1);
     let answer = ask(&mut PieceProvider::default(), 1, question, 7, 0);
     assert_eq!(answer, PieceAnswer::NothingNewer);
 }
 
-/// Makes a piece that doesn't fit.
-type SpoilPiece = fn(&mut SettingsPiece);
+/// Alters a piece so that it doesn't fit.
+type CorruptPiece = fn(&mut SettingsPiece);
 
 #[test]
 fn pieces_that_do_not_fit_are_rejected() {
@@ -187,18 +188,18 @@
             0,
         ))
     };
-    let cases: [(&str, SpoilPiece); 5] = [
+    let cases: [(&str, CorruptPiece); 5] = [
         ("no newer version", |piece| piece.version = 6),
         ("an offset beyond what has come", |piece| piece.offset = 5),
         ("nothing in it", |piece| piece.text.clear()),
         ("more than the whole", |piece| piece.length = 10),
         ("a whole beyond all measure", |piece| piece.length = u32::MAX),
     ];
-    for (what, spoil) in cases {
-        let mut spoilt = good();
-        spoil(&mut spoilt);
+    for (what, corrupt) in cases {
+        let mut corrupted = good();
+        corrupt(&mut corrupted);
         let mut assembly = CopyAssembly::new(6);
-        assert_eq!(assembly.add_piece(&spoilt), PieceOutcome::Rejected, "{what}");
+        assert_eq!(assembly.add_piece(&corrupted), PieceOutcome::Rejected, "{what}");
         assert_eq!(assembly.question(1).offset, 0, "{what}");
     }
     let mut altered = good();
@@ -218,23 +219,23 @@
     }
 }
 
-/// Returns a node that has heard from peers with these versions at a time.
-fn node_that_hears(number: usize, versions: &[u64], now: Duration) -> FleetNode {
+/// Returns a node that has received heartbeats from peers with these versions.
+fn node_with_peers(number: usize, versions: &[u64], now: Duration) -> FleetNode {
     let mut node = FleetNode::new(info(number), 0, FleetTiming::default());
-    for (place, version) in versions.iter().enumerate() {
-        hear_peer(&mut node, 100 + place, *version, now);
+    for (index, version) in versions.iter().enumerate() {
+        receive_heartbeat(&mut node, 100 + index, *version, now);
     }
     node
 }
 
-/// Looks once whether settings are to be fetched, as the fleet thread does.
-fn due_at(node: &mut FleetNode, now: Duration) -> bool {
+/// Polls once whether a fetch is due, as the fleet thread does.
+fn poll_fetch_due(node: &mut FleetNode, now: Duration) -> bool {
     node.update_newer_since(now);
     node.settings_fetch_due(now)
 }
 
-/// Has a node hear a peer that has a version.
-fn hear_peer(node: &mut FleetNode, number: usize, version: u64, now: Duration) {
+/// Has a node receive the heartbeat of a peer with a version.
+fn receive_heartbeat(node: &mut FleetNode, number: usize, version: u64, now: Duration) {
     let mut peer = FleetNode::new(info(number), 1, FleetTiming::default());
     peer.set_version(version);
     peer.add_peer(info(0), true);
@@ -245,39 +246,39 @@
 #[test]
 fn peers_are_asked_once_the_platform_is_late() {
     let ms = Duration::from_millis;
-    let mut node = node_that_hears(0, &[1, 2], ms(0));
+    let mut node = node_with_peers(0, &[1, 2], ms(0));
     node.set_version(1);
     for (now, due) in [(0, false), (600, false), (700, true), (750, false), (1400, true)]
     {
-        hear_peer(&mut node, 101, 2, ms(now));
-        assert_eq!(due_at(&mut node, ms(now)), due, "at {now} ms");
+        receive_heartbeat(&mut node, 101, 2, ms(now));
+        assert_eq!(poll_fetch_due(&mut node, ms(now)), due, "at {now} ms");
     }
     node.set_version(2);
-    assert!(!due_at(&mut node, ms(1500)));
+    assert!(!poll_fetch_due(&mut node, ms(1500)));
 }
 
 #[test]
-fn a_peer_that_is_not_heard_for_a_moment_costs_no_further_wait() {
+fn a_briefly_silent_peer_does_not_restart_the_wait() {
     let ms = Duration::from_millis;
-    let mut node = node_that_hears(0, &[2], ms(0));
-    assert!(!due_at(&mut node, ms(0)));
-    assert!(!due_at(&mut node, ms(2000)), "the peer is silent");
-    hear_peer(&mut node, 100, 2, ms(2100));
-    assert!(due_at(&mut node, ms(2100)));
+    let mut node = node_with_peers(0, &[2], ms(0));
+    assert!(!poll_fetch_due(&mut node, ms(0)));
+    assert!(!poll_fetch_due(&mut node, ms(2000)), "the peer is silent");
+    receive_heartbeat(&mut node, 100, 2, ms(2100));
+    assert!(poll_fetch_due(&mut node, ms(2100)));
 }
 
 #[test]
-fn peers_are_not_asked_while_the_platform_brings_something() {
+fn peers_are_not_asked_while_data_arrives_from_the_platform() {
     let ms = Duration::from_millis;
-    let mut node = node_that_hears(0, &[2], ms(0));
+    let mut node = node_with_peers(0, &[2], ms(0));
     for now in (0..2000).step_by(100) {
-        hear_peer(&mut node, 100, 2, ms(now));
+        receive_heartbeat(&mut node, 100, 2, ms(now));
         node.record_source_progress(ms(now));
-        assert!(!due_at(&mut node, ms(now)), "at {now} ms");
+        assert!(!poll_fetch_due(&mut node, ms(now)), "at {now} ms");
     }
-    // For so long only.
-    hear_peer(&mut node, 100, 2, ms(2000));
-    assert!(due_at(&mut node, ms(2000)));
+    // The longest wait is over.
+    receive_heartbeat(&mut node, 100, 2, ms(2000));
+    assert!(poll_fetch_due(&mut node, ms(2000)));
 }
 
 #[test]
@@ -285,7 +286,7 @@
     let now = Duration::from_millis(100);
     let versions = [2; 12];
     let mut first: Vec<String> = (0..24)
-        .map(|number| node_that_hears(number, &versions, now))
+        .map(|number| node_with_peers(number, &versions, now))
         .map(|node| node.settings_sources(now)[0].info.name.clone())
         .collect();
     first.sort();
@@ -294,9 +295,9 @@
 }
 
 #[test]
-fn who_has_the_newest_settings_is_asked_first() {
+fn the_peer_with_the_newest_settings_is_asked_first() {
     let now = Duration::from_millis(100);
-    let node = node_that_hears(0, &[3, 4, 5, 4], now);
+    let node = node_with_peers(0, &[3, 4, 5, 4], now);
     let sources = node.settings_sources(now);
     let versions: Vec<u64> = sources.iter().map(|source| source.version).collect();
     assert_eq!(versions, [5, 4, 4, 3]);
@@ -304,13 +305,13 @@
 }
 
 #[test]
-fn the_newest_settings_that_peers_have_are_known() {
+fn the_newest_version_of_the_peers_is_known() {
     let ms = Duration::from_millis;
-    let mut node = node_that_hears(0, &[8, 9], ms(0));
+    let mut node = node_with_peers(0, &[8, 9], ms(0));
     node.set_version(7);
     assert_eq!(node.newest_known_version(ms(0)), 9, "as soon as it hears of them");
     node.update_newer_since(ms(50));
-    // One version comes, and another is still ahead.
+    // One version is put in force while a newer one is announced.
     node.set_version(8);
     assert_eq!(node.newest_known_version(ms(100)), 9);
     node.update_newer_since(ms(150));
@@ -329,19 +330,20 @@
 #[test]
 fn settings_that_cannot_be_used_are_fetched_once() {
     let ms = Duration::from_millis;
-    let mut node = node_that_hears(0, &[9, 2], ms(0));
-    due_at(&mut node, ms(0));
-    hear_peer(&mut node, 100, 9, ms(700));
-    hear_peer(&mut node, 101, 2, ms(700));
-    assert!(due_at(&mut node, ms(700)));
+    let mut node = node_with_peers(0, &[9, 2], ms(0));
+    poll_fetch_due(&mut node, ms(0));
+    receive_heartbeat(&mut node, 100, 9, ms(700));
+    receive_heartbeat(&mut node, 101, 2, ms(700));
+    assert!(poll_fetch_due(&mut node, ms(700)));
     node.record_fetched(&settings(9), "instance-100", ms(800));
     assert!(node.settings_sources(ms(800)).is_empty(), "it is expected to be in force");
     node.reject_fetched(9);
     let sources = node.settings_sources(ms(800));
     assert_eq!(sources.len(), 1, "the peer whose settings are of use");
     assert_eq!(sources[0].info.name, "instance-101");
-    // The next version of the same peer is asked for again, also if it came meanwhile.
-    hear_peer(&mut node, 100, 10, ms(900));
+    // The peer's next version is requested, even if it is announced before the old one is
+    // rejected.
+    receive_heartbeat(&mut node, 100, 10, ms(900));
     assert_eq!(node.settings_sources(ms(900)).len(), 2);
     node.record_fetched(&settings(9), "instance-100", ms(1000));
     node.reject_fetched(9);
@@ -349,11 +351,11 @@
 }
 
 #[test]
-fn settings_that_were_lost_on_their_way_are_fetched_again() {
+fn fetched_settings_that_are_not_adopted_are_fetched_again() {
     let ms = Duration::from_millis;
-    let mut node = node_that_hears(0, &[2], ms(0));
+    let mut node = node_with_peers(0, &[2], ms(0));
     node.record_fetched(&settings(2), "instance-100", ms(100));
     assert!(node.settings_sources(ms(200)).is_empty());
-    hear_peer(&mut node, 100, 2, ms(5200));
+    receive_heartbeat(&mut node, 100, 2, ms(5200));
     assert_eq!(node.settings_sources(ms(5200)).len(), 1);
 }
--- a/crates/flaxtide-fleet/tests/size.rs
+++ b/crates/flaxtide-fleet/tests/size.rs
@@ -1,5 +1,5 @@
-//! The traffic between instances at the size of a large data centre, counted on messages
-//! that real nodes have made, in the encoding that goes over the links.
+//! The traffic between instances in a large data centre, measured on the messages of real nodes
+//! in the encoding used on links.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,33 +11,33 @@
 };
 use serde::Serialize;
 
-/// Instances of a data centre.
+/// The instances of the data centre.
 const INSTANCES: usize = 58;
 
-/// Workers of a data centre.
-const WORKERS: usize = 520;
+/// The backend servers of the data centre.
+const SERVERS: usize = 520;
 
-/// Organisations.
+/// The organisations with a rate limit.
 const ORGANISATIONS: usize = 1300;
 
-/// Models.
+/// The models, each a pool.
 const MODELS: usize = 8;
 
-/// What control may use, in bytes a second in each direction.
+/// The budget for control traffic in each direction, in bytes per second.
 const BUDGET: f64 = 17_000.0;
 
-/// What the transport adds to each message: its length, the request's number, deadline and
-/// trace, and the parts of the TCP/IP headers.
+/// What the transport adds to each message: the length prefix, the request's number, deadline
+/// and trace, and a part of the TCP/IP headers.
 const MESSAGE_OVERHEAD: usize = 4 + 48 + 52;
 
-/// Returns the length of a message as it goes over a link.
+/// Returns the size of a message on a link.
 fn encoded(message: &impl Serialize) -> usize {
     let bytes = bincode::DefaultOptions::new().serialize(message).unwrap();
     bytes.len() + MESSAGE_OVERHEAD
 }
 
 #[test]
-fn a_large_data_centre_keeps_control_within_its_budget() {
+fn control_traffic_of_a_large_data_centre_stays_within_budget() {
     let info = |number: usize| PeerInfo {
         name: format!("tll-1-entry-{number}"),
         data_centre: "tll-1".into(),
@@ -53,7 +53,8 @@
             let mut node =
                 FleetNode::new(info(number), number as u32, FleetTiming::default());
             node.set_instance_list(Some(list.clone()), Duration::ZERO);
-            let keys = (0..WORKERS).map(|worker| fleet_key(&format!("worker-{worker}")));
+            let keys = (0..SERVERS)
+                .map(|server_number| fleet_key(&format!("worker-{server_number}")));
             node.set_servers(keys.map(|key| (key, server.clone())).collect());
             node
         })
@@ -61,24 +62,24 @@
     let mut now = Duration::from_secs(1);
     let mut received = vec![0usize; INSTANCES];
     let mut sent = vec![0usize; INSTANCES];
-    // The first rounds make the nodes know each other; the last is counted.
+    // In the first rounds the nodes learn of each other; the last one is measured.
     for round in 0..3 {
         received.fill(0);
         sent.fill(0);
         now += Duration::from_secs(3);
         for sender in 0..INSTANCES {
-            let demand = demand(&pools, nodes[sender].watched());
-            nodes[sender].set_status(demand, now);
+            let status = busy_status(&pools, nodes[sender].watched());
+            nodes[sender].set_status(status, now);
             for outgoing in nodes[sender].due_heartbeats(now) {
                 let receiver = list.iter().position(|info| *info == outgoing.to).unwrap();
                 let (reply, _) =
                     nodes[receiver].handle_heartbeat(&outgoing.heartbeat, now);
-                let heartbeat = encoded(&outgoing.heartbeat);
-                let answer = encoded(&reply);
-                sent[sender] += heartbeat;
-                received[receiver] += heartbeat;
-                sent[receiver] += answer;
-                received[sender] += answer;
+                let heartbeat_bytes = encoded(&outgoing.heartbeat);
+                let reply_bytes = encoded(&reply);
+                sent[sender] += heartbeat_bytes;
+                received[receiver] += heartbeat_bytes;
+                sent[receiver] += reply_bytes;
+                received[sender] += reply_bytes;
                 let name = outgoing.to.name.clone();
                 nodes[sender].handle_reply(&name, &reply, now);
             }
@@ -97,12 +98,12 @@
     assert!(worst < BUDGET, "{worst:.0} bytes a second");
 }
 
-/// Instances of a deployment without a list of them.
+/// The instances of a deployment without a list of them.
 const UNLISTED: usize = 84;
 
-/// What a heartbeat with its answer may take between instances that know each other, in bytes:
-/// what they have at servers, and a tenth more.
-const EXCHANGE: f64 = 450.0;
+/// The budget for a heartbeat with its reply between instances that know each other, in bytes:
+/// their loads, plus a tenth.
+const MAX_EXCHANGE_BYTES: f64 = 450.0;
 
 #[test]
 fn instances_without_a_list_ask_few_peers_for_theirs() {
@@ -123,7 +124,7 @@
     let mut now = Duration::from_secs(1);
     let mut bytes = 0;
     let mut exchanges = 0;
-    // Within the first rounds everybody has met everybody; the last is counted.
+    // In the first rounds all nodes learn of each other; the last one is measured.
     for _ in 0..5 {
         (bytes, exchanges) = (0, 0);
         now += Duration::from_secs(3);
@@ -134,8 +135,8 @@
                 long: 1,
                 unread: [10, 200, 400],
             });
-            let demand = NodeStatus { loads: loads.collect(), ..NodeStatus::default() };
-            nodes[sender].set_status(demand, now);
+            let status = NodeStatus { loads: loads.collect(), ..NodeStatus::default() };
+            nodes[sender].set_status(status, now);
             for outgoing in nodes[sender].due_heartbeats(now) {
                 let receiver =
                     (0..UNLISTED).find(|place| address(*place) == outgoing.to.address);
@@ -153,11 +154,11 @@
     assert_eq!(exchanges, UNLISTED * (UNLISTED - 1));
     let mean = bytes as f64 / exchanges as f64;
     println!("bytes of a heartbeat and its answer: {mean:.0}");
-    assert!(mean < EXCHANGE, "{mean:.0} bytes");
+    assert!(mean < MAX_EXCHANGE_BYTES, "{mean:.0} bytes");
 }
 
-/// Returns what a busy instance has to say of itself.
-fn demand(pools: &[u32], watched: &[u32]) -> NodeStatus {
+/// Returns the status of a busy instance.
+fn busy_status(pools: &[u32], watched: &[u32]) -> NodeStatus {
     let demands = pools
         .iter()
         .map(|pool| PoolDemand { pool: *pool, tiers: vec![200, 300, 400] });
@@ -169,8 +170,7 @@
         age: 60,
         leaving: false,
     });
-    // At 170 requests a second, an instance serves about this many organisations in a
-    // period.
+    // At 170 requests per second, an instance serves about this many organisations in a period.
     let usage = (0..ORGANISATIONS / 4).map(|organisation| UsageCount {
         organisation: fleet_key(&format!("organisation-{organisation}")),
         count: 2,
