--- a/crates/flaxtide-entry/src/duty/board.rs
+++ b/crates/flaxtide-entry/src/duty/shared.rs
@@ -8,7 +8,7 @@
 use flaxtide_core::{DataCentreName, MilliClock, OrganisationName, WallClock};
 use flaxtide_fleet::{FleetKey, UnsentUsage, UsageExchange, UsageNotice, fleet_key};
 use flaxtide_policy::{
-    ScalingRules, ServerStock, UsageCounts, UsageLedger, UsageSource, UsageTally,
+    ScalingRules, ServerCounts, UsageCounts, UsageLedger, UsageSource, UsageTally,
     WindowNumber, WindowTotal, window_of,
 };
 
@@ -25,7 +25,7 @@
     /// How many requests a server works on at once.
     pub(crate) slots: u32,
     /// The servers that serve.
-    pub(crate) stocks: BTreeMap<DataCentreName, ServerStock>,
+    pub(crate) stocks: BTreeMap<DataCentreName, ServerCounts>,
 }
 
 /// What a holder has to know of the rules and the servers.
@@ -41,18 +41,18 @@
 
 /// What the threads share.
 #[derive(Debug)]
-pub(crate) struct DutyBoard {
+pub(crate) struct SharedDuties {
     /// The clock.
     clock: MilliClock,
     /// The length of a window.
     window: Duration,
     /// What changes.
-    state: Mutex<BoardState>,
+    state: Mutex<DutyState>,
 }
 
 /// What changes.
 #[derive(Debug)]
-struct BoardState {
+struct DutyState {
     /// The time of day.
     wall: WallClock,
     /// What this instance has counted.
@@ -78,13 +78,13 @@
     open: BTreeMap<FleetKey, (Duration, Vec<(FleetKey, u32)>)>,
 }
 
-impl DutyBoard {
+impl SharedDuties {
     /// Starts with nothing counted.
     pub(crate) fn new(window: Duration) -> Self {
         let clock = MilliClock::real();
         let mut wall = WallClock::new(clock.clone());
         wall.sample_system();
-        let state = Mutex::new(BoardState {
+        let state = Mutex::new(DutyState {
             wall,
             ledger: UsageLedger::default(),
             open: BTreeMap::new(),
@@ -219,15 +219,15 @@
     }
 
     /// Locks the state. A panic elsewhere doesn't spoil it.
-    fn lock(&self) -> MutexGuard<'_, BoardState> {
+    fn lock(&self) -> MutexGuard<'_, DutyState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl UsageExchange for DutyBoard {
+impl UsageExchange for SharedDuties {
     fn unsent(&self, fence: u64) -> UnsentUsage {
         let state = self.lock();
-        let (windows, mark) = state.ledger.news(fence);
+        let (windows, mark) = state.ledger.unconfirmed(fence);
         UnsentUsage {
             told_until_ms: state.wall.now().as_millis() as u64,
             windows,
@@ -251,7 +251,7 @@
         } else {
             heard.open.insert(name, (now, notice.open));
         }
-        heard.tally.hear(
+        heard.tally.record_report(
             UsageSource { name, epoch: notice.epoch },
             fleet_key(&notice.from.data_centre),
             Duration::from_millis(notice.told_until_ms),
--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -15,7 +15,7 @@
     SettingsCopy, fleet_key,
 };
 use flaxtide_policy::{
-    CrashReport, PartKey, PeerLoad, PushbackReport, ReadNote, ServerLoad,
+    CrashReport, PartKey, PeerLoad, PrefillRecord, PushbackReport, ServerLoad,
 };
 use tokio::sync::mpsc;
 
@@ -24,7 +24,7 @@
 use crate::error::EntryError;
 use crate::feed::FeedEvent;
 use crate::metrics::EntryMetrics;
-use crate::reader::ListLog;
+use crate::reader::ServerListLog;
 use crate::shared_rules::{RulesCopy, SharedRules};
 use crate::state::TrafficState;
 
@@ -141,7 +141,7 @@
 pub(crate) fn open_fleet(
     config: &EntryConfig,
     shared: &Arc<SharedRules>,
-    list: &Arc<ListLog>,
+    list: &Arc<ServerListLog>,
     events: &mpsc::Sender<FeedEvent>,
     metrics: &Arc<EntryMetrics>,
 ) -> Result<FleetThread, EntryError> {
@@ -237,7 +237,7 @@
 }
 
 /// Shows how many bytes went over the links to peers.
-pub(crate) fn show_peer_bytes(metrics: &EntryMetrics, bytes: &LinkBytes) {
+pub(crate) fn export_peer_bytes(metrics: &EntryMetrics, bytes: &LinkBytes) {
     let (received, sent) = bytes.get();
     for (direction, count) in [("received", received), ("sent", sent)] {
         metrics.peer_bytes.with_label_values(&[direction]).set(count as i64);
@@ -245,14 +245,14 @@
 }
 
 /// Notices when the platform brings bytes of rules.
-pub(crate) struct RulesSource {
+pub(crate) struct RulesDownloadMonitor {
     /// What the platform tells.
     feed: Arc<dyn PlatformFeed>,
     /// How many bytes had come when it last looked.
     received: u64,
 }
 
-impl RulesSource {
+impl RulesDownloadMonitor {
     /// Looks at a feed.
     pub(crate) fn new(feed: Arc<dyn PlatformFeed>) -> Self {
         Self { feed, received: 0 }
@@ -260,8 +260,8 @@
 
     /// Tells the fleet thread if bytes of rules have come since the last look: as long as
     /// they do, peers aren't asked for the same.
-    pub(crate) fn look(&mut self, link: &FleetLink) {
-        let received = self.feed.received(FeedTopic::Rules);
+    pub(crate) fn poll(&mut self, link: &FleetLink) {
+        let received = self.feed.received_bytes(FeedTopic::Rules);
         if received != self.received {
             self.received = received;
             link.update(FleetNode::record_source_progress);
@@ -270,17 +270,17 @@
 }
 
 /// Tells peers what this instance has at servers, and hears how many instances are alive.
-pub(crate) fn tell_peers(
+pub(crate) fn publish_to_peers(
     state: &Rc<TrafficState>,
     link: &FleetLink,
     events: &mpsc::Sender<FeedEvent>,
 ) {
-    let loads = state.ask(|core, now| core.own_loads(now));
+    let loads = state.with_router(|core, now| core.own_loads(now));
     let loads = loads.iter().filter_map(|load| own_load(state, load)).collect();
-    let notes = state.ask(|core, now| core.own_reads(now));
+    let notes = state.with_router(|core, now| core.recent_prefills(now));
     let reads: Vec<(Duration, PartRead)> =
         notes.iter().filter_map(|note| part_read(state, note)).collect();
-    let silent = state.ask(|core, now| core.silent_servers(now));
+    let silent = state.with_router(|core, now| core.silent_servers(now));
     let silent: Vec<FleetKey> =
         silent.iter().filter_map(|server| state.server_key(*server)).collect();
     let events = events.clone();
@@ -329,7 +329,7 @@
 }
 
 /// Spells what a server has read as peers are told, with its age.
-fn part_read(state: &TrafficState, note: &ReadNote) -> Option<(Duration, PartRead)> {
+fn part_read(state: &TrafficState, note: &PrefillRecord) -> Option<(Duration, PartRead)> {
     let server = state.server_key(note.server)?;
     Some((note.age, PartRead { server, part: note.part }))
 }
@@ -338,7 +338,7 @@
 pub(crate) fn take_peer_unresponsive(state: &TrafficState, servers: &[FleetKey]) {
     let known: Vec<ServerId> =
         servers.iter().filter_map(|key| state.server_with_key(*key)).collect();
-    state.ask(|core, now| core.hear_rumours(&known, now));
+    state.with_router(|core, now| core.record_silence_reports(&known, now));
 }
 
 /// Takes in what servers have read for a peer.
@@ -348,7 +348,7 @@
         Some((server, read.part))
     });
     let known: Vec<(ServerId, PartKey)> = known.collect();
-    state.ask(|core, now| core.hear_reads(&known, now));
+    state.with_router(|core, now| core.record_peer_prefills(&known, now));
 }
 
 /// Spells a load as peers are told.
@@ -358,7 +358,7 @@
         short: u8::try_from(load.short).unwrap_or(u8::MAX),
         long: u8::try_from(load.long).unwrap_or(u8::MAX),
         unread: load
-            .unread
+            .pending_prefill
             .map(|tokens| u16::try_from(tokens / TOKENS_PER_UNIT).unwrap_or(u16::MAX)),
     })
 }
@@ -376,9 +376,9 @@
             server,
             short: u32::from(load.short),
             long: u32::from(load.long),
-            unread: load.unread.map(|units| u32::from(units) * TOKENS_PER_UNIT),
+            pending_prefill: load.unread.map(|units| u32::from(units) * TOKENS_PER_UNIT),
         })
     });
     let known: Vec<PeerLoad> = known.collect();
-    state.ask(|core, now| core.hear_peer(peer, &known, now));
+    state.with_router(|core, now| core.set_peer_loads(peer, &known, now));
 }
--- a/crates/flaxtide-entry/src/answer.rs
+++ b/crates/flaxtide-entry/src/response.rs
@@ -1,21 +1,21 @@
 //! A server's answer, from its head to the whole of it, or to the start of a stream.
 
 use bytes::{Bytes, BytesMut};
-use flaxtide_policy::{RetryVerdict, RouteFault};
+use flaxtide_policy::{RetryDecision, RouteFault};
 use hyper::{Response, StatusCode};
 
 use crate::contract::CallKind;
-use crate::exchange::{AnswerStart, CallerRequest};
-use crate::open_call::{OpenCall, TryEnd};
+use crate::exchange::{CallerRequest, ResponseStart};
+use crate::open_call::{AttemptOutcome, OpenCall};
 use crate::relay::{StreamRelay, relay_body};
-use crate::reply::{CallerAnswer, whole};
+use crate::reply::{CallerResponse, whole};
 
 /// An answer that has come, or has started to.
 pub(crate) enum Received {
     /// It is whole.
-    Whole(CallerAnswer),
+    Whole(CallerResponse),
     /// It is a stream, whose first bytes these are.
-    Stream(AnswerStart, Bytes),
+    Stream(ResponseStart, Bytes),
     /// It is a server's error, and the router tries the request elsewhere.
     Again,
 }
@@ -24,8 +24,8 @@
 pub(crate) async fn receive(
     call: &OpenCall,
     request: &CallerRequest,
-    mut start: AnswerStart,
-) -> Result<Received, TryEnd> {
+    mut start: ResponseStart,
+) -> Result<Received, AttemptOutcome> {
     let state = &call.state;
     if start.status.is_server_error() && call.class.class().kind == CallKind::Idempotent {
         // Another server may answer it. If none may, this answer is lost, so it is kept.
@@ -37,12 +37,12 @@
         let next = state.wait_until(call.deadline, start.body.next(state)).await;
         let Some(next) = next else {
             call.may_have_run.set(true);
-            return Err(TryEnd::TimeOver);
+            return Err(AttemptOutcome::TimedOut);
         };
-        match next.map_err(TryEnd::Fault)? {
+        match next.map_err(AttemptOutcome::Fault)? {
             Some(bytes) if streams => {
-                state.decide(|core, now| {
-                    core.heard(call.request, now);
+                state.run_router(|core, now| {
+                    core.record_response_data(call.request, now);
                     vec![]
                 });
                 return Ok(Received::Stream(start, bytes));
@@ -51,7 +51,7 @@
             None => break,
         }
     }
-    state.decide(|core, now| core.finish(call.request, now));
+    state.run_router(|core, now| core.finish(call.request, now));
     if start.status.is_success() {
         state.quarantine.clear(state, request);
     }
@@ -63,8 +63,8 @@
 async fn receive_failure(
     call: &OpenCall,
     request: &CallerRequest,
-    mut start: AnswerStart,
-) -> Result<Received, TryEnd> {
+    mut start: ResponseStart,
+) -> Result<Received, AttemptOutcome> {
     let mut collected = BytesMut::new();
     loop {
         let next = call
@@ -74,14 +74,15 @@
         match next {
             Some(Ok(Some(bytes))) => collected.extend_from_slice(&bytes),
             Some(Ok(None)) => break,
-            Some(Err(fault)) => return Err(TryEnd::Fault(fault)),
+            Some(Err(fault)) => return Err(AttemptOutcome::Fault(fault)),
             None => {
                 call.may_have_run.set(true);
-                return Err(TryEnd::TimeOver);
+                return Err(AttemptOutcome::TimedOut);
             }
         }
     }
-    if call.fail(request, RouteFault::Failed, false).await == RetryVerdict::Again {
+    if call.handle_fault(request, RouteFault::Failed, false).await == RetryDecision::Retry
+    {
         return Ok(Received::Again);
     }
     let (status, headers) = (start.status, start.headers);
@@ -94,14 +95,14 @@
     status: StatusCode,
     headers: hyper::HeaderMap,
     body: Bytes,
-) -> CallerAnswer {
+) -> CallerResponse {
     call.note_first();
-    call.note_late();
+    call.record_missed_target();
     let mut answer = Response::new(whole(body));
     *answer.status_mut() = status;
     *answer.headers_mut() = headers;
     call.may_have_run.set(true);
-    call.end("answered", status.as_u16());
+    call.record_end("answered", status.as_u16());
     answer
 }
 
@@ -109,9 +110,9 @@
 pub(crate) fn begin_stream(
     call: OpenCall,
     request: CallerRequest,
-    start: AnswerStart,
+    start: ResponseStart,
     first: Bytes,
-) -> CallerAnswer {
+) -> CallerResponse {
     call.note_first();
     call.may_have_run.set(true);
     let (status, headers) = (start.status, start.headers);
--- a/crates/flaxtide-fleet/src/node/pushback.rs
+++ b/crates/flaxtide-fleet/src/node/pushback.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use flaxtide_core::InstanceName;
-use flaxtide_policy::{PushbackLog, PushbackReport, ReportEffect, ServerStart};
+use flaxtide_policy::{IncarnationKey, PushbackLog, PushbackReport, ReportEffect};
 
 use super::{FleetNode, FleetNotice};
 use crate::changes::ChangeQueue;
@@ -31,7 +31,7 @@
     /// All known reports.
     log: PushbackLog,
     /// The servers with new reports for peers, in order.
-    changes: ChangeQueue<ServerStart>,
+    changes: ChangeQueue<IncarnationKey>,
 }
 
 impl FleetNode {
@@ -102,7 +102,7 @@
                 ReportEffect::Known => {}
                 // This instance has a newer report than the peer, and sends it.
                 ReportEffect::Outdated => self.pushback.changes.push(report.server),
-                ReportEffect::News => {
+                ReportEffect::Changed => {
                     news.push(*report);
                     if forwards {
                         self.pushback.changes.push(report.server);
--- a/crates/flaxtide-lab/tests/shed.rs
+++ b/crates/flaxtide-lab/tests/shed.rs
@@ -9,7 +9,7 @@
 
 use flaxtide_core::{RequestId, ServerId};
 use flaxtide_policy::{
-    RetryVerdict, RouteAction, RouteCore, RouteFault, RouteOptions, RoutedServer,
+    RetryDecision, RouteAction, RouteCore, RouteFault, RouteOptions, RoutedServer,
     ServerStatement,
 };
 use rand::rngs::SmallRng;
@@ -151,12 +151,13 @@
             *self.running.entry(server).or_default() -= 1;
             let core = &mut self.cores[number];
             let rest = refused.then_some(REST);
-            let statement = ServerStatement { rest, ..ServerStatement::default() };
-            core.hear_statement(server, statement, sent, now);
+            let statement =
+                ServerStatement { backoff: rest, ..ServerStatement::default() };
+            core.record_statement(server, statement, sent, now);
             let actions = if refused {
                 let (verdict, actions) = core.fail(request, RouteFault::Full, false, now);
-                if verdict == RetryVerdict::End {
-                    core.leave(request, now);
+                if verdict == RetryDecision::Stop {
+                    core.cancel(request, now);
                 }
                 actions
             } else {
@@ -172,7 +173,7 @@
     fn take(&mut self, number: usize, actions: &[RouteAction], now: Duration) {
         for action in actions {
             let RouteAction::Dispatch { request, choice, .. } = action else { continue };
-            if !self.cores[number].passes_gate(*request, now) {
+            if !self.cores[number].permit_send(*request, now) {
                 continue;
             }
             let sheds = sheds(choice.server, now);
--- a/crates/flaxtide-policy/benches/gate.rs
+++ b/crates/flaxtide-policy/benches/gate.rs
@@ -19,15 +19,19 @@
 fn core(engines: u32) -> RouteCore {
     let mut core = RouteCore::new(RouteOptions::default());
     let own = GroupMember { instance: 1, data_centre: 0 };
-    let group = InstanceGroup { own, members: vec![own], others: vec![] };
+    let group = InstanceGroup {
+        own,
+        members: vec![own],
+        other_data_centres: vec![],
+    };
     core.set_group(Arc::new(group), Duration::ZERO);
     let engine = |server: u32| RoutedServer {
         server,
-        rank: u64::from(server),
+        name_hash: u64::from(server),
         slots: 64,
         engine: Some(EngineShape { memory_tokens: 400_000, fetch_tokens_per_ms: None }),
         data_centre: 0,
-        near: true,
+        local: true,
         leaving: false,
         lapsed: false,
     };
@@ -35,7 +39,7 @@
     core.set_servers(1, &servers, Duration::ZERO);
     let rate = RequestRate::from_per_second(1000.0);
     for server in (0..engines).step_by(4) {
-        core.hear_peer_rate(
+        core.record_peer_rate(
             server,
             rate,
             Duration::from_millis(1),
@@ -76,7 +80,7 @@
         choice.saturating_record(start.elapsed().as_nanos() as u64);
         if matches!(actions[..], [RouteAction::Dispatch { .. }]) {
             let start = Instant::now();
-            std::hint::black_box(core.passes_gate(request, now));
+            std::hint::black_box(core.permit_send(request, now));
             gate.saturating_record(start.elapsed().as_nanos() as u64);
         }
         if request > OPEN {
