--- a/crates/flaxtide-entry/src/duty/shared.rs
+++ b/crates/flaxtide-entry/src/duty/shared.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use flaxtide_core::{DataCentreName, MilliClock, OrganisationName, WallClock};
-use flaxtide_fleet::{FleetKey, UnsentUsage, UsageExchange, UsageNotice, fleet_key};
+use flaxtide_fleet::{FleetKey, UnconfirmedUsage, UsageExchange, UsageNotice, fleet_key};
 use flaxtide_policy::{
     ScalingRules, ServerCounts, UsageCounts, UsageLedger, UsageSource, UsageTally,
     WindowNumber, WindowTotal, window_of,
@@ -225,10 +225,10 @@
 }
 
 impl UsageExchange for SharedDuties {
-    fn unsent(&self, fence: u64) -> UnsentUsage {
+    fn unconfirmed(&self, fence: u64) -> UnconfirmedUsage {
         let state = self.lock();
         let (windows, mark) = state.ledger.unconfirmed(fence);
-        UnsentUsage {
+        UnconfirmedUsage {
             told_until_ms: state.wall.now().as_millis() as u64,
             windows,
             open: state.open.iter().map(|(key, count)| (*key, *count)).collect(),
--- a/crates/flaxtide-fleet/src/duty.rs
+++ b/crates/flaxtide-fleet/src/duty.rs
@@ -7,7 +7,7 @@
 
 /// The usage that a duty holder hasn't received yet.
 #[derive(Debug, Clone, PartialEq)]
-pub struct UnsentUsage {
+pub struct UnconfirmedUsage {
     /// The time up to which this is complete, in Unix milliseconds.
     pub told_until_ms: u64,
     /// The windows that have changed since the holder's last confirmation.
@@ -21,7 +21,7 @@
 /// Provides the usage that this instance has counted, and receives that of its peers.
 pub trait UsageExchange: Send + Sync {
     /// Returns the usage that the holder with this fencing number hasn't received.
-    fn unsent(&self, fence: u64) -> UnsentUsage;
+    fn unconfirmed(&self, fence: u64) -> UnconfirmedUsage;
 
     /// Records that the holder has received the usage with this mark.
     fn confirm(&self, fence: u64, mark: u64);
--- a/crates/flaxtide-fleet/src/lib.rs
+++ b/crates/flaxtide-fleet/src/lib.rs
@@ -26,7 +26,7 @@
 mod wire;
 
 pub use self::counted::LinkBytes;
-pub use self::duty::{UnsentUsage, UsageExchange};
+pub use self::duty::{UnconfirmedUsage, UsageExchange};
 pub use self::info::PeerInfo;
 pub use self::key::{FleetKey, fleet_key};
 pub use self::node::{
--- a/crates/flaxtide-fleet/src/node/duty.rs
+++ b/crates/flaxtide-fleet/src/node/duty.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::FleetNode;
-use crate::duty::UnsentUsage;
+use crate::duty::UnconfirmedUsage;
 use crate::wire::{DutyHolder, UsageNotice};
 
 /// The number of candidates in a single group. If each data centre is a group, each has one
@@ -47,14 +47,14 @@
     }
 
     /// Builds a notice of the usage that this instance has counted.
-    pub(crate) fn usage_notice(&self, unsent: UnsentUsage) -> UsageNotice {
+    pub(crate) fn usage_notice(&self, unconfirmed: UnconfirmedUsage) -> UsageNotice {
         UsageNotice {
             from: self.own.clone(),
             epoch: self.epoch,
             leaving: self.leaving,
-            told_until_ms: unsent.told_until_ms,
-            windows: unsent.windows,
-            open: unsent.open,
+            told_until_ms: unconfirmed.told_until_ms,
+            windows: unconfirmed.windows,
+            open: unconfirmed.open,
         }
     }
 }
--- a/crates/flaxtide-fleet/src/usage.rs
+++ b/crates/flaxtide-fleet/src/usage.rs
@@ -46,9 +46,9 @@
 /// Sends a holder the usage that it hasn't received.
 async fn send_usage(shared: Arc<FleetShared>, holder: DutyHolder) {
     let Some(exchange) = shared.usage_exchange.get() else { return };
-    let unsent = exchange.unsent(holder.fence);
-    let mark = unsent.mark;
-    let notice = shared.node().usage_notice(unsent);
+    let unconfirmed = exchange.unconfirmed(holder.fence);
+    let mark = unconfirmed.mark;
+    let notice = shared.node().usage_notice(unconfirmed);
     if holder.address == notice.from.address {
         if exchange.receive(notice) {
             exchange.confirm(holder.fence, mark);
