--- a/crates/flaxtide-fleet/src/duty.rs
+++ b/crates/flaxtide-fleet/src/duty.rs
@@ -20,7 +20,7 @@
 
 /// Provides the usage that this instance has counted, and receives that of its peers.
 pub trait UsageExchange: Send + Sync {
-    /// Returns the usage that the holder with this fencing number hasn't received.
+    /// Returns the usage that the holder with this fencing token hasn't received.
     fn unconfirmed(&self, fence: u64) -> UnconfirmedUsage;
 
     /// Records that the holder has received the usage with this mark.
--- a/crates/flaxtide-fleet/src/lib.rs
+++ b/crates/flaxtide-fleet/src/lib.rs
@@ -33,7 +33,7 @@
     FleetNode, FleetNotice, FleetServer, FleetTiming, NodeStatus, OutgoingCrashes,
     OutgoingHeartbeat, OutgoingHello, OutgoingPushback, SettingsSource,
 };
-pub use self::rate::rate_part;
+pub use self::rate::rate_share;
 pub use self::rows::{
     ListPlan, ListReader, RowAnswer, RowChanges, RowCopy, RowQuestion, RowSource,
 };
--- a/crates/flaxtide-fleet/src/node/divide.rs
+++ b/crates/flaxtide-fleet/src/node/divide.rs
@@ -7,7 +7,7 @@
 use super::{FleetNode, FleetNotice, FleetServer};
 use crate::key::FleetKey;
 use crate::peer::PeerRecord;
-use crate::rate::rate_part;
+use crate::rate::rate_share;
 use crate::wire::{RatePart, ServerShare};
 
 impl FleetNode {
@@ -36,7 +36,7 @@
         self.servers.iter().map(share).collect()
     }
 
-    /// Returns this instance's own shares of the servers that it watches, and its own parts of
+    /// Returns this instance's own shares of the servers that it watches, and its own shares of
     /// the rates that it owns.
     #[must_use]
     pub fn own_notices(&self, now: Duration) -> Vec<FleetNotice> {
@@ -44,9 +44,9 @@
         let shares = self.shares_of(&self.own.name).into_iter();
         let shares = shares.map(|share| FleetNotice::Share(share, until));
         let own: Vec<FleetKey> = self.usage.keys().copied().collect();
-        let parts = self.rate_parts_of(&self.own.name, &own).into_iter();
+        let rate_shares = self.rate_shares_of(&self.own.name, &own).into_iter();
         shares
-            .chain(parts.map(|part| FleetNotice::Rate(part, until)))
+            .chain(rate_shares.map(|share| FleetNotice::Rate(share, until)))
             .collect()
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Returns an instance's demand for one server: its requests for each of the server's
-    /// pools, times the server's part of the pool's slots.
+    /// pools, times the server's fraction of the pool's slots.
     pub(super) fn demand_for(&self, name: &str, server: &FleetServer) -> SlotDemand {
         let demands = if name == self.own.name {
             &self.status.demands
@@ -79,18 +79,18 @@
         for demand in demands.iter().filter(|demand| server.pools.contains(&demand.pool))
         {
             let total = self.pool_slots.get(&demand.pool).copied().unwrap_or_default();
-            let part = f64::from(server.slots) / f64::from(total.max(1));
+            let fraction = f64::from(server.slots) / f64::from(total.max(1));
             tiers.resize(tiers.len().max(demand.tiers.len()), 0.0);
             for (sum, count) in tiers.iter_mut().zip(&demand.tiers) {
-                *sum += f64::from(*count) * part;
+                *sum += f64::from(*count) * fraction;
             }
         }
         SlotDemand { tiers }
     }
 
-    /// Returns an instance's parts of the given organisations' rates, for those rates that this
+    /// Returns an instance's shares of the given organisations' rates, for those rates that this
     /// instance owns.
-    pub(super) fn rate_parts_of(
+    pub(super) fn rate_shares_of(
         &self,
         name: &str,
         organisations: &[FleetKey],
@@ -100,20 +100,20 @@
         };
         let owned = organisations.iter().copied();
         let owned = owned.filter(|organisation| self.owns(*organisation, &self.own.name));
-        let group_part = self.group_part();
-        let part = |organisation: FleetKey| {
+        let group_share = self.group_share();
+        let share = |organisation: FleetKey| {
             let usage: Vec<f64> = self
                 .live
                 .iter()
                 .map(|name| self.usage_at(name, organisation))
                 .collect();
-            let part = rate_part(&usage, index) * group_part;
+            let share = rate_share(&usage, index) * group_share;
             RatePart {
                 organisation,
-                part: (part * f64::from(u16::MAX)).round() as u16,
+                part: (share * f64::from(u16::MAX)).round() as u16,
             }
         };
-        owned.map(part).collect()
+        owned.map(share).collect()
     }
 
     /// Returns an organisation's requests per second at one instance.
@@ -129,9 +129,9 @@
             .unwrap_or(0.0)
     }
 
-    /// Returns this group's part of a rate: the fraction of known instances that are in
+    /// Returns this group's share of a rate: the fraction of known instances that are in
     /// it.
-    pub(super) fn group_part(&self) -> f64 {
+    pub(super) fn group_share(&self) -> f64 {
         let local =
             self.peers.values().filter(|peer| self.in_own_group(peer)).count() + 1;
         local as f64 / (self.peers.len() + 1) as f64
--- a/crates/flaxtide-fleet/src/node/duty.rs
+++ b/crates/flaxtide-fleet/src/node/duty.rs
@@ -17,7 +17,7 @@
 
 impl FleetNode {
     /// Records the holder of the duties if it is newer than the known one, which is the one
-    /// with the lower fencing number.
+    /// with the lower fencing token.
     pub fn record_duty_holder(&mut self, holder: Option<DutyHolder>) {
         if holder > self.duty {
             self.duty = holder;
--- a/crates/flaxtide-fleet/src/node/heartbeats.rs
+++ b/crates/flaxtide-fleet/src/node/heartbeats.rs
@@ -155,8 +155,9 @@
         peer.record_liveness_change(changed);
         let info = peer.info.clone();
         let shares = reply.shares.iter().map(|share| FleetNotice::Share(*share, until));
-        let parts = reply.parts.iter().map(|part| FleetNotice::Rate(*part, until));
-        let mut notices: Vec<_> = shares.chain(parts).collect();
+        let rate_shares =
+            reply.parts.iter().map(|share| FleetNotice::Rate(*share, until));
+        let mut notices: Vec<_> = shares.chain(rate_shares).collect();
         if reply.version > self.version() {
             notices.push(FleetNotice::Version(reply.version, info));
         }
@@ -216,7 +217,7 @@
             leaving: self.leaving,
             version: self.version(),
             shares: if local { self.shares_of(from) } else { vec![] },
-            parts: if local { self.rate_parts_of(from, &organisations) } else { vec![] },
+            parts: if local { self.rate_shares_of(from, &organisations) } else { vec![] },
             peers: if heartbeat.wants_peers {
                 self.peers_for(&heartbeat.data_centre, now)
             } else {
--- a/crates/flaxtide-fleet/src/node/mod.rs
+++ b/crates/flaxtide-fleet/src/node/mod.rs
@@ -100,7 +100,7 @@
     Load(ServerDigest),
     /// This instance's share of a server's slots, and when the share expires.
     Share(ServerShare, Duration),
-    /// This instance's part of an organisation's rate, and when the part expires.
+    /// This instance's share of an organisation's rate, and when the share expires.
     Rate(RatePart, Duration),
     /// All requests of a peer, by backend server.
     PeerLoads(InstanceName, Vec<OwnLoad>),
@@ -434,7 +434,7 @@
 /// server.
 fn has_load_increase(before: &[OwnLoad], now: &[OwnLoad], units: u16) -> bool {
     let sum = |load: &OwnLoad| {
-        load.unread.iter().fold(0u16, |sum, part| sum.saturating_add(*part))
+        load.unread.iter().fold(0u16, |sum, units| sum.saturating_add(*units))
     };
     now.iter().any(|load| {
         let old = before.iter().find(|old| old.server == load.server).map_or(0, sum);
--- a/crates/flaxtide-fleet/src/settings/provider.rs
+++ b/crates/flaxtide-fleet/src/settings/provider.rs
@@ -62,7 +62,7 @@
             .transfers
             .iter()
             .position(|transfer| transfer.requester == question.requester);
-        let current = own.map(|place| self.transfers.swap_remove(place));
+        let current = own.map(|index| self.transfers.swap_remove(index));
         if self.transfers.len() >= MAX_TRANSFERS {
             return PieceAnswer::Busy;
         }
--- a/crates/flaxtide-fleet/src/wire.rs
+++ b/crates/flaxtide-fleet/src/wire.rs
@@ -44,7 +44,7 @@
 /// The instance that holds the duties that a single instance carries out for the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DutyHolder {
-    /// The fencing number of its lease. Of two holders, the one with the higher number is the
+    /// The fencing token of its lease. Of two holders, the one with the higher token is the
     /// newer.
     pub fence: u64,
     /// The address at which the holder accepts links.
@@ -114,7 +114,7 @@
     pub version: SettingsVersion,
     /// The receiver's shares of the servers that the replying instance watches.
     pub shares: Vec<ServerShare>,
-    /// The receiver's parts of the rates that the replying instance owns.
+    /// The receiver's shares of the rates that the replying instance owns.
     pub parts: Vec<RatePart>,
     /// The instances that the replying instance knows of, if the heartbeat asked for them.
     pub peers: Vec<PeerInfo>,
@@ -257,11 +257,11 @@
     pub slots: u16,
 }
 
-/// An instance's part of an organisation's rate.
+/// An instance's share of an organisation's rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RatePart {
     /// The key of the organisation.
     pub organisation: FleetKey,
-    /// The part, in units of 1/65535.
+    /// The share, in units of 1/65535.
     pub part: u16,
 }
--- a/crates/flaxtide-fleet/tests/common/mod.rs
+++ b/crates/flaxtide-fleet/tests/common/mod.rs
@@ -304,8 +304,8 @@
 
     /// Returns the number of running instances in a data centre.
     pub fn count_in(&self, data_centre: &str) -> usize {
-        let places = self.nodes.keys().map(|address| &self.data_centres[address]);
-        places.filter(|place| *place == data_centre).count()
+        let data_centres = self.nodes.keys().map(|address| &self.data_centres[address]);
+        data_centres.filter(|name| *name == data_centre).count()
     }
 
     /// Returns the nodes that don't know the number of running instances in their data centre
--- a/crates/flaxtide-fleet/tests/crashes.rs
+++ b/crates/flaxtide-fleet/tests/crashes.rs
@@ -28,8 +28,8 @@
 /// Has three instances, each in another data centre, observe a server that crashes under the
 /// request.
 fn crash_three_servers(fleet: &mut Fleet, numbers: [usize; 3]) {
-    for (place, number) in numbers.into_iter().enumerate() {
-        fleet.observe_crash(number, REQUEST, 100 + place as u32);
+    for (index, number) in numbers.into_iter().enumerate() {
+        fleet.observe_crash(number, REQUEST, 100 + index as u32);
         fleet.run(Duration::from_millis(100));
     }
 }
--- a/crates/flaxtide-fleet/tests/node.rs
+++ b/crates/flaxtide-fleet/tests/node.rs
@@ -28,7 +28,7 @@
     statuses: BTreeMap<String, NodeStatus>,
     /// The last shares and their expiry, by node and server.
     shares: BTreeMap<(String, FleetKey), (u16, Duration)>,
-    /// The last parts of the rate and their expiry, by node.
+    /// The last shares of the rate and their expiry, by node.
     rates: BTreeMap<String, (f64, Duration)>,
 }
 
@@ -131,8 +131,8 @@
                     self.shares.insert((name.into(), share.server), (share.slots, until));
                 }
                 FleetNotice::Rate(rate, until) => {
-                    let part = f64::from(rate.part) / f64::from(u16::MAX);
-                    self.rates.insert(name.into(), (part, until));
+                    let share = f64::from(rate.part) / f64::from(u16::MAX);
+                    self.rates.insert(name.into(), (share, until));
                 }
                 FleetNotice::Version(version, _) => {
                     self.nodes.get_mut(name).unwrap().set_version(version);
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn parts_of_a_rate_add_up_to_one_over_both_data_centres() {
+fn shares_of_a_rate_add_up_to_one_over_both_data_centres() {
     let mut net = Net::new(2, 4, 0);
     let organisation = fleet_key("arica");
     for (name, count) in [("dc0-0", 10), ("dc0-1", 5), ("dc1-0", 5)] {
@@ -293,11 +293,11 @@
         net.statuses.get_mut(name).unwrap().usage = usage;
     }
     net.run(Duration::from_secs(3));
-    let parts: f64 = net.rates.values().map(|(part, _)| part).sum();
-    // Instances that the organisation doesn't use keep an equal part of a fifth of the rate, of
-    // which they aren't notified. The notified parts add up to less than the rate, never to
+    let shares: f64 = net.rates.values().map(|(share, _)| share).sum();
+    // Instances that the organisation doesn't use keep an equal share of a fifth of the rate, of
+    // which they aren't notified. The notified shares add up to less than the rate, never to
     // more.
-    assert!((0.8..=1.001).contains(&parts), "{parts}: {:?}", net.rates);
+    assert!((0.8..=1.001).contains(&shares), "{shares}: {:?}", net.rates);
     assert!(net.rates["dc0-0"].0 > 1.5 * net.rates["dc0-1"].0, "{:?}", net.rates);
 }
 
--- a/crates/flaxtide-fleet/tests/pushback.rs
+++ b/crates/flaxtide-fleet/tests/pushback.rs
@@ -8,7 +8,7 @@
 use common::Fleet;
 use flaxtide_policy::{IncarnationKey, RequestRate};
 
-/// The key of the server's current run.
+/// The key of the server's incarnation.
 const SERVER: IncarnationKey = 7;
 
 /// The time within which all instances must know an announcement.
@@ -98,20 +98,20 @@
 }
 
 #[test]
-fn the_parts_of_all_instances_add_up_to_the_rate() {
+fn the_shares_of_all_instances_add_up_to_the_rate() {
     for (instances, data_centres) in SIZES {
         let mut fleet = informed_fleet(instances, data_centres);
         for requests in [0.5, 2.0, 20.0, 200.0] {
             let rate = RequestRate::from_per_second(requests).unwrap();
             let now = fleet.now;
             for server in 0..20u64 {
-                let place = format!("dc{}", server as usize % data_centres);
-                let place = flaxtide_fleet::fleet_key(&place);
-                let parts = fleet.nodes.values_mut().filter_map(|node| {
+                let data_centre = format!("dc{}", server as usize % data_centres);
+                let data_centre = flaxtide_fleet::fleet_key(&data_centre);
+                let shares = fleet.nodes.values_mut().filter_map(|node| {
                     let group = node.instance_group(now)?;
-                    Some(group.rate_share(server, place, rate))
+                    Some(group.rate_share(server, data_centre, rate))
                 });
-                let sum: f64 = parts.sum();
+                let sum: f64 = shares.sum();
                 assert!(
                     (sum - requests).abs() < 1e-6,
                     "{sum} of {requests}, {instances}"
--- a/crates/flaxtide-fleet/tests/size.rs
+++ b/crates/flaxtide-fleet/tests/size.rs
@@ -139,7 +139,7 @@
             nodes[sender].set_status(status, now);
             for outgoing in nodes[sender].due_heartbeats(now) {
                 let receiver =
-                    (0..UNLISTED).find(|place| address(*place) == outgoing.to.address);
+                    (0..UNLISTED).find(|number| address(*number) == outgoing.to.address);
                 let receiver = receiver.unwrap();
                 let (reply, _) =
                     nodes[receiver].handle_heartbeat(&outgoing.heartbeat, now);
--- a/crates/flaxtide-fleet/tests/transfer.rs
+++ b/crates/flaxtide-fleet/tests/transfer.rs
@@ -146,9 +146,9 @@
         (Instance::start("requester", 0), Instance::start("provider", 8));
     provider.relay.set_fault(RelayFault::Delay(10));
     requester.meet(&provider);
-    for part in 1..=3 {
+    for count in 1..=3 {
         wait_until("a part has come", || {
-            provider.sent() > part * SETTINGS_BYTES as u64 / 5
+            provider.sent() > count * SETTINGS_BYTES as u64 / 5
         });
         provider.relay.set_fault(RelayFault::Cut);
         wait_until("the link is cut", || provider.relay.open() == 0);
