--- a/crates/flaxtide-fleet/src/lib.rs
+++ b/crates/flaxtide-fleet/src/lib.rs
@@ -1,19 +1,19 @@
-//! What entry instances say to each other.
+//! The exchange of state between entry instances.
 //!
-//! A [`FleetNode`] is the pure part: what one instance knows of its peers, which backend
-//! servers it watches, and how it divides their slots and the rates of organisations. All
-//! of it is soft state: it is heard again within a few periods, and what isn't heard
-//! expires. [`FleetThread`] carries the messages over tarpc.
+//! A [`FleetNode`] holds the state of one instance and does no I/O: what it knows of its peers,
+//! which backend servers it watches, and how it divides their slots and the rates of
+//! organisations. All of it is soft state: it is refreshed every few periods, and expires if it
+//! isn't. [`FleetThread`] exchanges the messages over tarpc.
 
-mod contact;
+mod changes;
 mod counted;
 mod duty;
 mod fetch;
 mod info;
 mod key;
 mod links;
-mod news;
 mod node;
+mod notice;
 mod partial;
 mod peer;
 mod rate;
@@ -26,20 +26,20 @@
 mod wire;
 
 pub use self::counted::LinkBytes;
-pub use self::duty::{UnsentUsage, UsageExchange};
+pub use self::duty::{UnconfirmedUsage, UsageExchange};
 pub use self::info::PeerInfo;
 pub use self::key::{FleetKey, fleet_key};
 pub use self::node::{
     FleetNode, FleetNotice, FleetServer, FleetTiming, NodeStatus, OutgoingCrashes,
     OutgoingHeartbeat, OutgoingHello, OutgoingPushback, SettingsSource,
 };
-pub use self::rate::rate_part;
+pub use self::rate::rate_share;
 pub use self::rows::{
     ListPlan, ListReader, RowAnswer, RowChanges, RowCopy, RowQuestion, RowSource,
 };
 pub use self::settings::{
-    CopyAssembly, PIECE_BYTES, PieceAnswer, PieceProvider, PieceQuestion, SettingsCopy,
-    SettingsPiece, TakenPiece,
+    CopyAssembly, MAX_PIECE_BYTES, PieceAnswer, PieceOutcome, PieceProvider,
+    PieceQuestion, SettingsCopy, SettingsPiece,
 };
 pub use self::thread::{FleetEvent, FleetThread, FleetUpdate};
 pub use self::wire::{
--- a/crates/flaxtide-fleet/src/node/pushback.rs
+++ b/crates/flaxtide-fleet/src/node/pushback.rs
@@ -1,5 +1,6 @@
-//! What backend servers have said of themselves: news go to peers at once and are told again
-//! until they have arrived; an instance that starts or comes back is told all.
+//! Exchange of pushback reports: the limits and departures that backend servers announce. New
+//! reports are sent to peers at once and resent until they are acknowledged. An instance that
+//! starts or comes back is sent all reports.
 
 use std::time::Duration;
 
@@ -7,101 +8,104 @@
 use flaxtide_policy::{IncarnationKey, PushbackLog, PushbackReport, ReportEffect};
 
 use super::{FleetNode, FleetNotice};
-use crate::contact::PendingNotice;
+use crate::changes::ChangeQueue;
 use crate::info::PeerInfo;
-use crate::news::NewsQueue;
+use crate::notice::PendingNotice;
 use crate::wire::PushbackNotice;
 
-/// The most reports in one message: 14 KB.
-const MOST_REPORTS: usize = 1024;
+/// The most reports in a message, about 14 KB.
+const MAX_REPORTS: usize = 1024;
 
-/// A notice of what servers have said, on its way to a peer.
+/// A pushback notice to be sent to a peer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutgoingPushback {
-    /// The peer.
+    /// The peer that receives it.
     pub to: PeerInfo,
-    /// The notice.
+    /// The message.
     pub notice: PushbackNotice,
 }
 
-/// What this instance knows of what servers have said.
+/// The known pushback reports, and which of them peers still need.
 #[derive(Debug, Default)]
 pub(super) struct PushbackState {
-    /// All of it.
+    /// All known reports.
     log: PushbackLog,
-    /// The servers of which this instance has news for its peers.
-    news: NewsQueue<IncarnationKey>,
+    /// The servers with new reports for peers, in order.
+    changes: ChangeQueue<IncarnationKey>,
 }
 
 impl FleetNode {
-    /// Records what servers have said to this instance.
+    /// Records what servers have announced to this instance, and queues it for its peers.
     pub fn record_pushback(&mut self, reports: &[PushbackReport], now: Duration) {
         for report in reports {
             self.pushback.log.apply(report, now);
-            self.pushback.news.push(report.server);
+            self.pushback.changes.push(report.server);
         }
     }
 
-    /// Returns the notices of what servers have said that are due.
+    /// Returns the pushback notices that are due.
     pub fn due_pushback(&mut self, now: Duration) -> Vec<OutgoingPushback> {
-        let last = self.pushback.news.last();
+        let last = self.pushback.changes.last();
         if last == 0 && self.pushback.log.is_empty() {
             return vec![];
         }
-        let told =
-            self.told_peers(now, |peer| &peer.pushback, |contact| contact.has_due(last));
+        let recipients = self.peers_to_notify(
+            now,
+            |peer| &peer.pushback_notices,
+            |state| state.is_due(last),
+        );
         let mut due = vec![];
-        for name in told {
+        for name in recipients {
             let Some(peer) = self.peers.get_mut(&name) else { continue };
-            let PushbackState { log, news } = &self.pushback;
-            let contact = &mut peer.pushback;
-            let mut reports: Vec<PushbackReport> = news
-                .after(contact.told)
+            let PushbackState { log, changes } = &self.pushback;
+            let state = &mut peer.pushback_notices;
+            let mut reports: Vec<PushbackReport> = changes
+                .after(state.acknowledged)
                 .filter_map(|server| log.report_of(server, now))
                 .collect();
-            if contact.tell_all {
-                let known = log.reports(MOST_REPORTS, now);
+            if state.needs_all {
+                let known = log.reports(MAX_REPORTS, now);
                 let missing = known.into_iter().filter(|report| {
                     !reports.iter().any(|other| other.server == report.server)
                 });
                 let missing: Vec<PushbackReport> = missing.collect();
                 reports.extend(missing);
             }
-            let tells_all = contact.tell_all;
-            contact.send(PendingNotice {
-                at: now,
-                told: last,
+            let sends_all = state.needs_all;
+            state.record_sent(PendingNotice {
+                sent_at: now,
+                last_change: last,
                 compares: false,
-                tells_all,
+                sends_all,
             });
             if reports.is_empty() {
-                contact.answer();
+                state.record_answer();
                 continue;
             }
-            let (from, to_all) = (self.own.clone(), self.group.joint);
+            let (from, to_all) = (self.own.clone(), self.group.is_single);
             let notice = PushbackNotice { from, reports, to_all };
             due.push(OutgoingPushback { to: peer.info.clone(), notice });
         }
         due
     }
 
-    /// Handles a peer's notice. Returns what is news.
+    /// Handles a peer's notice. Returns notices of the reports that are new.
     pub fn handle_pushback(
         &mut self,
         notice: &PushbackNotice,
         now: Duration,
     ) -> Vec<FleetNotice> {
-        let passes_on = !notice.to_all && !self.is_home(&notice.from);
+        let forwards = !notice.to_all && !self.in_own_data_centre(&notice.from);
         let mut news = vec![];
         for report in &notice.reports {
             match self.pushback.log.apply(report, now) {
                 ReportEffect::Known => {}
-                // The peer lacks what the server has said since, and is told.
-                ReportEffect::Outdated => self.pushback.news.push(report.server),
+                // This instance has a newer report than the peer, and sends it.
+                ReportEffect::Outdated => self.pushback.changes.push(report.server),
                 ReportEffect::Changed => {
                     news.push(*report);
-                    if passes_on {
-                        self.pushback.news.push(report.server);
+                    if forwards {
+                        self.pushback.changes.push(report.server);
                     }
                 }
             }
@@ -109,24 +113,24 @@
         if news.is_empty() { vec![] } else { vec![FleetNotice::Pushback(news)] }
     }
 
-    /// Records that a peer has got the last notice.
+    /// Records that a peer has acknowledged the last notice.
     pub fn handle_pushback_reply(&mut self, from: &InstanceName) {
         if let Some(peer) = self.peers.get_mut(from) {
-            peer.pushback.answer();
+            peer.pushback_notices.record_answer();
         }
     }
 
-    /// Records that there was no link for a notice to a peer.
-    pub fn handle_pushback_miss(&mut self, to: &InstanceName, now: Duration) {
+    /// Records that a notice couldn't be sent because there is no link to the peer.
+    pub fn handle_pushback_no_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
-            peer.pushback.miss(now);
+            peer.pushback_notices.record_no_link(now);
         }
     }
 
-    /// Records that a notice broke the link to a peer.
-    pub fn handle_pushback_break(&mut self, to: &InstanceName, now: Duration) {
+    /// Records that the link to a peer broke while a notice was in flight.
+    pub fn handle_pushback_broken_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
-            peer.pushback.break_off(now);
+            peer.pushback_notices.record_broken_link(now);
         }
     }
 }
