--- a/crates/flaxtide-entry/src/backoff.rs
+++ b/crates/flaxtide-entry/src/backoff.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 /// The longest pause, and that after a question without an answer.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// For how long after peers have been drawn anew, or one of them has started again, their word
 /// that they can't tell isn't taken for trouble of the platform: they may only not know from where to
 /// tell.
-const DRAWN_LATELY: Duration = Duration::from_secs(3);
+const PEER_SETTLING_TIME: Duration = Duration::from_secs(3);
 
 /// Peers that had nothing to tell, until one tells again.
 ///
@@ -67,7 +67,7 @@
     /// that it can't tell.
     #[must_use]
     pub fn suggest_outage(&self, now: Duration) -> bool {
-        let settled = self.peers_set_at.is_none_or(|at| now >= at + DRAWN_LATELY);
+        let settled = self.peers_set_at.is_none_or(|at| now >= at + PEER_SETTLING_TIME);
         settled && self.any_unable()
     }
 
@@ -87,12 +87,12 @@
     pub fn record_unable(&mut self, peer: SocketAddr, now: Duration) {
         let before = self.entries.get(&peer).filter(|entry| entry.reachable);
         let span = before.map_or(self.first, |entry| entry.span * 2);
-        self.back_off(peer, true, span.min(LONGEST_PAUSE), now);
+        self.back_off(peer, true, span.min(MAX_BACKOFF), now);
     }
 
     /// Records that no answer came from a peer.
     pub fn record_unreachable(&mut self, peer: SocketAddr, now: Duration) {
-        self.back_off(peer, false, LONGEST_PAUSE, now);
+        self.back_off(peer, false, MAX_BACKOFF, now);
     }
 
     /// Begins a pause.
--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -15,28 +15,28 @@
 
 use crate::contract::RequestHead;
 use crate::duty::CallUsage;
-use crate::exchange::{CallerRequest, strip_hop_headers};
-use crate::open_call::{AttemptOutcome, LATEST_RETRY, OpenCall, RETRY_PART};
+use crate::exchange::{CallerRequest, strip_hop_by_hop_headers};
+use crate::open_call::{AttemptOutcome, MAX_RETRY_AFTER, OpenCall, RETRY_DIVISOR};
 use crate::reply::{CallerResponse, LocalReply};
-use crate::response::{Received, begin_stream, receive};
+use crate::response::{ReceivedResponse, receive_response, start_stream};
 use crate::routes::{CallerIdentity, ClassMatch};
-use crate::state::{LifePhase, TrafficState};
+use crate::state::{ShutdownPhase, TrafficState};
 
 /// An organisation's number for requests without one.
 const NO_ORGANISATION: u16 = u16::MAX;
 
 /// Answers one request of a caller.
-pub(crate) async fn serve(
+pub(crate) async fn serve_request(
     state: Rc<TrafficState>,
     request: Request<Incoming>,
 ) -> CallerResponse {
     // The HTTP library drops a length beside chunks. What follows such a request may be a
     // part of its body to whoever sent it, so it is never read as another request.
     let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-    let mut answer = match answer(&state, request).await {
+    let mut answer = match handle_request(&state, request).await {
         Ok(answer) => answer,
         Err((reply, attempt)) => {
-            let reply = reply.under_rules(state.behind());
+            let reply = reply.defer_to_newer_rules(state.has_outdated_rules());
             state.metrics.ends.with_label_values(&[reply.name()]).inc();
             let version = state.table().map(|table| table.version);
             log::info!(
@@ -44,14 +44,14 @@
                 "turned away"
             );
             let retry_after = match reply {
-                LocalReply::NoRules | LocalReply::OldRules => Some(LATEST_RETRY),
+                LocalReply::NoRules | LocalReply::OutdatedRules => Some(MAX_RETRY_AFTER),
                 LocalReply::Stopping => Some(Duration::ZERO),
                 _ => None,
             };
             reply.answer(retry_after)
         }
     };
-    if chunked || state.phase() >= LifePhase::Closing {
+    if chunked || state.phase() >= ShutdownPhase::Closing {
         answer
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -60,7 +60,7 @@
 }
 
 /// A request that is turned away before it is a call: why, and what identifies it.
-type TurnedAway = (LocalReply, String);
+type Rejection = (LocalReply, String);
 
 /// What the rules say of a request.
 struct MatchedRules {
@@ -76,34 +76,36 @@
     /// has none.
     service: Option<(String, bool)>,
     /// The most bytes of its body.
-    body_bytes: usize,
+    max_body_bytes: usize,
 }
 
 /// Reads a request, and has it served.
-async fn answer(
+async fn handle_request(
     state: &Rc<TrafficState>,
     request: Request<Incoming>,
-) -> Result<CallerResponse, TurnedAway> {
+) -> Result<CallerResponse, Rejection> {
     let received = state.now();
     let (parts, body) = request.into_parts();
     let head = state.dialect.read_request(&parts.headers);
     let attempt = head.attempt.clone().unwrap_or_default();
-    let turn_away = |reply| (reply, attempt.clone());
-    let found = look_up(state, &parts, &head).map_err(turn_away)?;
-    let MatchedRules { class, caller, tier, level, body_bytes, .. } = found;
+    let reject = |reply| (reply, attempt.clone());
+    let found = match_rules(state, &parts, &head).map_err(reject)?;
+    let MatchedRules { class, caller, tier, level, max_body_bytes, .. } = found;
     let wait = head.deadline.unwrap_or(class.class().timeout);
-    let body = state.wait_until(received + wait, read_body(body, body_bytes)).await;
-    let body = body.unwrap_or(Err(LocalReply::BodyTooSlow)).map_err(turn_away)?;
+    let body = state
+        .wait_until(received + wait, read_body(body, max_body_bytes))
+        .await;
+    let body = body.unwrap_or(Err(LocalReply::BodyTooSlow)).map_err(reject)?;
     let mut headers = parts.headers;
-    strip_hop_headers(&mut headers);
+    strip_hop_by_hop_headers(&mut headers);
     let (service, is_engine) =
-        found.service.ok_or_else(|| turn_away(LocalReply::UnknownTarget))?;
+        found.service.ok_or_else(|| reject(LocalReply::UnknownTarget))?;
     let request = CallerRequest {
         method: parts.method,
         uri: parts.uri,
         headers,
         body,
-        attempt: head.attempt.clone(),
+        attempt_id: head.attempt.clone(),
         organisation: caller.name.clone(),
         tier: is_engine.then_some(tier),
         tokens: head.prompt.tokens,
@@ -117,7 +119,7 @@
     let call = OpenCall::new(state, class, attempt, &head, received, usage);
     let order = RouteCall {
         request: call.request,
-        pool: state.pool(&service),
+        pool: state.pool_id(&service),
         class: call.class.id,
         organisation: caller.organisation.unwrap_or(NO_ORGANISATION),
         tier,
@@ -129,12 +131,12 @@
         run_limit: call.class.class().attempt_limit,
         prompt: head.prompt,
     };
-    Ok(lead(call, request, order).await)
+    Ok(run_attempts(call, request, order).await)
 }
 
 /// Looks up what the rules in force say of a request. They aren't held any longer than
 /// that: newer ones may come while the request is open.
-fn look_up(
+fn match_rules(
     state: &TrafficState,
     parts: &Parts,
     head: &RequestHead,
@@ -145,10 +147,10 @@
     let class = table.find(host, parts.uri.path()).ok_or(LocalReply::UnknownTarget)?;
     let caller = table.admit(class.class(), head.key.as_deref());
     let caller = caller.ok_or(LocalReply::UnknownKey)?;
-    if state.ends_too_soon(class.class().kind.streams()) {
+    if state.is_too_late_to_start(class.class().kind.streams()) {
         return Err(LocalReply::Stopping);
     }
-    let drawn = class.draw_service(&mut *state.random.borrow_mut()).map(str::to_owned);
+    let drawn = class.draw_service(&mut *state.rng.borrow_mut()).map(str::to_owned);
     Ok(MatchedRules {
         tier: table.tier(&caller, class.class()),
         level: table.level(class.class()),
@@ -156,7 +158,7 @@
             let is_engine = table.is_engine(&service);
             (service, is_engine)
         }),
-        body_bytes: table.limits.body_bytes,
+        max_body_bytes: table.limits.body_bytes,
         class,
         caller,
     })
@@ -174,14 +176,14 @@
 }
 
 /// Leads a call through its tries to the start of its answer.
-async fn lead(
+async fn run_attempts(
     call: OpenCall,
     request: CallerRequest,
     order: RouteCall,
 ) -> CallerResponse {
     let state = call.state.clone();
     if state.quarantine.holds(&request) {
-        return call.quarantine(&request);
+        return call.reply_quarantined(&request);
     }
     let mut decision = state.await_decision(call.request);
     state.run_router(|core, now| core.arrive(order, now));
@@ -192,36 +194,37 @@
                 (choice, patience)
             }
             Some(Ok(RouteAction::Refuse { reason, retry_after, expected, .. })) => {
-                return refuse(&call, reason, retry_after, expected);
+                return reply_refused(&call, reason, retry_after, expected);
             }
             // The router forgets nobody, but an answer is owed all the same.
-            Some(Err(_)) | None => return call.time_over(),
+            Some(Err(_)) | None => return call.reply_timed_out(),
         };
         // Whoever is told to try again waits for the next decision.
         decision = state.await_decision(call.request);
         let fault = match call.try_server(&request, &choice, patience, None).await {
-            AttemptOutcome::Started(start) => match receive(&call, &request, start).await
-            {
-                Ok(Received::Whole(answer)) => return answer,
-                Ok(Received::Stream(start, first)) => {
-                    return begin_stream(call, request, start, first);
+            AttemptOutcome::Started(start) => {
+                match receive_response(&call, &request, start).await {
+                    Ok(ReceivedResponse::Whole(answer)) => return answer,
+                    Ok(ReceivedResponse::Stream(start, first)) => {
+                        return start_stream(call, request, start, first);
+                    }
+                    Ok(ReceivedResponse::Retry) => continue,
+                    Err(AttemptOutcome::Fault(fault)) => fault,
+                    Err(_) => return call.reply_timed_out(),
                 }
-                Ok(Received::Again) => continue,
-                Err(AttemptOutcome::Fault(fault)) => fault,
-                Err(_) => return call.time_over(),
-            },
+            }
             AttemptOutcome::Fault(fault) => fault,
-            AttemptOutcome::TimedOut => return call.time_over(),
-            AttemptOutcome::Quarantined => return call.quarantine(&request),
+            AttemptOutcome::TimedOut => return call.reply_timed_out(),
+            AttemptOutcome::Quarantined => return call.reply_quarantined(&request),
         };
         if call.handle_fault(&request, fault, false).await == RetryVerdict::End {
-            return call.give_up(fault);
+            return call.reply_failed(fault);
         }
     }
 }
 
 /// Answers a request that the router refuses.
-fn refuse(
+fn reply_refused(
     call: &OpenCall,
     cause: RefusalCause,
     retry_after: Duration,
@@ -229,18 +232,18 @@
 ) -> CallerResponse {
     let class = call.class.class();
     log::info!(
-        request = call.attempt, class = class.name, cause:? = cause,
+        request = call.attempt_id, class = class.name, cause:? = cause,
         expected_ms = expected.map_or(-1, |span| span.as_millis() as i64),
         target_ms = class.target.as_millis() as u64,
         retry_after_ms = retry_after.as_millis() as u64;
         "refusal"
     );
     if call.may_have_run.get() {
-        return call.reply(LocalReply::ServerFailed, None);
+        return call.reply_locally(LocalReply::ServerFailed, None);
     }
     let reply = match cause {
         RefusalCause::NoServer => LocalReply::NoServer,
         RefusalCause::TooLate => LocalReply::TooLate,
     };
-    call.reply(reply, Some(retry_after.min(call.time_left() / RETRY_PART)))
+    call.reply_locally(reply, Some(retry_after.min(call.time_left() / RETRY_DIVISOR)))
 }
--- a/crates/flaxtide-entry/src/config.rs
+++ b/crates/flaxtide-entry/src/config.rs
@@ -154,9 +154,9 @@
 
 /// Below this size a reader for all saves less of the platform's calls than its own calls,
 /// which are more frequent, cost: about 100 in a minute against 20 an instance.
-const ALONE_BELOW: usize = 17;
+const DEFAULT_READ_ALONE_BELOW: usize = 17;
 
 /// Returns the usual size of fleets without readers.
 fn usual_alone_below() -> usize {
-    ALONE_BELOW
+    DEFAULT_READ_ALONE_BELOW
 }
--- a/crates/flaxtide-entry/src/crash.rs
+++ b/crates/flaxtide-entry/src/crash.rs
@@ -13,11 +13,11 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// How often it is looked whether idle connections have closed.
-const CLOSE_CHECK: Duration = Duration::from_millis(2);
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// How long it is known that a server has ended: the dozens of requests that ran there find it
 /// out within this time, with one probe for most of them.
-const ENDED_LIFE: Duration = Duration::from_millis(500);
+const ENDED_VALIDITY: Duration = Duration::from_millis(500);
 
 /// Returns whether a server has ended, after a connection to it broke: nobody listens at its
 /// address any more, and no connection to it is left. A server that closes or resets single
@@ -26,23 +26,23 @@
 pub(crate) async fn server_has_ended(state: &TrafficState, server: ServerId) -> bool {
     let now = state.now();
     if state
-        .links
-        .ended_since(server)
-        .is_some_and(|at| now < at + ENDED_LIFE)
+        .connections
+        .ended_at(server)
+        .is_some_and(|at| now < at + ENDED_VALIDITY)
     {
         return true;
     }
     let Some(address) = state.server_address(server) else { return false };
-    let probe = connect(&state.links, address);
+    let probe = connect(&state.connections, address);
     match tokio::time::timeout(PROBE_TIMEOUT, probe).await {
         Ok(Ok(link)) => {
-            state.links.keep(server, link, None, state.now());
+            state.connections.keep(server, link, None, state.now());
             false
         }
         Ok(Err(fault)) if fault.kind() == ErrorKind::ConnectionRefused => {
-            let ended = all_close(state, server).await;
+            let ended = wait_until_closed(state, server).await;
             if ended {
-                state.links.note_ended(server, state.now());
+                state.connections.record_ended(server, state.now());
             }
             ended
         }
@@ -52,13 +52,13 @@
 
 /// Returns whether all idle connections to a server are closed, or are in a moment: that one has
 /// closed is seen when its task runs, which may be after the probe has been refused.
-async fn all_close(state: &TrafficState, server: ServerId) -> bool {
+async fn wait_until_closed(state: &TrafficState, server: ServerId) -> bool {
     let until = state.now() + PROBE_TIMEOUT;
-    while state.links.has_open(server) {
+    while state.connections.has_open_idle(server) {
         if state.now() >= until {
             return false;
         }
-        tokio::time::sleep(CLOSE_CHECK).await;
+        tokio::time::sleep(CLOSE_POLL_INTERVAL).await;
     }
     true
 }
--- a/crates/flaxtide-entry/src/directory.rs
+++ b/crates/flaxtide-entry/src/directory.rs
@@ -14,42 +14,42 @@
 /// For how long a server whose row has gone is used if nothing else is known, as a part of
 /// the time within which a server that leaves must get no more work. It goes on serving for
 /// longer than this; servers that are left take its work meanwhile.
-const GONE_PART: f64 = 0.4;
+const REMOVAL_GRACE_FRACTION: f64 = 0.4;
 
 /// A row that goes while the platform answers is used for no longer than this part of that
-/// time, whatever was before. With [`FEED_PART`] and the period in which rows are looked at,
+/// time, whatever was before. With [`CALL_PAUSE_FRACTION`] and the period in which rows are looked at,
 /// the whole stays within it.
-const LONGEST_PART: f64 = 0.55;
+const MAX_GRACE_FRACTION: f64 = 0.55;
 
 /// A row that is found missing late is used for no longer than this part of that time since it
 /// may have gone, whatever it was that kept the list from being looked at. The rest is for a
 /// request that is on its way.
-const UNSEEN_PART: f64 = 0.85;
+const MAX_UNSEEN_FRACTION: f64 = 0.85;
 
 /// The time between two looks at the list, as a part of that time.
-pub(crate) const FEED_PART: f64 = 0.35;
+pub(crate) const CALL_PAUSE_FRACTION: f64 = 0.35;
 
 /// Servers write their rows anew within two seconds of the platform's return.
-const RETURN_GRACE: Duration = Duration::from_millis(2200);
+const RECOVERY_GRACE: Duration = Duration::from_millis(2200);
 
 /// For how long a row that went together with many others is missed.
-const LAPSE_GRACE: Duration = Duration::from_secs(8);
+const MASS_LAPSE_GRACE: Duration = Duration::from_secs(8);
 
 /// Rows that are missing this soon after the platform's return went while it was out.
-const AT_RETURN: Duration = Duration::from_millis(500);
+const RECOVERY_WINDOW: Duration = Duration::from_millis(500);
 
 /// Rows that go within this time of each other go together.
-const TOGETHER: Duration = Duration::from_millis(1500);
+const MASS_LAPSE_WINDOW: Duration = Duration::from_millis(1500);
 
 /// So many rows that go together, as a part of a service, are a lapse and no departure.
-const LAPSE_PART: f64 = 0.34;
+const MASS_LAPSE_FRACTION: f64 = 0.34;
 
 /// For how long a server that had gone and is listed by a restored copy of the store isn't
 /// used: a row that its server doesn't renew lapses within three heartbeats of 1.2 s.
-const HELD_BACK: Duration = Duration::from_secs(5);
+const RESTORED_ROW_HOLD: Duration = Duration::from_secs(5);
 
 /// How long a server that has left is remembered: longer than a copy of the store is old.
-const REMEMBERED: Duration = Duration::from_secs(300);
+const DEPARTED_RETENTION: Duration = Duration::from_secs(300);
 
 /// All servers that may be used.
 ///
@@ -140,7 +140,7 @@
     /// Records that the platform is out.
     pub fn record_outage(&mut self, now: Duration) {
         match &mut self.outage {
-            Some(outage) if now <= outage.last + RETURN_GRACE => outage.last = now,
+            Some(outage) if now <= outage.last + RECOVERY_GRACE => outage.last = now,
             _ => self.outage = Some(OutageSpan { since: now, last: now }),
         }
     }
@@ -161,7 +161,7 @@
         entry.leaving |= known.is_some_and(|known| {
             known.entry.leaving && known.entry.started == entry.started
         });
-        if !self.servers.contains_key(&name) && self.holds_back(&entry, now) {
+        if !self.servers.contains_key(&name) && self.holds_back_row(&entry, now) {
             return false;
         }
         let known = self.servers.get(&name);
@@ -180,7 +180,7 @@
     }
 
     /// Returns whether a row of an unknown server isn't believed, or not yet: its server has left.
-    fn holds_back(&mut self, entry: &ServerEntry, now: Duration) -> bool {
+    fn holds_back_row(&mut self, entry: &ServerEntry, now: Duration) -> bool {
         let departed = self.departed.get(&entry.name);
         let departed = departed.filter(|departed| {
             entry.started.is_none() || departed.started == entry.started
@@ -193,7 +193,7 @@
             // Its row had lapsed, and it has written it anew.
             return false;
         }
-        let until = now + HELD_BACK;
+        let until = now + RESTORED_ROW_HOLD;
         let held = self.held.entry(entry.name.clone());
         held.or_insert((entry.clone(), until)).0 = entry.clone();
         true
@@ -201,7 +201,8 @@
 
     /// Remembers that a server has left.
     fn remember(&mut self, entry: &ServerEntry, now: Duration) {
-        self.departed.retain(|_, departed| now < departed.at + REMEMBERED);
+        self.departed
+            .retain(|_, departed| now < departed.at + DEPARTED_RETENTION);
         let departed = DepartedServer {
             started: entry.started,
             leaving: entry.leaving,
@@ -284,7 +285,7 @@
     pub fn expire(&mut self, now: Duration) -> Vec<ServerName> {
         let expired = self.servers.iter().filter(|(_, server)| {
             let Some(missing) = server.missing else { return false };
-            now >= self.gone_at(&server.entry.service, missing)
+            now >= self.grace_end(&server.entry.service, missing)
         });
         let expired: Vec<ServerName> = expired.map(|(name, _)| name.clone()).collect();
         for name in &expired {
@@ -296,41 +297,41 @@
     }
 
     /// Returns until when a server of a service is used whose row has gone.
-    fn gone_at(&self, service: &str, row: MissingRow) -> Duration {
+    fn grace_end(&self, service: &str, row: MissingRow) -> Duration {
         let missing = row.learnt;
-        if self.is_lapse(service, missing) {
-            return missing + LAPSE_GRACE;
+        if self.is_mass_lapse(service, missing) {
+            return missing + MASS_LAPSE_GRACE;
         }
         let part = |part| self.leave_within.mul_f64(part);
-        let latest = row.since + part(UNSEEN_PART);
-        let usual = (missing + part(GONE_PART)).min(latest);
+        let latest = row.since + part(MAX_UNSEEN_FRACTION);
+        let usual = (missing + part(REMOVAL_GRACE_FRACTION)).min(latest);
         // A row that went while the platform answered went for good, though it is out by now.
         let Some(outage) = self.outage.filter(|outage| missing >= outage.since) else {
             return usual;
         };
-        if missing <= outage.last + AT_RETURN {
-            return outage.last + RETURN_GRACE;
+        if missing <= outage.last + RECOVERY_WINDOW {
+            return outage.last + RECOVERY_GRACE;
         }
-        let returned = (outage.last + RETURN_GRACE).max(usual);
-        returned.min(missing + part(LONGEST_PART)).min(latest)
+        let returned = (outage.last + RECOVERY_GRACE).max(usual);
+        returned.min(missing + part(MAX_GRACE_FRACTION)).min(latest)
     }
 
     /// Returns whether a row went together with many others of its service.
-    fn is_lapse(&self, service: &str, missing: Duration) -> bool {
+    fn is_mass_lapse(&self, service: &str, missing: Duration) -> bool {
         let members = || {
             let servers = self.servers.values();
             servers.filter(|server| server.entry.service == service)
         };
         let together = members().filter(|server| {
             let others = server.missing;
-            others.is_some_and(|other| other.learnt.abs_diff(missing) < TOGETHER)
+            others.is_some_and(|other| other.learnt.abs_diff(missing) < MASS_LAPSE_WINDOW)
         });
         let together = together.count();
-        together >= 2 && together as f64 >= LAPSE_PART * members().count() as f64
+        together >= 2 && together as f64 >= MASS_LAPSE_FRACTION * members().count() as f64
     }
 
     /// Tells whether any server's row is missing.
-    pub(crate) fn misses_any(&self) -> bool {
+    pub(crate) fn has_missing_rows(&self) -> bool {
         self.servers.values().any(DirectoryEntry::lapsed)
     }
 
--- a/crates/flaxtide-entry/src/exchange.rs
+++ b/crates/flaxtide-entry/src/exchange.rs
@@ -20,10 +20,10 @@
 
 use crate::contract::SendHead;
 use crate::state::TrafficState;
-use crate::upstream::{ServerLink, connect};
+use crate::upstream::{ServerConnection, connect};
 
 /// Headers that concern one connection only, besides those that `Connection` names.
-const HOP_HEADERS: [HeaderName; 8] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -36,10 +36,10 @@
 
 /// How often a request is written anew because a kept connection turned out to be closed
 /// before any byte of it was written.
-const STALE_LINKS: usize = 3;
+const MAX_STALE_CONNECTIONS: usize = 3;
 
 /// How long the rest of a refusal may take.
-const REFUSAL_REST: Duration = Duration::from_millis(500);
+const REFUSAL_DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A caller's request, read whole.
 #[derive(Debug)]
@@ -53,7 +53,7 @@
     /// The body.
     pub(crate) body: Bytes,
     /// What identifies it.
-    pub(crate) attempt: Option<String>,
+    pub(crate) attempt_id: Option<String>,
     /// The caller's organisation, as servers are told.
     pub(crate) organisation: Option<String>,
     /// The tier, as engines are told.
@@ -93,7 +93,7 @@
     /// The body.
     body: Incoming,
     /// Its connection.
-    link: Option<ServerLink>,
+    connection: Option<ServerConnection>,
     /// The server.
     server: ServerId,
     /// For how long the server keeps the connection.
@@ -118,12 +118,17 @@
                     }
                 }
                 Some(Err(_)) => {
-                    self.link = None;
+                    self.connection = None;
                     return Err(RouteFault::Broken);
                 }
                 None => {
-                    if let Some(link) = self.link.take() {
-                        state.links.keep(self.server, link, self.keep_alive, state.now());
+                    if let Some(connection) = self.connection.take() {
+                        state.connections.keep(
+                            self.server,
+                            connection,
+                            self.keep_alive,
+                            state.now(),
+                        );
                     }
                     return Ok(None);
                 }
@@ -133,17 +138,17 @@
 }
 
 /// One try of a request at a server.
-pub(crate) struct ServerTry<'a> {
+pub(crate) struct ServerAttempt<'a> {
     /// The number of the request.
-    pub(crate) number: RequestId,
+    pub(crate) request_id: RequestId,
     /// Which server, and why.
     pub(crate) choice: &'a RouteChoice,
     /// How long the server may take.
-    pub(crate) left: Duration,
+    pub(crate) time_left: Duration,
     /// The last event of a stream with which the server is to go on.
     pub(crate) last_event: Option<u64>,
     /// Whether it goes over a new connection, which shows that the server is in reach.
-    pub(crate) fresh: bool,
+    pub(crate) new_connection: bool,
 }
 
 /// Sends a request to a server and checks the head of the answer.
@@ -155,40 +160,52 @@
 pub(crate) async fn exchange(
     state: &Rc<TrafficState>,
     request: &CallerRequest,
-    attempt: ServerTry<'_>,
+    attempt: ServerAttempt<'_>,
 ) -> Result<ResponseStart, RouteFault> {
-    let ServerTry { number, choice, left, last_event, fresh } = attempt;
+    let ServerAttempt {
+        request_id,
+        choice,
+        time_left,
+        last_event,
+        new_connection,
+    } = attempt;
     let server = choice.server;
     let name = state.server_name(server).ok_or(RouteFault::Unreachable)?;
     let address = state.server_address(server).ok_or(RouteFault::Unreachable)?;
     let fetch_from = choice.fetch.and_then(|fetch| state.server_address(fetch.from));
     let head = SendHead {
-        left,
+        left: time_left,
         server: &name,
         organisation: request.organisation.as_deref(),
         tier: request.tier,
         fetch_from,
     };
-    let mut outgoing = build(state, request, &head, last_event);
-    for _ in 0..STALE_LINKS {
-        let kept = if fresh { None } else { state.links.take(server, state.now()) };
-        let mut link = match kept {
-            Some(link) => link,
-            None => connect(&state.links, address)
+    let mut outgoing = build_request(state, request, &head, last_event);
+    for _ in 0..MAX_STALE_CONNECTIONS {
+        let kept = if new_connection {
+            None
+        } else {
+            state.connections.take(server, state.now())
+        };
+        let mut connection = match kept {
+            Some(connection) => connection,
+            None => connect(&state.connections, address)
                 .await
                 .map_err(|_| RouteFault::Unreachable)?,
         };
         // The server may have asked for less while this one waited for its connection.
-        if !state.with_router(|core, now| core.passes_gate(number, now)) {
-            state.links.keep(server, link, None, state.now());
+        if !state.with_router(|core, now| core.passes_gate(request_id, now)) {
+            state.connections.keep(server, connection, None, state.now());
             return Err(RouteFault::Withheld);
         }
         let sent = state.now();
-        let kind = if link.used { "kept" } else { "new" };
-        link.used = true;
+        let kind = if connection.used { "kept" } else { "new" };
+        connection.used = true;
         state.metrics.connections.with_label_values(&[kind]).inc();
-        match link.sender.try_send_request(outgoing).await {
-            Ok(answer) => return check(state, request, server, sent, link, answer),
+        match connection.sender.try_send_request(outgoing).await {
+            Ok(answer) => {
+                return check_response(state, request, server, sent, connection, answer);
+            }
             Err(mut fault) => match fault.take_message() {
                 // Nothing of it was written.
                 Some(unsent) => outgoing = unsent,
@@ -200,7 +217,7 @@
 }
 
 /// Builds the request for a server.
-fn build(
+fn build_request(
     state: &TrafficState,
     request: &CallerRequest,
     head: &SendHead<'_>,
@@ -222,12 +239,12 @@
 }
 
 /// Checks the head of an answer.
-fn check(
+fn check_response(
     state: &Rc<TrafficState>,
     request: &CallerRequest,
     server: ServerId,
     sent: Duration,
-    link: ServerLink,
+    connection: ServerConnection,
     answer: Response<Incoming>,
 ) -> Result<ResponseStart, RouteFault> {
     let (parts, body) = answer.into_parts();
@@ -236,7 +253,7 @@
         return Err(RouteFault::Replaced);
     }
     // Another request's answer is that of a connection which can't be trusted any more.
-    let ours = head.attempt == request.attempt;
+    let ours = head.attempt == request.attempt_id;
     if ours || (head.not_run && head.attempt.is_none()) {
         let mut statement = head.statement;
         let vouches = parts.status.is_success() && head.sealed;
@@ -246,9 +263,9 @@
         state.pushback.apply_statement(state, server, statement, sent);
     }
     if head.not_run && (ours || head.attempt.is_none()) {
-        let link = Some(link);
+        let connection = Some(connection);
         let keep_alive = head.keep_alive;
-        keep_refusing(state, UpstreamBody { body, link, server, keep_alive });
+        drain_refusal(state, UpstreamBody { body, connection, server, keep_alive });
         return Err(RouteFault::Full);
     }
     if !ours || (parts.status.is_success() && !head.sealed) {
@@ -260,24 +277,29 @@
         return Err(RouteFault::Failed);
     }
     let mut headers = parts.headers;
-    strip_hop_headers(&mut headers);
+    strip_hop_by_hop_headers(&mut headers);
     let keep_alive = head.keep_alive;
-    let body = UpstreamBody { body, link: Some(link), server, keep_alive };
+    let body = UpstreamBody {
+        body,
+        connection: Some(connection),
+        server,
+        keep_alive,
+    };
     Ok(ResponseStart { status: parts.status, headers, body })
 }
 
 /// Reads the rest of a refusal beside, so that its connection can be kept.
-fn keep_refusing(state: &Rc<TrafficState>, mut rest: UpstreamBody) {
+fn drain_refusal(state: &Rc<TrafficState>, mut rest: UpstreamBody) {
     let state = state.clone();
     tokio::task::spawn_local(async move {
         let read = async { while let Ok(Some(_)) = rest.next(&state).await {} };
         // A refusal that doesn't end in time ends with its connection.
-        let _ = tokio::time::timeout(REFUSAL_REST, read).await;
+        let _ = tokio::time::timeout(REFUSAL_DRAIN_TIMEOUT, read).await;
     });
 }
 
 /// Takes away the headers that concern one connection only.
-pub(crate) fn strip_hop_headers(headers: &mut HeaderMap) {
+pub(crate) fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -285,7 +307,7 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
         .collect();
-    for name in named.iter().chain(&HOP_HEADERS) {
+    for name in named.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
 }
--- a/crates/flaxtide-entry/src/instance.rs
+++ b/crates/flaxtide-entry/src/instance.rs
@@ -14,17 +14,17 @@
 
 use crate::config::EntryConfig;
 use crate::contract::{DutyPlatform, FeedTopic, PlatformFeed, WireDialect};
-use crate::directory::FEED_PART;
+use crate::directory::CALL_PAUSE_FRACTION;
 use crate::duty::{DutyBoard, DutyThread, show_duties};
 use crate::error::EntryError;
 use crate::feed::{FeedEvent, take_feed};
 use crate::fleet::{FleetLink, RulesSource, open_fleet, show_peer_bytes, tell_peers};
 use crate::follower::{TopicFollower, follow_topic};
-use crate::jump::JumpWatch;
-use crate::listen::{accept_callers, accept_probes, listen};
-use crate::logging::settle_log;
+use crate::jump::JumpDetector;
+use crate::listen::{accept_callers, listen, serve_probes};
+use crate::logging::flush_log;
 use crate::metrics::EntryMetrics;
-use crate::pushback::show_pushback;
+use crate::pushback::update_pushback_metrics;
 use crate::reader::ListLog;
 use crate::shared_rules::SharedRules;
 use crate::source::ListSource;
@@ -32,10 +32,10 @@
 use crate::stop::{SignalEvent, handle_signals, register_signals, reload, watch_signals};
 
 /// The length of the ring from the feed threads.
-const FEED_RING: usize = 64;
+const FEED_QUEUE_LEN: usize = 64;
 
 /// The length of the ring from the signal thread.
-const SIGNAL_RING: usize = 8;
+const SIGNAL_QUEUE_LEN: usize = 8;
 
 /// How often requests that wait are looked at, whatever happens.
 const TICK: Duration = Duration::from_millis(100);
@@ -44,7 +44,7 @@
 const TICKS_PER_ROUND: u64 = 5;
 
 /// The stack of a thread that does one small duty.
-const SMALL_STACK: usize = 256 * 1024;
+const WORKER_STACK_BYTES: usize = 256 * 1024;
 
 /// An entry instance of the traffic path.
 pub struct EntryInstance {
@@ -95,7 +95,7 @@
             feed,
             duties: None,
             clock: MilliClock::real(),
-            signals: channel(SIGNAL_RING),
+            signals: channel(SIGNAL_QUEUE_LEN),
         }
     }
 
@@ -129,7 +129,7 @@
             .map_err(|cause| EntryError::Spawn { duty: "the runtime", cause })?;
         spawn_signals(self.signals.0.clone())?;
         let served = LocalSet::new().block_on(&runtime, self.serve());
-        settle_log();
+        flush_log();
         served
     }
 
@@ -146,7 +146,7 @@
         } = self;
         let callers = open("callers", config.callers)?;
         let ready = open("the balancer", config.ready)?;
-        let metrics_door = open("metrics", config.metrics)?;
+        let metrics_listener = open("metrics", config.metrics)?;
         log::info!(
             instance = config.name, data_centre = config.data_centre, region = config.region,
             callers = config.callers.to_string(), version = env!("CARGO_PKG_VERSION");
@@ -154,7 +154,7 @@
         );
         let metrics = Arc::new(EntryMetrics::new());
         let shared = Arc::new(SharedRules::default());
-        let (events, feed_ring) = channel(FEED_RING);
+        let (events, feed_ring) = channel(FEED_QUEUE_LEN);
         let (link, fleet_ring) = FleetLink::new();
         let list = Arc::new(ListLog::new(config.leave_within));
         let source =
@@ -163,7 +163,7 @@
             let (pace, list) = match topic {
                 FeedTopic::Rules => (Duration::ZERO, None),
                 FeedTopic::Servers => {
-                    let pace = config.leave_within.mul_f64(FEED_PART);
+                    let pace = config.leave_within.mul_f64(CALL_PAUSE_FRACTION);
                     (pace, Some((list.clone(), link.clone())))
                 }
             };
@@ -187,11 +187,11 @@
             TrafficState::new(config, clock, dialect, metrics, link, source, board);
         let state = Rc::new(state);
         tokio::task::spawn_local(accept_callers(state.clone(), callers));
-        tokio::task::spawn_local(accept_probes(state.clone(), ready));
-        tokio::task::spawn_local(accept_probes(state.clone(), metrics_door));
+        tokio::task::spawn_local(serve_probes(state.clone(), ready));
+        tokio::task::spawn_local(serve_probes(state.clone(), metrics_listener));
         let source = RulesSource::new(feed.clone());
         tokio::task::spawn_local(take_feed(state.clone(), feed, shared, feed_ring));
-        let house = keep_house(state.clone(), path.clone(), events, source, bytes);
+        let house = run_maintenance(state.clone(), path.clone(), events, source, bytes);
         tokio::task::spawn_local(house);
         handle_signals(&state, &path, &mut signals).await;
         Ok(())
@@ -212,7 +212,9 @@
     run: impl FnOnce() + Send + 'static,
 ) -> Result<(), EntryError> {
     let name = duty.trim_start_matches("the ").trim_end_matches(" thread");
-    let thread = thread::Builder::new().name(name.into()).stack_size(SMALL_STACK);
+    let thread = thread::Builder::new()
+        .name(name.into())
+        .stack_size(WORKER_STACK_BYTES);
     let spawned = thread.spawn(run);
     spawned.map(drop).map_err(|cause| EntryError::Spawn { duty, cause })
 }
@@ -254,7 +256,7 @@
 }
 
 /// Looks, now and then, at what time alone changes.
-async fn keep_house(
+async fn run_maintenance(
     state: Rc<TrafficState>,
     path: PathBuf,
     events: Sender<FeedEvent>,
@@ -262,7 +264,7 @@
     bytes: LinkBytes,
 ) {
     let mut ticks = 0u64;
-    let mut jumps = JumpWatch::new(state.now());
+    let mut jumps = JumpDetector::new(state.now());
     loop {
         tokio::time::sleep(TICK).await;
         jumps.tick(&state);
@@ -271,19 +273,19 @@
             state.run_router(|core, now| core.tick(now));
         }
         expire_servers(&state);
-        note_servers(&state);
+        log_server_health(&state);
         source.look(&state.fleet);
         state.quarantine.maintain(&state);
         state.pushback.maintain(&state);
         tell_peers(&state, &state.fleet, &events);
         if ticks.is_multiple_of(TICKS_PER_ROUND) {
-            go_round(&state, &path);
+            expire_and_reload(&state, &path);
             if let Some(board) = &state.duties {
                 board.sample_wall_time();
                 show_duties(&state, board);
             }
             show_peer_bytes(&state.metrics, &bytes);
-            show_pushback(&state);
+            update_pushback_metrics(&state);
         }
     }
 }
@@ -293,7 +295,7 @@
     if state.directory.borrow_mut().release_held(state.now()) {
         state.update_router_servers();
     }
-    if !state.directory.borrow().misses_any() {
+    if !state.directory.borrow().has_missing_rows() {
         return;
     }
     let gone = state.directory.borrow_mut().expire(state.now());
@@ -306,7 +308,7 @@
 }
 
 /// Logs what the router has come to believe of servers.
-fn note_servers(state: &TrafficState) {
+fn log_server_health(state: &TrafficState) {
     for note in state.with_router(|core, now| core.review(now)) {
         let event = if note.well { "server gets work" } else { "server gets no work" };
         log::info!(
@@ -319,8 +321,8 @@
 }
 
 /// Looks at idle connections and the instance file.
-fn go_round(state: &TrafficState, path: &Path) {
+fn expire_and_reload(state: &TrafficState, path: &Path) {
     let now = state.now();
-    state.links.expire(now);
+    state.connections.expire(now);
     reload(state, path, "changed file");
 }
--- a/crates/flaxtide-entry/src/jump.rs
+++ b/crates/flaxtide-entry/src/jump.rs
@@ -9,27 +9,27 @@
 
 /// A tick that comes so much later than the one before is a jump. An instance with an eighth of
 /// a core may be late by some hundred milliseconds while it is busy.
-const LEAST_JUMP: Duration = Duration::from_secs(1);
+const MIN_JUMP: Duration = Duration::from_secs(1);
 
 /// How long an instance isn't ready after a jump: within it, changes of rules and servers that
 /// were told meanwhile are read, and peers are heard.
-const REJOIN_TIME: Duration = Duration::from_secs(1);
+const REJOIN_DELAY: Duration = Duration::from_secs(1);
 
 /// A timer that fires so much later than it was due shows that the process stood still or had no
 /// time: what has come meanwhile may not have been read.
-const LATE_TIMER: Duration = Duration::from_millis(250);
+const LATE_TIMER_THRESHOLD: Duration = Duration::from_millis(250);
 
 /// How long what has come meanwhile may take to be read.
-const READ_TIME: Duration = Duration::from_millis(200);
+const CATCH_UP_TIME: Duration = Duration::from_millis(200);
 
 /// Notices jumps by the time between two ticks.
 #[derive(Debug)]
-pub(crate) struct JumpWatch {
+pub(crate) struct JumpDetector {
     /// When the last tick was.
     last: Duration,
 }
 
-impl JumpWatch {
+impl JumpDetector {
     /// Starts to watch.
     pub(crate) fn new(now: Duration) -> Self {
         Self { last: now }
@@ -41,7 +41,7 @@
         let now = state.now();
         let span = now.saturating_sub(self.last);
         self.last = now;
-        if span >= LEAST_JUMP {
+        if span >= MIN_JUMP {
             handle_jump(state, span, now);
         }
     }
@@ -52,10 +52,10 @@
 fn handle_jump(state: &TrafficState, span: Duration, now: Duration) {
     state.metrics.time_jumps.inc();
     log::warn!(span_ms = span.as_millis() as u64; "time jumped");
-    state.rejoined_at.set(now + REJOIN_TIME);
-    state.links.close_idle();
+    state.not_ready_until.set(now + REJOIN_DELAY);
+    state.connections.close_idle();
     state.with_router(|core, now| core.resume(span, now));
-    state.jumped.notify_waiters();
+    state.clock_jumped.notify_waiters();
 }
 
 impl TrafficState {
@@ -70,7 +70,7 @@
         let mut outcome = pin!(outcome);
         loop {
             let left = until.saturating_sub(self.now());
-            let jumped = self.jumped.notified();
+            let jumped = self.clock_jumped.notified();
             let over = tokio::select! {
                 biased;
                 outcome = &mut outcome => return Some(outcome),
@@ -78,8 +78,8 @@
                 () = jumped => false,
             };
             let now = self.now();
-            if now >= until + LATE_TIMER {
-                until = now + READ_TIME;
+            if now >= until + LATE_TIMER_THRESHOLD {
+                until = now + CATCH_UP_TIME;
             } else if over {
                 return None;
             }
--- a/crates/flaxtide-entry/src/listen.rs
+++ b/crates/flaxtide-entry/src/listen.rs
@@ -16,26 +16,26 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-use crate::call::serve;
+use crate::call::serve_request;
 use crate::reply::{CallerResponse, whole};
-use crate::state::{LifePhase, TrafficState};
-use crate::upstream::watch_peer;
+use crate::state::{ShutdownPhase, TrafficState};
+use crate::upstream::enable_keepalive;
 
 /// How many connections may wait to be accepted.
 const BACKLOG: u32 = 1024;
 
 /// How long a listener that can't accept waits, such as while descriptors are short.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Descriptors that are kept for everything but callers: servers, peers, the platform.
-const KEPT_DESCRIPTORS: u64 = 1200;
+const RESERVED_DESCRIPTORS: u64 = 1200;
 
 /// The least buffer that the HTTP library takes for a head.
-const LEAST_HEAD_BUFFER: usize = 8192;
+const MIN_HEAD_BUFFER_BYTES: usize = 8192;
 
 /// What has happened on a connection.
 #[derive(Debug, Default)]
-struct LinkActivity {
+struct ConnectionActivity {
     /// When bytes last went either way.
     moved: Cell<Duration>,
     /// Since when bytes of a head have come that isn't whole.
@@ -45,16 +45,16 @@
 }
 
 /// A connection that records what happens on it.
-struct WatchedStream {
+struct TrackedStream {
     /// The connection.
     stream: TcpStream,
     /// What has happened.
-    activity: Rc<LinkActivity>,
+    activity: Rc<ConnectionActivity>,
     /// Tells the time.
     state: Rc<TrafficState>,
 }
 
-impl AsyncRead for WatchedStream {
+impl AsyncRead for TrackedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -75,7 +75,7 @@
     }
 }
 
-impl AsyncWrite for WatchedStream {
+impl AsyncWrite for TrackedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -114,18 +114,18 @@
 }
 
 /// A request that is being answered on a connection.
-struct RequestMark(Rc<LinkActivity>);
+struct RequestGuard(Rc<ConnectionActivity>);
 
-impl RequestMark {
+impl RequestGuard {
     /// Records that a request's head is whole.
-    fn new(activity: &Rc<LinkActivity>) -> Self {
+    fn new(activity: &Rc<ConnectionActivity>) -> Self {
         activity.head_since.set(None);
         activity.requests.set(activity.requests.get() + 1);
         Self(activity.clone())
     }
 }
 
-impl Drop for RequestMark {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.requests.set(self.0.requests.get() - 1);
     }
@@ -148,7 +148,11 @@
     let open = Rc::new(Cell::new(0u64));
     loop {
         let Some(stream) = accept(&listener).await else { continue };
-        let most = state.config().descriptors.saturating_sub(KEPT_DESCRIPTORS).max(64);
+        let most = state
+            .config()
+            .descriptors
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(64);
         if open.get() >= most {
             log::warn!(open = open.get(), most; "caller turned away: descriptors are short");
             continue;
@@ -156,7 +160,7 @@
         open.set(open.get() + 1);
         let (state, open) = (state.clone(), open.clone());
         tokio::task::spawn_local(async move {
-            serve_caller(state, stream).await;
+            handle_connection(state, stream).await;
             open.set(open.get() - 1);
         });
     }
@@ -168,22 +172,22 @@
         Ok((stream, _)) => Some(stream),
         Err(cause) => {
             log::warn!(cause = cause.to_string(); "connection not accepted");
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
 }
 
 /// Serves one connection of a caller until it ends.
-async fn serve_caller(state: Rc<TrafficState>, stream: TcpStream) {
-    let prepared = stream.set_nodelay(true).and_then(|()| watch_peer(&stream));
+async fn handle_connection(state: Rc<TrafficState>, stream: TcpStream) {
+    let prepared = stream.set_nodelay(true).and_then(|()| enable_keepalive(&stream));
     if let Err(cause) = prepared {
         log::debug!(cause = cause.to_string(); "caller's connection can't be prepared");
         return;
     }
-    let activity = Rc::new(LinkActivity::default());
+    let activity = Rc::new(ConnectionActivity::default());
     activity.moved.set(state.now());
-    let watched = WatchedStream {
+    let watched = TrackedStream {
         stream,
         activity: activity.clone(),
         state: state.clone(),
@@ -191,9 +195,9 @@
     let service = {
         let (state, activity) = (state.clone(), activity.clone());
         service_fn(move |request: Request<Incoming>| {
-            let (state, mark) = (state.clone(), RequestMark::new(&activity));
+            let (state, mark) = (state.clone(), RequestGuard::new(&activity));
             async move {
-                let answer = serve(state, request).await;
+                let answer = serve_request(state, request).await;
                 drop(mark);
                 Ok::<_, std::convert::Infallible>(answer)
             }
@@ -202,7 +206,7 @@
     let limits = state.limits();
     let connection = http1::Builder::new()
         .keep_alive(true)
-        .max_buf_size(limits.header_bytes.max(LEAST_HEAD_BUFFER))
+        .max_buf_size(limits.header_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(watched), service);
     tokio::pin!(connection);
     loop {
@@ -213,7 +217,7 @@
             () = state.phase_changed.notified() => {}
             () = check => {}
         }
-        if state.phase() >= LifePhase::Closing {
+        if state.phase() >= ShutdownPhase::Closing {
             connection.as_mut().graceful_shutdown();
         }
         let now = state.now();
@@ -231,7 +235,7 @@
 
 /// Answers the balancer, which asks whether the instance is ready, and whoever reads the
 /// metrics.
-pub(crate) async fn accept_probes(state: Rc<TrafficState>, listener: TcpListener) {
+pub(crate) async fn serve_probes(state: Rc<TrafficState>, listener: TcpListener) {
     loop {
         let Some(stream) = accept(&listener).await else { continue };
         let state = state.clone();
@@ -251,8 +255,11 @@
 /// Answers one probe.
 fn probe(state: &TrafficState, path: &str) -> CallerResponse {
     if path == state.config().ready_path {
-        let status =
-            if state.ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        let status = if state.is_ready() {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        };
         let mut answer = Response::new(whole(bytes::Bytes::new()));
         *answer.status_mut() = status;
         return answer;
--- a/crates/flaxtide-entry/src/logging.rs
+++ b/crates/flaxtide-entry/src/logging.rs
@@ -15,20 +15,20 @@
 use log::kv::{self, Key, Value, VisitSource};
 
 /// How many lines the ring holds: a second of the busiest instance.
-const RING_LINES: usize = 4096;
+const QUEUE_LINES: usize = 4096;
 
 /// How long the writer gathers lines, so that it wakes up seldom.
-const GATHER: Duration = Duration::from_millis(100);
+const BATCH_DELAY: Duration = Duration::from_millis(100);
 
 /// A pipe from the logger into the ring.
-struct RingPipe {
+struct QueueWriter {
     /// The ring.
     lines: Sender<Vec<u8>>,
     /// How many lines found it full.
     dropped: Arc<AtomicU64>,
 }
 
-impl Write for RingPipe {
+impl Write for QueueWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if self.lines.try_send(line.to_vec()).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -48,7 +48,7 @@
 /// log::info!(request = "9c41d07be2a35f68"; "a line of JSON");
 /// ```
 pub fn init_entry_logging() {
-    let (lines, ring) = bounded(RING_LINES);
+    let (lines, ring) = bounded(QUEUE_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
     let counted = dropped.clone();
     let writer = thread::Builder::new().name("log".into());
@@ -59,7 +59,7 @@
     let mut builder = Builder::from_env(Env::new().filter_or("FLAXTIDE_LOG", "info"));
     // A peer that doesn't answer in time is an everyday event, told by membership.
     builder.filter_module("tarpc", LevelFilter::Off);
-    builder.target(Target::Pipe(Box::new(RingPipe { lines, dropped })));
+    builder.target(Target::Pipe(Box::new(QueueWriter { lines, dropped })));
     builder.format(|out, record| {
         let mut line = String::with_capacity(256);
         line.push_str("{\"at_unix_ms\":");
@@ -79,7 +79,7 @@
 fn write_lines(ring: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
     let mut batch = Vec::new();
     while let Ok(line) = ring.recv() {
-        thread::sleep(GATHER);
+        thread::sleep(BATCH_DELAY);
         batch.extend(line);
         batch.extend(ring.try_iter().flatten());
         let lost = dropped.swap(0, Ordering::Relaxed);
@@ -96,8 +96,8 @@
 }
 
 /// Waits until lines that were logged so far have been written.
-pub(crate) fn settle_log() {
-    thread::sleep(GATHER + GATHER / 2);
+pub(crate) fn flush_log() {
+    thread::sleep(BATCH_DELAY + BATCH_DELAY / 2);
 }
 
 /// Returns the milliseconds since 1970, for people: nothing is decided by it.
--- a/crates/flaxtide-entry/src/names.rs
+++ b/crates/flaxtide-entry/src/names.rs
@@ -9,7 +9,7 @@
 
 /// Numbers for the names of services and servers. A name keeps its number.
 #[derive(Debug, Default)]
-pub(crate) struct NameTable {
+pub(crate) struct IdTable {
     /// Services.
     pools: HashMap<String, PoolId>,
     /// Servers, each start of one by itself.
@@ -17,12 +17,12 @@
     /// Servers by what stands for them between instances.
     keys: HashMap<FleetKey, ServerId>,
     /// The starts of servers, by number.
-    starts: Vec<ServerStart>,
+    starts: Vec<ServerIncarnation>,
 }
 
 /// A start of a server.
 #[derive(Debug)]
-pub(crate) struct ServerStart {
+pub(crate) struct ServerIncarnation {
     /// The server's name.
     pub(crate) name: ServerName,
     /// What stands for this start between instances. What peers say of an earlier start of
@@ -30,7 +30,7 @@
     pub(crate) key: FleetKey,
 }
 
-impl NameTable {
+impl IdTable {
     /// Returns the number of a service.
     pub(crate) fn pool(&mut self, service: &str) -> PoolId {
         if let Some(pool) = self.pools.get(service) {
@@ -51,12 +51,12 @@
         let key = fleet_key(&incarnation);
         self.servers.insert(incarnation, server);
         self.keys.insert(key, server);
-        self.starts.push(ServerStart { name: entry.name.clone(), key });
+        self.starts.push(ServerIncarnation { name: entry.name.clone(), key });
         server
     }
 
     /// Returns the start of a server that has a number.
-    pub(crate) fn start(&self, server: ServerId) -> Option<&ServerStart> {
+    pub(crate) fn start(&self, server: ServerId) -> Option<&ServerIncarnation> {
         self.starts.get(server as usize)
     }
 
--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -10,17 +10,17 @@
 use crate::contract::RequestHead;
 use crate::crash::server_has_ended;
 use crate::duty::CallUsage;
-use crate::exchange::{CallerRequest, ResponseStart, ServerTry, exchange};
+use crate::exchange::{CallerRequest, ResponseStart, ServerAttempt, exchange};
 use crate::reply::{CallerResponse, LocalReply};
 use crate::routes::ClassMatch;
 use crate::state::TrafficState;
 
 /// When a caller is asked to come back at the latest.
-pub(crate) const LATEST_RETRY: Duration = Duration::from_secs(1);
+pub(crate) const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The part of the time that is left after which a caller is told at the latest to come
 /// back, so that its next try has time.
-pub(crate) const RETRY_PART: u32 = 3;
+pub(crate) const RETRY_DIVISOR: u32 = 3;
 
 /// A request that is being answered. Dropping it tells the router that it has ended.
 pub(crate) struct OpenCall {
@@ -29,11 +29,11 @@
     /// The request.
     pub(crate) request: RequestId,
     /// What identifies it to its caller.
-    pub(crate) attempt: String,
+    pub(crate) attempt_id: String,
     /// Its class.
     pub(crate) class: ClassMatch,
     /// When it came.
-    pub(crate) received: Duration,
+    pub(crate) received_at: Duration,
     /// When its caller, or its class, stops waiting.
     pub(crate) deadline: Duration,
     /// Whether it may have run at a server.
@@ -41,15 +41,15 @@
     /// The server that it was last sent to.
     server: Cell<Option<ServerId>>,
     /// Whether a connection of it went silent or broke: the next try opens a new one.
-    doubted: Cell<bool>,
+    connection_suspect: Cell<bool>,
     /// When the first of its answer came.
-    first: Cell<Option<Duration>>,
+    first_event_after: Cell<Option<Duration>>,
     /// The longest time between two pieces of its answer.
     pub(crate) longest_pause: Cell<Duration>,
     /// Whether its end has been logged.
-    ended: Cell<bool>,
+    end_recorded: Cell<bool>,
     /// When it was last sent to a server.
-    sent: Cell<Duration>,
+    sent_at: Cell<Duration>,
     /// What it adds to the usage.
     usage: Option<CallUsage>,
 }
@@ -71,44 +71,47 @@
     pub(crate) fn new(
         state: &Rc<TrafficState>,
         class: ClassMatch,
-        attempt: String,
+        attempt_id: String,
         head: &RequestHead,
-        received: Duration,
+        received_at: Duration,
         usage: Option<CallUsage>,
     ) -> Self {
         let timeout = class.class().timeout;
         let wait = head.deadline.map_or(timeout, |deadline| deadline.min(timeout));
-        state.open.set(state.open.get() + 1);
-        state.metrics.open_calls.set(state.open.get() as i64);
+        state.open_calls.set(state.open_calls.get() + 1);
+        state.metrics.open_calls.set(state.open_calls.get() as i64);
         Self {
             state: state.clone(),
-            request: state.number(),
-            attempt,
+            request: state.next_request_id(),
+            attempt_id,
             class,
-            received,
-            deadline: received + wait,
+            received_at,
+            deadline: received_at + wait,
             may_have_run: Cell::new(false),
             server: Cell::new(None),
-            doubted: Cell::new(false),
-            first: Cell::new(None),
+            connection_suspect: Cell::new(false),
+            first_event_after: Cell::new(None),
             longest_pause: Cell::new(Duration::ZERO),
-            ended: Cell::new(false),
-            sent: Cell::new(received),
+            end_recorded: Cell::new(false),
+            sent_at: Cell::new(received_at),
             usage,
         }
     }
 
     /// Logs how the request ended, once.
     pub(crate) fn record_end(&self, end: &'static str, status: u16) {
-        if self.ended.replace(true) {
+        if self.end_recorded.replace(true) {
             return;
         }
         let state = &self.state;
         state.metrics.ends.with_label_values(&[end]).inc();
-        let spent = state.now().saturating_sub(self.received).as_millis() as u64;
-        let first = self.first.get().map_or(-1, |first| first.as_millis() as i64);
+        let spent = state.now().saturating_sub(self.received_at).as_millis() as u64;
+        let first = self
+            .first_event_after
+            .get()
+            .map_or(-1, |first| first.as_millis() as i64);
         log::info!(
-            request = self.attempt, class = self.class.class().name, outcome = end,
+            request = self.attempt_id, class = self.class.class().name, outcome = end,
             status, late = self.late_cause().unwrap_or_default(),
             target_ms = self.class.class().target.as_millis() as u64, first_ms = first, pause_ms = self.longest_pause.get().as_millis() as u64, spent_ms = spent, may_have_run = self.may_have_run.get();
             "end"
@@ -125,7 +128,7 @@
     /// Returns by what an answer missed its target: its first event, or a pause.
     fn late_cause(&self) -> Option<&'static str> {
         let class = self.class.class();
-        if self.first.get().is_some_and(|first| first > class.target) {
+        if self.first_event_after.get().is_some_and(|first| first > class.target) {
             return Some("first");
         }
         let paused =
@@ -134,9 +137,9 @@
     }
 
     /// Records that the answer, or its first event, has come.
-    pub(crate) fn note_first(&self) {
-        let spent = self.state.now().saturating_sub(self.received);
-        self.first.set(Some(spent));
+    pub(crate) fn record_first_event(&self) {
+        let spent = self.state.now().saturating_sub(self.received_at);
+        self.first_event_after.set(Some(spent));
         self.state.metrics.latency.observe(spent.as_secs_f64());
         self.count_usage();
     }
@@ -146,7 +149,7 @@
     fn count_usage(&self) {
         let Some(usage) = &self.usage else { return };
         let streams = self.class.class().kind.streams();
-        let ago = self.state.now().saturating_sub(self.sent.get());
+        let ago = self.state.now().saturating_sub(self.sent_at.get());
         usage.begin(if streams { Duration::ZERO } else { ago });
     }
 
@@ -156,7 +159,7 @@
     }
 
     /// Makes an answer of the instance's own, which ends the request.
-    pub(crate) fn reply(
+    pub(crate) fn reply_locally(
         &self,
         reply: LocalReply,
         retry_after: Option<Duration>,
@@ -167,38 +170,38 @@
     }
 
     /// Answers a request that a server failed and that isn't tried again.
-    pub(crate) fn give_up(&self, fault: RouteFault) -> CallerResponse {
+    pub(crate) fn reply_failed(&self, fault: RouteFault) -> CallerResponse {
         if self.may_have_run.get() {
             let reply = match fault {
                 RouteFault::Silent => LocalReply::TimedOut,
                 _ => LocalReply::ServerFailed,
             };
-            return self.reply(reply, None);
+            return self.reply_locally(reply, None);
         }
-        let retry_after = self.time_left() / RETRY_PART;
-        self.reply(LocalReply::NoServer, Some(retry_after.min(LATEST_RETRY)))
+        let retry_after = self.time_left() / RETRY_DIVISOR;
+        self.reply_locally(LocalReply::NoServer, Some(retry_after.min(MAX_RETRY_AFTER)))
     }
 
     /// Answers a request under which servers end.
-    pub(crate) fn quarantine(&self, request: &CallerRequest) -> CallerResponse {
+    pub(crate) fn reply_quarantined(&self, request: &CallerRequest) -> CallerResponse {
         self.state.quarantine.renew(&self.state, request);
         log::info!(
-            request = self.attempt, class = self.class.class().name,
+            request = self.attempt_id, class = self.class.class().name,
             fingerprint = format!("{:032x}", request.fingerprint());
             "quarantined"
         );
         if self.may_have_run.get() {
-            return self.reply(LocalReply::ServerFailed, None);
+            return self.reply_locally(LocalReply::ServerFailed, None);
         }
-        self.reply(LocalReply::Quarantined, None)
+        self.reply_locally(LocalReply::Quarantined, None)
     }
 
     /// Answers a request whose time is over.
-    pub(crate) fn time_over(&self) -> CallerResponse {
+    pub(crate) fn reply_timed_out(&self) -> CallerResponse {
         if self.may_have_run.get() {
-            return self.reply(LocalReply::TimedOut, None);
+            return self.reply_locally(LocalReply::TimedOut, None);
         }
-        self.reply(LocalReply::TooLate, Some(LATEST_RETRY))
+        self.reply_locally(LocalReply::TooLate, Some(MAX_RETRY_AFTER))
     }
 
     /// Sends the request to a server and waits for the start of the answer, as long as the
@@ -210,8 +213,8 @@
         patience: Option<Duration>,
         last_event: Option<u64>,
     ) -> AttemptOutcome {
-        let left = self.time_left();
-        if left.is_zero() {
+        let time_left = self.time_left();
+        if time_left.is_zero() {
             return AttemptOutcome::TimedOut;
         }
         // It may have been found to crash servers while it waited.
@@ -219,30 +222,36 @@
             return AttemptOutcome::Quarantined;
         }
         self.server.set(Some(choice.server));
-        self.sent.set(self.state.now());
+        self.sent_at.set(self.state.now());
         log::info!(
-            request = self.attempt, class = self.class.class().name,
+            request = self.attempt_id, class = self.class.class().name,
             server = self.state.server_name(choice.server).unwrap_or_default(),
             reason:? = choice.reason, cost_ms = choice.cost_ms as u64, expected_ms = choice.expected.as_millis() as u64,
             running = choice.running, uncached = choice.uncached, taken_over = choice.fetch.map_or(0, |fetch| fetch.tokens), tokens = request.tokens, tier = request.tier.unwrap_or_default(),
-            eligible = choice.eligible, left_ms = left.as_millis() as u64,
+            eligible = choice.eligible, left_ms = time_left.as_millis() as u64,
             resume = last_event.unwrap_or_default();
             "dispatch"
         );
         let reason = format!("{:?}", choice.reason);
         self.state.metrics.dispatches.with_label_values(&[&reason]).inc();
-        let (number, fresh) = (self.request, self.doubted.get());
-        let attempt = ServerTry { number, choice, left, last_event, fresh };
+        let (request_id, new_connection) = (self.request, self.connection_suspect.get());
+        let attempt = ServerAttempt {
+            request_id,
+            choice,
+            time_left,
+            last_event,
+            new_connection,
+        };
         let sent = exchange(&self.state, request, attempt);
         let mut sent = std::pin::pin!(sent);
         loop {
-            let left = self.time_left();
-            let wait = patience.map_or(left, |patience| patience.min(left));
+            let time_left = self.time_left();
+            let wait = patience.map_or(time_left, |patience| patience.min(time_left));
             let until = self.state.now() + wait;
             match self.state.wait_until(until, &mut sent).await {
                 Some(Ok(start)) => return AttemptOutcome::Started(start),
                 Some(Err(fault)) => return AttemptOutcome::Fault(fault),
-                None if wait < left && !self.time_left().is_zero() => {
+                None if wait < time_left && !self.time_left().is_zero() => {
                     if self.may_break_off(false) {
                         return AttemptOutcome::Fault(RouteFault::Silent);
                     }
@@ -262,7 +271,7 @@
     }
 
     /// Records it if the server of a request has ended under it.
-    async fn note_crash(&self, request: &CallerRequest, fault: RouteFault) {
+    async fn record_crash(&self, request: &CallerRequest, fault: RouteFault) {
         let (RouteFault::Broken, Some(server)) = (fault, self.server.get()) else {
             return;
         };
@@ -280,13 +289,13 @@
         fault: RouteFault,
         resumable: bool,
     ) -> RetryVerdict {
-        self.note_crash(request, fault).await;
+        self.record_crash(request, fault).await;
         if !fault.not_run() {
             self.may_have_run.set(true);
-            self.doubted.set(true);
+            self.connection_suspect.set(true);
         }
         if let (RouteFault::Silent, Some(server)) = (fault, self.server.get()) {
-            self.state.links.doubt(server);
+            self.state.connections.close_idle_of(server);
         }
         let mut verdict = RetryVerdict::End;
         let quarantined = self.state.quarantine.holds(request);
@@ -302,7 +311,7 @@
         self.state.metrics.faults.with_label_values(&[&label]).inc();
         let server = self.server.get().and_then(|server| self.state.server_name(server));
         log::info!(
-            request = self.attempt, server = server.unwrap_or_default(), fault = label, again = verdict == RetryVerdict::Again,
+            request = self.attempt_id, server = server.unwrap_or_default(), fault = label, again = verdict == RetryVerdict::Again,
             left_ms = self.time_left().as_millis() as u64;
             "fault"
         );
@@ -313,9 +322,9 @@
 impl Drop for OpenCall {
     fn drop(&mut self) {
         self.record_end("caller_left", 0);
-        self.state.forget(self.request);
+        self.state.remove_waiter(self.request);
         self.state.run_router(|core, now| core.leave(self.request, now));
-        self.state.open.set(self.state.open.get() - 1);
-        self.state.metrics.open_calls.set(self.state.open.get() as i64);
+        self.state.open_calls.set(self.state.open_calls.get() - 1);
+        self.state.metrics.open_calls.set(self.state.open_calls.get() as i64);
     }
 }
--- a/crates/flaxtide-entry/src/pushback.rs
+++ b/crates/flaxtide-entry/src/pushback.rs
@@ -16,7 +16,7 @@
 
 /// Of how many servers it is kept that peers reported before the platform listed them, and how
 /// many reports wait for the fleet thread.
-const MOST_KEPT: usize = 1024;
+const MAX_KEPT_REPORTS: usize = 1024;
 
 /// What is exchanged with peers of what servers say.
 #[derive(Debug, Default)]
@@ -48,7 +48,7 @@
         let note = state
             .with_router(|core, now| core.hear_statement(server, statement, sent, now));
         if let Some(span) = note.and_then(|note| note.rests) {
-            log_rest(state, server, span);
+            log_backoff(state, server, span);
         }
         let due = self.schedule.borrow().is_due(server, statement.rate, state.now());
         match note.filter(|note| note.restated) {
@@ -64,12 +64,17 @@
     /// Handles what peers have heard servers say.
     pub(crate) fn apply_reports(&self, state: &TrafficState, reports: &[PushbackReport]) {
         for report in reports {
-            self.hear_peer(state, report, state.now());
+            self.apply_report(state, report, state.now());
         }
     }
 
     /// Handles a report that came at `came`.
-    fn hear_peer(&self, state: &TrafficState, report: &PushbackReport, came: Duration) {
+    fn apply_report(
+        &self,
+        state: &TrafficState,
+        report: &PushbackReport,
+        came: Duration,
+    ) {
         let server = state.server_with_key(report.server);
         if report.leaving && server.is_some_and(|server| state.mark_leaving(server)) {
             log_leaving(state, server.unwrap_or_default(), "peer");
@@ -87,16 +92,16 @@
             // The server has told this instance something else since.
             (Some(server), Some(ReportEffect::Outdated)) => self.tell(state, server),
             (Some(_), Some(ReportEffect::Known)) => {}
-            _ => self.keep_unplaced(*report, came),
+            _ => self.keep_pending(*report, came),
         }
     }
 
     /// Keeps a report until its server is listed. The oldest goes if there are too many: its server
     /// may have left before this instance started.
-    fn keep_unplaced(&self, report: PushbackReport, came: Duration) {
+    fn keep_pending(&self, report: PushbackReport, came: Duration) {
         let mut unplaced = self.unplaced.borrow_mut();
         unplaced.insert(report.server, (came, report));
-        if unplaced.len() > MOST_KEPT {
+        if unplaced.len() > MAX_KEPT_REPORTS {
             let oldest = unplaced.iter().min_by_key(|(_, (came, _))| *came);
             let oldest = oldest.map(|(server, _)| *server);
             oldest.and_then(|server| unplaced.remove(&server));
@@ -106,7 +111,7 @@
     /// Applies the reports of servers that are listed by now.
     pub(crate) fn place(&self, state: &TrafficState) {
         for (came, report) in self.unplaced.take().into_values() {
-            self.hear_peer(state, &report, came);
+            self.apply_report(state, &report, came);
         }
     }
 
@@ -136,14 +141,14 @@
         if !state.fleet.report_pushback(report, &state.clock, at) {
             let mut unsent = self.unsent.borrow_mut();
             unsent.push((at, report));
-            let surplus = unsent.len().saturating_sub(MOST_KEPT);
+            let surplus = unsent.len().saturating_sub(MAX_KEPT_REPORTS);
             unsent.drain(..surplus);
         }
     }
 }
 
 /// Shows how many servers ask for less.
-pub(crate) fn show_pushback(state: &TrafficState) {
+pub(crate) fn update_pushback_metrics(state: &TrafficState) {
     let count = state.with_router(|core, now| core.count_pushback(now));
     for (kind, count) in [("limited", count.limited), ("resting", count.resting)] {
         state.metrics.pushback.with_label_values(&[kind]).set(count as i64);
@@ -157,7 +162,7 @@
 }
 
 /// Logs that a server wants nothing from this instance for a while.
-fn log_rest(state: &TrafficState, server: ServerId, span: Duration) {
+fn log_backoff(state: &TrafficState, server: ServerId, span: Duration) {
     let name = state.server_name(server).unwrap_or_default();
     log::info!(server = name, rest_ms = span.as_millis() as u64; "server asks for rest");
 }
--- a/crates/flaxtide-entry/src/quarantine.rs
+++ b/crates/flaxtide-entry/src/quarantine.rs
@@ -11,13 +11,13 @@
 
 /// How long an instance that starts waits for its peers to tell which requests crash servers.
 /// Peers in reach do so within a round of heartbeats; without any it serves all the same.
-const PEERS_WAIT: Duration = Duration::from_millis(1500);
+const PEER_SYNC_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How many groups of reports wait for the fleet thread at most, which takes hundreds a second.
-const MOST_UNSENT: usize = 256;
+const MAX_UNSENT: usize = 256;
 
 /// How often requests are forgotten that haven't come for long.
-const EXPIRY_PERIOD: Duration = Duration::from_secs(10);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Which requests crash servers, on the traffic thread.
 #[derive(Debug, Default)]
@@ -59,7 +59,7 @@
         let quarantined = self.log.borrow().is_quarantined(fingerprint);
         state.metrics.crashes.inc();
         log::info!(
-            request = request.attempt.clone().unwrap_or_default(),
+            request = request.attempt_id.clone().unwrap_or_default(),
             server = state.server_name(server).unwrap_or_default(),
             fingerprint = format!("{fingerprint:032x}"), begun = progress.begun, quarantined;
             "server ended"
@@ -103,7 +103,7 @@
 
     /// Returns whether it is known which requests crash servers, as far as any peer could tell.
     pub(crate) fn is_synced(&self, now: Duration) -> bool {
-        self.informed.get() || now >= PEERS_WAIT
+        self.informed.get() || now >= PEER_SYNC_TIMEOUT
     }
 
     /// Tells the fleet thread what it hasn't taken, and forgets what is old. To be called often.
@@ -112,7 +112,7 @@
             self.send(state, at, reports);
         }
         let now = state.now();
-        if now >= self.expired.get() + EXPIRY_PERIOD {
+        if now >= self.expired.get() + EXPIRY_INTERVAL {
             self.expired.set(now);
             self.log.borrow_mut().expire(now);
             self.show(state);
@@ -132,7 +132,7 @@
         if !state.fleet.report_crashes(reports.clone(), &state.clock, at) {
             let mut unsent = self.unsent.borrow_mut();
             unsent.push((at, reports));
-            let surplus = unsent.len().saturating_sub(MOST_UNSENT);
+            let surplus = unsent.len().saturating_sub(MAX_UNSENT);
             unsent.drain(..surplus);
         }
     }
--- a/crates/flaxtide-entry/src/reply.rs
+++ b/crates/flaxtide-entry/src/reply.rs
@@ -34,7 +34,7 @@
     /// There are no rules yet.
     NoRules,
     /// The rules in force don't allow it, but there are newer ones, which may.
-    OldRules,
+    OutdatedRules,
     /// The instance stops before it could be answered.
     Stopping,
     /// No server can take it.
@@ -52,9 +52,9 @@
 impl LocalReply {
     /// Returns what is true if newer rules than those in force are known to exist: what they
     /// may allow isn't denied for good, which callers wouldn't try again.
-    pub(crate) fn under_rules(self, behind: bool) -> Self {
+    pub(crate) fn defer_to_newer_rules(self, behind: bool) -> Self {
         match self {
-            Self::UnknownKey | Self::UnknownTarget if behind => Self::OldRules,
+            Self::UnknownKey | Self::UnknownTarget if behind => Self::OutdatedRules,
             reply => reply,
         }
     }
@@ -69,7 +69,7 @@
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::UnknownTarget => StatusCode::NOT_FOUND,
             Self::NoRules
-            | Self::OldRules
+            | Self::OutdatedRules
             | Self::Stopping
             | Self::NoServer
             | Self::TooLate => StatusCode::SERVICE_UNAVAILABLE,
@@ -87,7 +87,7 @@
             Self::UnknownKey => "unknown_key",
             Self::UnknownTarget => "unknown_target",
             Self::NoRules => "no_rules",
-            Self::OldRules => "old_rules",
+            Self::OutdatedRules => "old_rules",
             Self::Stopping => "stopping",
             Self::NoServer => "no_server",
             Self::TooLate => "too_late",
@@ -106,7 +106,7 @@
             Self::UnknownKey => "send a key that is in force",
             Self::UnknownTarget => "check the host and the path",
             Self::NoRules
-            | Self::OldRules
+            | Self::OutdatedRules
             | Self::Stopping
             | Self::NoServer
             | Self::TooLate => "it hasn't run; come back after the time in Retry-After",
--- a/crates/flaxtide-entry/src/response.rs
+++ b/crates/flaxtide-entry/src/response.rs
@@ -11,25 +11,25 @@
 use crate::reply::{CallerResponse, whole};
 
 /// An answer that has come, or has started to.
-pub(crate) enum Received {
+pub(crate) enum ReceivedResponse {
     /// It is whole.
     Whole(CallerResponse),
     /// It is a stream, whose first bytes these are.
     Stream(ResponseStart, Bytes),
     /// It is a server's error, and the router tries the request elsewhere.
-    Again,
+    Retry,
 }
 
 /// Receives an answer: all of it, or the first bytes of a stream.
-pub(crate) async fn receive(
+pub(crate) async fn receive_response(
     call: &OpenCall,
     request: &CallerRequest,
     mut start: ResponseStart,
-) -> Result<Received, AttemptOutcome> {
+) -> Result<ReceivedResponse, AttemptOutcome> {
     let state = &call.state;
     if start.status.is_server_error() && call.class.class().kind == CallKind::Idempotent {
         // Another server may answer it. If none may, this answer is lost, so it is kept.
-        return receive_failure(call, request, start).await;
+        return receive_server_error(call, request, start).await;
     }
     let streams = request.streams && start.status.is_success();
     let mut collected = BytesMut::new();
@@ -45,7 +45,7 @@
                     core.heard(call.request, now);
                     vec![]
                 });
-                return Ok(Received::Stream(start, bytes));
+                return Ok(ReceivedResponse::Stream(start, bytes));
             }
             Some(bytes) => collected.extend_from_slice(&bytes),
             None => break,
@@ -55,16 +55,21 @@
     if start.status.is_success() {
         state.quarantine.clear(state, request);
     }
-    Ok(Received::Whole(deliver(call, start.status, start.headers, collected.freeze())))
+    Ok(ReceivedResponse::Whole(complete_response(
+        call,
+        start.status,
+        start.headers,
+        collected.freeze(),
+    )))
 }
 
 /// Receives a server's own error for a request that may be tried elsewhere. One that breaks off
 /// is no answer of the server's.
-async fn receive_failure(
+async fn receive_server_error(
     call: &OpenCall,
     request: &CallerRequest,
     mut start: ResponseStart,
-) -> Result<Received, AttemptOutcome> {
+) -> Result<ReceivedResponse, AttemptOutcome> {
     let mut collected = BytesMut::new();
     loop {
         let next = call
@@ -83,20 +88,25 @@
     }
     if call.handle_fault(request, RouteFault::Failed, false).await == RetryVerdict::Again
     {
-        return Ok(Received::Again);
+        return Ok(ReceivedResponse::Retry);
     }
     let (status, headers) = (start.status, start.headers);
-    Ok(Received::Whole(deliver(call, status, headers, collected.freeze())))
+    Ok(ReceivedResponse::Whole(complete_response(
+        call,
+        status,
+        headers,
+        collected.freeze(),
+    )))
 }
 
 /// Makes an answer out of a server's whole one.
-fn deliver(
+fn complete_response(
     call: &OpenCall,
     status: StatusCode,
     headers: hyper::HeaderMap,
     body: Bytes,
 ) -> CallerResponse {
-    call.note_first();
+    call.record_first_event();
     call.record_missed_target();
     let mut answer = Response::new(whole(body));
     *answer.status_mut() = status;
@@ -107,13 +117,13 @@
 }
 
 /// Starts to pass a stream on.
-pub(crate) fn begin_stream(
+pub(crate) fn start_stream(
     call: OpenCall,
     request: CallerRequest,
     start: ResponseStart,
     first: Bytes,
 ) -> CallerResponse {
-    call.note_first();
+    call.record_first_event();
     call.may_have_run.set(true);
     let (status, headers) = (start.status, start.headers);
     let relay = StreamRelay::new(call, request, start.body, first);
--- a/crates/flaxtide-entry/src/state.rs
+++ b/crates/flaxtide-entry/src/state.rs
@@ -23,20 +23,20 @@
 use crate::duty::DutyBoard;
 use crate::fleet::FleetLink;
 use crate::metrics::{EntryMetrics, GaugeGuard};
-use crate::names::NameTable;
+use crate::names::IdTable;
 use crate::pushback::PushbackExchange;
 use crate::quarantine::CallQuarantine;
 use crate::routes::RouteTable;
 use crate::source::ListSource;
-use crate::stop::LAST_CALLS;
-use crate::upstream::ServerLinks;
+use crate::stop::LAST_CALL_MARGIN;
+use crate::upstream::ServerConnections;
 
 /// How many requests a plain server works on at once if nobody says.
-const SLOTS_OF_PLAIN_SERVICE: u32 = 6;
+const DEFAULT_PLAIN_SERVER_SLOTS: u32 = 6;
 
 /// How far a stop has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum LifePhase {
+pub(crate) enum ShutdownPhase {
     /// It takes requests.
     Serving,
     /// It isn't ready, but the balancer may not have noticed.
@@ -56,7 +56,7 @@
     /// The metrics.
     pub(crate) metrics: Arc<EntryMetrics>,
     /// The open connections to servers.
-    pub(crate) links: ServerLinks,
+    pub(crate) connections: ServerConnections,
     /// The ring to the fleet thread.
     pub(crate) fleet: FleetLink,
     /// From whom this instance gets what few read from the platform.
@@ -80,23 +80,23 @@
     /// Who waits for the router's decision.
     waiters: RefCell<HashMap<RequestId, oneshot::Sender<RouteAction>>>,
     /// Numbers for names.
-    names: RefCell<NameTable>,
+    ids: RefCell<IdTable>,
     /// The number of the next request.
     next_request: Cell<RequestId>,
     /// The source of randomness for weights.
-    pub(crate) random: RefCell<SmallRng>,
+    pub(crate) rng: RefCell<SmallRng>,
     /// How far a stop has come.
-    phase: Cell<LifePhase>,
+    phase: Cell<ShutdownPhase>,
     /// Until when it isn't ready after a jump of time.
-    pub(crate) rejoined_at: Cell<Duration>,
+    pub(crate) not_ready_until: Cell<Duration>,
     /// Wakes those that wait when time has jumped.
-    pub(crate) jumped: Notify,
+    pub(crate) clock_jumped: Notify,
     /// Wakes connections when the phase changes.
     pub(crate) phase_changed: Notify,
     /// How many requests are being answered.
-    pub(crate) open: Cell<usize>,
+    pub(crate) open_calls: Cell<usize>,
     /// When the process ends at the latest, once that is near.
-    pub(crate) end_by: Cell<Option<Duration>>,
+    pub(crate) stop_deadline: Cell<Option<Duration>>,
 }
 
 impl TrafficState {
@@ -125,7 +125,7 @@
             clock,
             dialect,
             metrics,
-            links: ServerLinks::default(),
+            connections: ServerConnections::default(),
             fleet,
             source,
             quarantine,
@@ -137,15 +137,15 @@
             servers_listed: Cell::new(false),
             router: RefCell::new(core),
             waiters: RefCell::default(),
-            names: RefCell::default(),
+            ids: RefCell::default(),
             next_request: Cell::new(1),
-            random: RefCell::new(SmallRng::seed_from_u64(seed)),
-            phase: Cell::new(LifePhase::Serving),
-            rejoined_at: Cell::new(Duration::ZERO),
-            jumped: Notify::new(),
+            rng: RefCell::new(SmallRng::seed_from_u64(seed)),
+            phase: Cell::new(ShutdownPhase::Serving),
+            not_ready_until: Cell::new(Duration::ZERO),
+            clock_jumped: Notify::new(),
             phase_changed: Notify::new(),
-            open: Cell::new(0),
-            end_by: Cell::new(None),
+            open_calls: Cell::new(0),
+            stop_deadline: Cell::new(None),
         }
     }
 
@@ -173,56 +173,56 @@
     }
 
     /// Returns how far a stop has come.
-    pub(crate) fn phase(&self) -> LifePhase {
+    pub(crate) fn phase(&self) -> ShutdownPhase {
         self.phase.get()
     }
 
     /// Goes on with a stop.
-    pub(crate) fn enter(&self, phase: LifePhase) {
+    pub(crate) fn set_phase(&self, phase: ShutdownPhase) {
         self.phase.set(phase);
         self.phase_changed.notify_waiters();
     }
 
     /// Tells whether the balancer may send callers.
-    pub(crate) fn ready(&self) -> bool {
-        self.phase.get() == LifePhase::Serving
+    pub(crate) fn is_ready(&self) -> bool {
+        self.phase.get() == ShutdownPhase::Serving
             && self.table.borrow().is_some()
             && self.servers_listed.get()
-            && self.now() >= self.rejoined_at.get()
+            && self.now() >= self.not_ready_until.get()
             && self.quarantine.is_synced(self.now())
     }
 
     /// Tells whether a request that comes now may not end before the process must.
-    pub(crate) fn ends_too_soon(&self, streams: bool) -> bool {
-        let Some(end) = self.end_by.get() else { return false };
-        streams || self.now() + LAST_CALLS > end
+    pub(crate) fn is_too_late_to_start(&self, streams: bool) -> bool {
+        let Some(end) = self.stop_deadline.get() else { return false };
+        streams || self.now() + LAST_CALL_MARGIN > end
     }
 
     /// Returns the number of a new request.
-    pub(crate) fn number(&self) -> RequestId {
+    pub(crate) fn next_request_id(&self) -> RequestId {
         let request = self.next_request.get();
         self.next_request.set(request + 1);
         request
     }
 
     /// Returns the number of a service.
-    pub(crate) fn pool(&self, service: &str) -> PoolId {
-        self.names.borrow_mut().pool(service)
+    pub(crate) fn pool_id(&self, service: &str) -> PoolId {
+        self.ids.borrow_mut().pool(service)
     }
 
     /// Returns the number of a server.
-    pub(crate) fn server_number(&self, entry: &ServerEntry) -> ServerId {
-        self.names.borrow_mut().server(entry)
+    pub(crate) fn server_id(&self, entry: &ServerEntry) -> ServerId {
+        self.ids.borrow_mut().server(entry)
     }
 
     /// Returns the name of a server.
     pub(crate) fn server_name(&self, server: ServerId) -> Option<ServerName> {
-        self.names.borrow().start(server).map(|start| start.name.clone())
+        self.ids.borrow().start(server).map(|start| start.name.clone())
     }
 
     /// Returns what stands for a server between instances.
     pub(crate) fn server_key(&self, server: ServerId) -> Option<FleetKey> {
-        self.names.borrow().start(server).map(|start| start.key)
+        self.ids.borrow().start(server).map(|start| start.key)
     }
 
     /// Returns where a server is reached.
@@ -256,12 +256,12 @@
         let name = self.server_name(server)?;
         let directory = self.directory.borrow();
         let listed = directory.get(&name)?;
-        (self.server_number(&listed.entry) == server).then_some(name)
+        (self.server_id(&listed.entry) == server).then_some(name)
     }
 
     /// Returns the server that a key stands for.
     pub(crate) fn server_with_key(&self, key: FleetKey) -> Option<ServerId> {
-        self.names.borrow().with_key(key)
+        self.ids.borrow().with_key(key)
     }
 
     /// Returns the version of the rules in force; 0 without any.
@@ -270,7 +270,7 @@
     }
 
     /// Tells whether newer rules than those in force are known to exist.
-    pub(crate) fn behind(&self) -> bool {
+    pub(crate) fn has_outdated_rules(&self) -> bool {
         self.newest_rules.get() > self.rules_version()
     }
 
@@ -302,9 +302,9 @@
                 let entry = &listed.entry;
                 let slots = engine.map_or(entry.slots, |engine| engine.slots);
                 RoutedServer {
-                    server: self.server_number(entry),
+                    server: self.server_id(entry),
                     rank: xxh3_64(entry.name.as_bytes()),
-                    slots: if slots == 0 { SLOTS_OF_PLAIN_SERVICE } else { slots },
+                    slots: if slots == 0 { DEFAULT_PLAIN_SERVER_SLOTS } else { slots },
                     engine: engine.map(|engine| EngineShape {
                         memory_tokens: engine.memory_tokens,
                         fetch_tokens_per_ms: engine.fetch_tokens_per_ms,
@@ -317,7 +317,7 @@
             });
             let servers: Vec<RoutedServer> = servers.collect();
             drop(directory);
-            let pool = self.pool(&service.name);
+            let pool = self.pool_id(&service.name);
             self.run_router(|core, now| core.set_servers(pool, &servers, now));
         }
         self.metrics.servers.set(self.directory.borrow().len() as i64);
@@ -364,7 +364,7 @@
     }
 
     /// Forgets a request that waits for a decision.
-    pub(crate) fn forget(&self, request: RequestId) {
+    pub(crate) fn remove_waiter(&self, request: RequestId) {
         self.waiters.borrow_mut().remove(&request);
     }
 }
--- a/crates/flaxtide-entry/src/stop.rs
+++ b/crates/flaxtide-entry/src/stop.rs
@@ -9,23 +9,23 @@
 use tokio::sync::mpsc::{Receiver, Sender};
 
 use crate::config::EntryConfig;
-use crate::state::{LifePhase, TrafficState};
+use crate::state::{ShutdownPhase, TrafficState};
 
 /// How long a stopping instance goes on as before, so that the balancer, which asks once a
 /// second and believes the second miss, has noticed.
-const BALANCER_NOTICE: Duration = Duration::from_millis(2300);
+const BALANCER_REACTION_TIME: Duration = Duration::from_millis(2300);
 
 /// A stream that starts later than this may not end before the process must.
-const LAST_STREAMS: Duration = Duration::from_millis(2800);
+const LAST_STREAM_START: Duration = Duration::from_millis(2800);
 
 /// A call that starts with less time than this before the process must end is refused.
-pub(crate) const LAST_CALLS: Duration = Duration::from_millis(2000);
+pub(crate) const LAST_CALL_MARGIN: Duration = Duration::from_millis(2000);
 
 /// What is left of the time for a stop when the last requests are cut.
-const STOP_SLACK: Duration = Duration::from_millis(350);
+const STOP_MARGIN: Duration = Duration::from_millis(350);
 
 /// How often a stopping instance looks whether it is done.
-const DRAIN_PERIOD: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What a signal asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -86,28 +86,28 @@
 /// Stops in order: not ready, then no kept connections, then nothing in flight.
 async fn stop(state: &Rc<TrafficState>) {
     let start = state.now();
-    let most = start + state.config().stop_within.saturating_sub(STOP_SLACK);
-    log::info!(open = state.open.get() as u64; "stopping: not ready any more");
-    state.enter(LifePhase::Leaving);
+    let most = start + state.config().stop_within.saturating_sub(STOP_MARGIN);
+    log::info!(open = state.open_calls.get() as u64; "stopping: not ready any more");
+    state.set_phase(ShutdownPhase::Leaving);
     state.fleet.leave();
     if let Some(board) = &state.duties {
         board.stop();
     }
-    tokio::time::sleep(BALANCER_NOTICE).await;
-    state.enter(LifePhase::Closing);
-    tokio::time::sleep(LAST_STREAMS - BALANCER_NOTICE).await;
-    state.end_by.set(Some(most));
+    tokio::time::sleep(BALANCER_REACTION_TIME).await;
+    state.set_phase(ShutdownPhase::Closing);
+    tokio::time::sleep(LAST_STREAM_START - BALANCER_REACTION_TIME).await;
+    state.stop_deadline.set(Some(most));
     loop {
-        while state.open.get() > 0 && state.now() < most {
-            tokio::time::sleep(DRAIN_PERIOD).await;
+        while state.open_calls.get() > 0 && state.now() < most {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         // Answers leave the sockets. What comes meanwhile is refused, and so isn't cut.
-        state.end_by.set(Some(state.now()));
-        tokio::time::sleep(DRAIN_PERIOD).await;
-        if state.open.get() == 0 || state.now() >= most {
+        state.stop_deadline.set(Some(state.now()));
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
+        if state.open_calls.get() == 0 || state.now() >= most {
             break;
         }
     }
     let spent = state.now().saturating_sub(start).as_millis() as u64;
-    log::info!(cut = state.open.get() as u64, spent_ms = spent; "stopped");
+    log::info!(cut = state.open_calls.get() as u64, spent_ms = spent; "stopped");
 }
