--- a/crates/flaxtide-entry/src/backoff.rs
+++ b/crates/flaxtide-entry/src/backoff.rs
@@ -39,7 +39,7 @@
     /// Whether the peer has answered.
     reachable: bool,
     /// How long it is.
-    span: Duration,
+    duration: Duration,
     /// When it ends.
     until: Duration,
 }
@@ -86,8 +86,8 @@
     /// Records that a peer has answered that it can't tell.
     pub fn record_unable(&mut self, peer: SocketAddr, now: Duration) {
         let before = self.entries.get(&peer).filter(|entry| entry.reachable);
-        let span = before.map_or(self.first, |entry| entry.span * 2);
-        self.back_off(peer, true, span.min(MAX_BACKOFF), now);
+        let duration = before.map_or(self.first, |entry| entry.duration * 2);
+        self.back_off(peer, true, duration.min(MAX_BACKOFF), now);
     }
 
     /// Records that no answer came from a peer.
@@ -100,10 +100,10 @@
         &mut self,
         peer: SocketAddr,
         reachable: bool,
-        span: Duration,
+        duration: Duration,
         now: Duration,
     ) {
         self.entries
-            .insert(peer, BackoffEntry { reachable, span, until: now + span });
+            .insert(peer, BackoffEntry { reachable, duration, until: now + duration });
     }
 }
--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -33,8 +33,8 @@
     // The HTTP library drops a length beside chunks. What follows such a request may be a
     // part of its body to whoever sent it, so it is never read as another request.
     let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-    let mut answer = match handle_request(&state, request).await {
-        Ok(answer) => answer,
+    let mut response = match handle_request(&state, request).await {
+        Ok(response) => response,
         Err((reply, attempt)) => {
             let reply = reply.defer_to_newer_rules(state.has_outdated_rules());
             state.metrics.ends.with_label_values(&[reply.name()]).inc();
@@ -48,15 +48,15 @@
                 LocalReply::Stopping => Some(Duration::ZERO),
                 _ => None,
             };
-            reply.answer(retry_after)
+            reply.into_response(retry_after)
         }
     };
     if chunked || state.phase() >= ShutdownPhase::Closing {
-        answer
+        response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    answer
+    response
 }
 
 /// A request that is turned away before it is a call: why, and what identifies it.
@@ -89,8 +89,8 @@
     let head = state.dialect.read_request(&parts.headers);
     let attempt = head.attempt.clone().unwrap_or_default();
     let reject = |reply| (reply, attempt.clone());
-    let found = match_rules(state, &parts, &head).map_err(reject)?;
-    let MatchedRules { class, caller, tier, level, max_body_bytes, .. } = found;
+    let matched = match_rules(state, &parts, &head).map_err(reject)?;
+    let MatchedRules { class, caller, tier, level, max_body_bytes, .. } = matched;
     let wait = head.deadline.unwrap_or(class.class().timeout);
     let body = state
         .wait_until(received + wait, read_body(body, max_body_bytes))
@@ -99,7 +99,7 @@
     let mut headers = parts.headers;
     strip_hop_by_hop_headers(&mut headers);
     let (service, is_engine) =
-        found.service.ok_or_else(|| reject(LocalReply::UnknownTarget))?;
+        matched.service.ok_or_else(|| reject(LocalReply::UnknownTarget))?;
     let request = CallerRequest {
         method: parts.method,
         uri: parts.uri,
@@ -117,7 +117,7 @@
         .as_ref()
         .map(|board| CallUsage::new(board, &service, caller.name.as_deref()));
     let call = OpenCall::new(state, class, attempt, &head, received, usage);
-    let order = RouteCall {
+    let route_call = RouteCall {
         request: call.request,
         pool: state.pool_id(&service),
         class: call.class.id,
@@ -131,7 +131,7 @@
         run_limit: call.class.class().attempt_limit,
         prompt: head.prompt,
     };
-    Ok(run_attempts(call, request, order).await)
+    Ok(run_attempts(call, request, route_call).await)
 }
 
 /// Looks up what the rules in force say of a request. They aren't held any longer than
@@ -144,17 +144,19 @@
     let table = state.table().ok_or(LocalReply::NoRules)?;
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host.ok_or(LocalReply::Malformed)?;
-    let class = table.find(host, parts.uri.path()).ok_or(LocalReply::UnknownTarget)?;
-    let caller = table.admit(class.class(), head.key.as_deref());
+    let class = table
+        .find_class(host, parts.uri.path())
+        .ok_or(LocalReply::UnknownTarget)?;
+    let caller = table.authenticate(class.class(), head.key.as_deref());
     let caller = caller.ok_or(LocalReply::UnknownKey)?;
     if state.is_too_late_to_start(class.class().kind.streams()) {
         return Err(LocalReply::Stopping);
     }
-    let drawn = class.draw_service(&mut *state.rng.borrow_mut()).map(str::to_owned);
+    let service = class.draw_service(&mut *state.rng.borrow_mut()).map(str::to_owned);
     Ok(MatchedRules {
-        tier: table.tier(&caller, class.class()),
-        level: table.level(class.class()),
-        service: drawn.map(|service| {
+        tier: table.request_tier(&caller, class.class()),
+        level: table.urgency_level(class.class()),
+        service: service.map(|service| {
             let is_engine = table.is_engine(&service);
             (service, is_engine)
         }),
@@ -165,8 +167,8 @@
 }
 
 /// Reads a body whole.
-async fn read_body(body: Incoming, most: usize) -> Result<Bytes, LocalReply> {
-    let read = Limited::new(body, most).collect().await;
+async fn read_body(body: Incoming, max_len: usize) -> Result<Bytes, LocalReply> {
+    let read = Limited::new(body, max_len).collect().await;
     let collected =
         read.map_err(|fault| match fault.is::<http_body_util::LengthLimitError>() {
             true => LocalReply::BodyTooLarge,
@@ -179,14 +181,14 @@
 async fn run_attempts(
     call: OpenCall,
     request: CallerRequest,
-    order: RouteCall,
+    route_call: RouteCall,
 ) -> CallerResponse {
     let state = call.state.clone();
-    if state.quarantine.holds(&request) {
+    if state.quarantine.is_quarantined(&request) {
         return call.reply_quarantined(&request);
     }
     let mut decision = state.await_decision(call.request);
-    state.run_router(|core, now| core.arrive(order, now));
+    state.run_router(|core, now| core.arrive(route_call, now));
     loop {
         let decided = state.wait_until(call.deadline, decision).await;
         let (choice, patience) = match decided {
@@ -204,7 +206,7 @@
         let fault = match call.try_server(&request, &choice, patience, None).await {
             AttemptOutcome::Started(start) => {
                 match receive_response(&call, &request, start).await {
-                    Ok(ReceivedResponse::Whole(answer)) => return answer,
+                    Ok(ReceivedResponse::Whole(response)) => return response,
                     Ok(ReceivedResponse::Stream(start, first)) => {
                         return start_stream(call, request, start, first);
                     }
--- a/crates/flaxtide-entry/src/directory.rs
+++ b/crates/flaxtide-entry/src/directory.rs
@@ -95,7 +95,7 @@
     /// The era in which that was.
     era: u64,
     /// When it left.
-    at: Duration,
+    left_at: Duration,
 }
 
 /// A server, and whether the platform lists it.
@@ -111,9 +111,9 @@
 #[derive(Debug, Clone, Copy)]
 struct MissingRow {
     /// When this instance learnt of it.
-    learnt: Duration,
+    noticed_at: Duration,
     /// Since when it may have been missing: the list was known to have it until then.
-    since: Duration,
+    last_seen_at: Duration,
 }
 
 impl DirectoryEntry {
@@ -200,14 +200,14 @@
     }
 
     /// Remembers that a server has left.
-    fn remember(&mut self, entry: &ServerEntry, now: Duration) {
+    fn record_departure(&mut self, entry: &ServerEntry, now: Duration) {
         self.departed
-            .retain(|_, departed| now < departed.at + DEPARTED_RETENTION);
+            .retain(|_, departed| now < departed.left_at + DEPARTED_RETENTION);
         let departed = DepartedServer {
             started: entry.started,
             leaving: entry.leaving,
             era: self.era,
-            at: now,
+            left_at: now,
         };
         self.departed.insert(entry.name.clone(), departed);
     }
@@ -252,14 +252,14 @@
         if server.entry.leaving {
             let entry = server.entry.clone();
             self.servers.remove(name);
-            self.remember(&entry, now);
+            self.record_departure(&entry, now);
             return true;
         }
         if server.missing.is_some() {
             return false;
         }
-        let since = now.saturating_sub(unseen);
-        server.missing = Some(MissingRow { learnt: now, since });
+        let last_seen_at = now.saturating_sub(unseen);
+        server.missing = Some(MissingRow { noticed_at: now, last_seen_at });
         true
     }
 
@@ -290,7 +290,7 @@
         let expired: Vec<ServerName> = expired.map(|(name, _)| name.clone()).collect();
         for name in &expired {
             if let Some(server) = self.servers.remove(name) {
-                self.remember(&server.entry, now);
+                self.record_departure(&server.entry, now);
             }
         }
         expired
@@ -298,22 +298,22 @@
 
     /// Returns until when a server of a service is used whose row has gone.
     fn grace_end(&self, service: &str, row: MissingRow) -> Duration {
-        let missing = row.learnt;
+        let missing = row.noticed_at;
         if self.is_mass_lapse(service, missing) {
             return missing + MASS_LAPSE_GRACE;
         }
         let part = |part| self.leave_within.mul_f64(part);
-        let latest = row.since + part(MAX_UNSEEN_FRACTION);
-        let usual = (missing + part(REMOVAL_GRACE_FRACTION)).min(latest);
+        let latest_end = row.last_seen_at + part(MAX_UNSEEN_FRACTION);
+        let normal_end = (missing + part(REMOVAL_GRACE_FRACTION)).min(latest_end);
         // A row that went while the platform answered went for good, though it is out by now.
         let Some(outage) = self.outage.filter(|outage| missing >= outage.since) else {
-            return usual;
+            return normal_end;
         };
         if missing <= outage.last + RECOVERY_WINDOW {
             return outage.last + RECOVERY_GRACE;
         }
-        let returned = (outage.last + RECOVERY_GRACE).max(usual);
-        returned.min(missing + part(MAX_GRACE_FRACTION)).min(latest)
+        let recovery_end = (outage.last + RECOVERY_GRACE).max(normal_end);
+        recovery_end.min(missing + part(MAX_GRACE_FRACTION)).min(latest_end)
     }
 
     /// Returns whether a row went together with many others of its service.
@@ -324,7 +324,9 @@
         };
         let together = members().filter(|server| {
             let others = server.missing;
-            others.is_some_and(|other| other.learnt.abs_diff(missing) < MASS_LAPSE_WINDOW)
+            others.is_some_and(|other| {
+                other.noticed_at.abs_diff(missing) < MASS_LAPSE_WINDOW
+            })
         });
         let together = together.count();
         together >= 2 && together as f64 >= MASS_LAPSE_FRACTION * members().count() as f64
--- a/crates/flaxtide-entry/src/exchange.rs
+++ b/crates/flaxtide-entry/src/exchange.rs
@@ -182,12 +182,12 @@
     };
     let mut outgoing = build_request(state, request, &head, last_event);
     for _ in 0..MAX_STALE_CONNECTIONS {
-        let kept = if new_connection {
+        let idle = if new_connection {
             None
         } else {
             state.connections.take(server, state.now())
         };
-        let mut connection = match kept {
+        let mut connection = match idle {
             Some(connection) => connection,
             None => connect(&state.connections, address)
                 .await
@@ -198,13 +198,15 @@
             state.connections.keep(server, connection, None, state.now());
             return Err(RouteFault::Withheld);
         }
-        let sent = state.now();
+        let sent_at = state.now();
         let kind = if connection.used { "kept" } else { "new" };
         connection.used = true;
         state.metrics.connections.with_label_values(&[kind]).inc();
         match connection.sender.try_send_request(outgoing).await {
-            Ok(answer) => {
-                return check_response(state, request, server, sent, connection, answer);
+            Ok(response) => {
+                return check_response(
+                    state, request, server, sent_at, connection, response,
+                );
             }
             Err(mut fault) => match fault.take_message() {
                 // Nothing of it was written.
@@ -243,36 +245,36 @@
     state: &Rc<TrafficState>,
     request: &CallerRequest,
     server: ServerId,
-    sent: Duration,
+    sent_at: Duration,
     connection: ServerConnection,
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
 ) -> Result<ResponseStart, RouteFault> {
-    let (parts, body) = answer.into_parts();
+    let (parts, body) = response.into_parts();
     let head = state.dialect.read_answer(parts.status.as_u16(), &parts.headers);
     if head.replaced {
         return Err(RouteFault::Replaced);
     }
     // Another request's answer is that of a connection which can't be trusted any more.
-    let ours = head.attempt == request.attempt_id;
-    if ours || (head.not_run && head.attempt.is_none()) {
+    let matches_request = head.attempt == request.attempt_id;
+    if matches_request || (head.not_run && head.attempt.is_none()) {
         let mut statement = head.statement;
-        let vouches = parts.status.is_success() && head.sealed;
-        if statement.rate == StatedRate::Unlimited && !vouches {
+        let is_sealed_success = parts.status.is_success() && head.sealed;
+        if statement.rate == StatedRate::Unlimited && !is_sealed_success {
             statement.rate = StatedRate::Unstated;
         }
-        state.pushback.apply_statement(state, server, statement, sent);
+        state.pushback.apply_statement(state, server, statement, sent_at);
     }
-    if head.not_run && (ours || head.attempt.is_none()) {
+    if head.not_run && (matches_request || head.attempt.is_none()) {
         let connection = Some(connection);
         let keep_alive = head.keep_alive;
         drain_refusal(state, UpstreamBody { body, connection, server, keep_alive });
         return Err(RouteFault::Full);
     }
-    if !ours || (parts.status.is_success() && !head.sealed) {
+    if !matches_request || (parts.status.is_success() && !head.sealed) {
         return Err(RouteFault::Broken);
     }
-    let promises = [429, 503, 408, 421].contains(&parts.status.as_u16());
-    if promises || parts.status.is_redirection() {
+    let claims_not_run = [429, 503, 408, 421].contains(&parts.status.as_u16());
+    if claims_not_run || parts.status.is_redirection() {
         // A server's own word for it that doesn't say that it hasn't run.
         return Err(RouteFault::Failed);
     }
@@ -289,10 +291,10 @@
 }
 
 /// Reads the rest of a refusal beside, so that its connection can be kept.
-fn drain_refusal(state: &Rc<TrafficState>, mut rest: UpstreamBody) {
+fn drain_refusal(state: &Rc<TrafficState>, mut body: UpstreamBody) {
     let state = state.clone();
     tokio::task::spawn_local(async move {
-        let read = async { while let Ok(Some(_)) = rest.next(&state).await {} };
+        let read = async { while let Ok(Some(_)) = body.next(&state).await {} };
         // A refusal that doesn't end in time ends with its connection.
         let _ = tokio::time::timeout(REFUSAL_DRAIN_TIMEOUT, read).await;
     });
--- a/crates/flaxtide-entry/src/instance.rs
+++ b/crates/flaxtide-entry/src/instance.rs
@@ -21,7 +21,7 @@
 use crate::fleet::{FleetLink, RulesSource, open_fleet, show_peer_bytes, tell_peers};
 use crate::follower::{TopicFollower, follow_topic};
 use crate::jump::JumpDetector;
-use crate::listen::{accept_callers, listen, serve_probes};
+use crate::listen::{accept_callers, bind_listener, serve_probes};
 use crate::logging::flush_log;
 use crate::metrics::EntryMetrics;
 use crate::pushback::update_pushback_metrics;
@@ -29,7 +29,9 @@
 use crate::shared_rules::SharedRules;
 use crate::source::ListSource;
 use crate::state::TrafficState;
-use crate::stop::{SignalEvent, handle_signals, register_signals, reload, watch_signals};
+use crate::stop::{
+    SignalEvent, handle_signals, register_signals, reload_config, watch_signals,
+};
 
 /// The length of the ring from the feed threads.
 const FEED_QUEUE_LEN: usize = 64;
@@ -144,9 +146,9 @@
             clock,
             signals: (_, mut signals),
         } = self;
-        let callers = open("callers", config.callers)?;
-        let ready = open("the balancer", config.ready)?;
-        let metrics_listener = open("metrics", config.metrics)?;
+        let callers = open_listener("callers", config.callers)?;
+        let ready = open_listener("the balancer", config.ready)?;
+        let metrics_listener = open_listener("metrics", config.metrics)?;
         log::info!(
             instance = config.name, data_centre = config.data_centre, region = config.region,
             callers = config.callers.to_string(), version = env!("CARGO_PKG_VERSION");
@@ -154,8 +156,8 @@
         );
         let metrics = Arc::new(EntryMetrics::new());
         let shared = Arc::new(SharedRules::default());
-        let (events, feed_ring) = channel(FEED_QUEUE_LEN);
-        let (link, fleet_ring) = FleetLink::new();
+        let (events, feed_events) = channel(FEED_QUEUE_LEN);
+        let (link, fleet_requests) = FleetLink::new();
         let list = Arc::new(ListLog::new(config.leave_within));
         let source =
             Arc::new(ListSource::new(config.leave_within, !config.seeds.is_empty()));
@@ -180,9 +182,9 @@
             })?;
         }
         let fleet = open_fleet(&config, &shared, &list, &events, &metrics)?;
-        let bytes = fleet.bytes();
+        let peer_bytes = fleet.bytes();
         let board = start_duties(&config, duties, &fleet, &link, &metrics)?;
-        spawn("the fleet thread", move || fleet.run(&fleet_ring))?;
+        spawn("the fleet thread", move || fleet.run(&fleet_requests))?;
         let state =
             TrafficState::new(config, clock, dialect, metrics, link, source, board);
         let state = Rc::new(state);
@@ -190,20 +192,21 @@
         tokio::task::spawn_local(serve_probes(state.clone(), ready));
         tokio::task::spawn_local(serve_probes(state.clone(), metrics_listener));
         let source = RulesSource::new(feed.clone());
-        tokio::task::spawn_local(take_feed(state.clone(), feed, shared, feed_ring));
-        let house = run_maintenance(state.clone(), path.clone(), events, source, bytes);
-        tokio::task::spawn_local(house);
+        tokio::task::spawn_local(take_feed(state.clone(), feed, shared, feed_events));
+        let maintenance =
+            run_maintenance(state.clone(), path.clone(), events, source, peer_bytes);
+        tokio::task::spawn_local(maintenance);
         handle_signals(&state, &path, &mut signals).await;
         Ok(())
     }
 }
 
 /// Opens a listener.
-fn open(
+fn open_listener(
     purpose: &'static str,
     address: std::net::SocketAddr,
 ) -> Result<tokio::net::TcpListener, EntryError> {
-    listen(address).map_err(|cause| EntryError::Listen { purpose, address, cause })
+    bind_listener(address).map_err(|cause| EntryError::Listen { purpose, address, cause })
 }
 
 /// Starts the thread of a duty.
@@ -261,7 +264,7 @@
     path: PathBuf,
     events: Sender<FeedEvent>,
     mut source: RulesSource,
-    bytes: LinkBytes,
+    peer_bytes: LinkBytes,
 ) {
     let mut ticks = 0u64;
     let mut jumps = JumpDetector::new(state.now());
@@ -284,7 +287,7 @@
                 board.sample_wall_time();
                 show_duties(&state, board);
             }
-            show_peer_bytes(&state.metrics, &bytes);
+            show_peer_bytes(&state.metrics, &peer_bytes);
             update_pushback_metrics(&state);
         }
     }
@@ -324,5 +327,5 @@
 fn expire_and_reload(state: &TrafficState, path: &Path) {
     let now = state.now();
     state.connections.expire(now);
-    reload(state, path, "changed file");
+    reload_config(state, path, "changed file");
 }
--- a/crates/flaxtide-entry/src/jump.rs
+++ b/crates/flaxtide-entry/src/jump.rs
@@ -26,21 +26,21 @@
 #[derive(Debug)]
 pub(crate) struct JumpDetector {
     /// When the last tick was.
-    last: Duration,
+    last_tick: Duration,
 }
 
 impl JumpDetector {
     /// Starts to watch.
     pub(crate) fn new(now: Duration) -> Self {
-        Self { last: now }
+        Self { last_tick: now }
     }
 
     /// Handles a tick: if time has jumped, what was known before is judged again before any
     /// work is given out.
     pub(crate) fn tick(&mut self, state: &TrafficState) {
         let now = state.now();
-        let span = now.saturating_sub(self.last);
-        self.last = now;
+        let span = now.saturating_sub(self.last_tick);
+        self.last_tick = now;
         if span >= MIN_JUMP {
             handle_jump(state, span, now);
         }
@@ -71,7 +71,7 @@
         loop {
             let left = until.saturating_sub(self.now());
             let jumped = self.clock_jumped.notified();
-            let over = tokio::select! {
+            let timer_fired = tokio::select! {
                 biased;
                 outcome = &mut outcome => return Some(outcome),
                 () = tokio::time::sleep(left) => true,
@@ -80,7 +80,7 @@
             let now = self.now();
             if now >= until + LATE_TIMER_THRESHOLD {
                 until = now + CATCH_UP_TIME;
-            } else if over {
+            } else if timer_fired {
                 return None;
             }
         }
--- a/crates/flaxtide-entry/src/listen.rs
+++ b/crates/flaxtide-entry/src/listen.rs
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 use crate::call::serve_request;
-use crate::reply::{CallerResponse, whole};
+use crate::reply::{CallerResponse, full_body};
 use crate::state::{ShutdownPhase, TrafficState};
 use crate::upstream::enable_keepalive;
 
@@ -37,11 +37,11 @@
 #[derive(Debug, Default)]
 struct ConnectionActivity {
     /// When bytes last went either way.
-    moved: Cell<Duration>,
+    last_io_at: Cell<Duration>,
     /// Since when bytes of a head have come that isn't whole.
-    head_since: Cell<Option<Duration>>,
+    head_started_at: Cell<Option<Duration>>,
     /// How many requests are being answered.
-    requests: Cell<u32>,
+    open_requests: Cell<u32>,
 }
 
 /// A connection that records what happens on it.
@@ -64,11 +64,11 @@
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
             let now = self.state.now();
-            self.activity.moved.set(now);
-            if self.activity.requests.get() == 0
-                && self.activity.head_since.get().is_none()
+            self.activity.last_io_at.set(now);
+            if self.activity.open_requests.get() == 0
+                && self.activity.head_started_at.get().is_none()
             {
-                self.activity.head_since.set(Some(now));
+                self.activity.head_started_at.set(Some(now));
             }
         }
         polled
@@ -81,7 +81,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.activity.moved.set(self.state.now());
+        self.activity.last_io_at.set(self.state.now());
         Pin::new(&mut self.stream).poll_write(context, bytes)
     }
 
@@ -90,7 +90,7 @@
         context: &mut Context<'_>,
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.activity.moved.set(self.state.now());
+        self.activity.last_io_at.set(self.state.now());
         Pin::new(&mut self.stream).poll_write_vectored(context, parts)
     }
 
@@ -119,15 +119,15 @@
 impl RequestGuard {
     /// Records that a request's head is whole.
     fn new(activity: &Rc<ConnectionActivity>) -> Self {
-        activity.head_since.set(None);
-        activity.requests.set(activity.requests.get() + 1);
+        activity.head_started_at.set(None);
+        activity.open_requests.set(activity.open_requests.get() + 1);
         Self(activity.clone())
     }
 }
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.requests.set(self.0.requests.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
 
@@ -136,7 +136,7 @@
 /// # Errors
 ///
 /// Returns the fault if the address can't be had.
-pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+pub(crate) fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
@@ -180,13 +180,13 @@
 
 /// Serves one connection of a caller until it ends.
 async fn handle_connection(state: Rc<TrafficState>, stream: TcpStream) {
-    let prepared = stream.set_nodelay(true).and_then(|()| enable_keepalive(&stream));
-    if let Err(cause) = prepared {
+    let configured = stream.set_nodelay(true).and_then(|()| enable_keepalive(&stream));
+    if let Err(cause) = configured {
         log::debug!(cause = cause.to_string(); "caller's connection can't be prepared");
         return;
     }
     let activity = Rc::new(ConnectionActivity::default());
-    activity.moved.set(state.now());
+    activity.last_io_at.set(state.now());
     let watched = TrackedStream {
         stream,
         activity: activity.clone(),
@@ -195,11 +195,11 @@
     let service = {
         let (state, activity) = (state.clone(), activity.clone());
         service_fn(move |request: Request<Incoming>| {
-            let (state, mark) = (state.clone(), RequestGuard::new(&activity));
+            let (state, guard) = (state.clone(), RequestGuard::new(&activity));
             async move {
-                let answer = serve_request(state, request).await;
-                drop(mark);
-                Ok::<_, std::convert::Infallible>(answer)
+                let response = serve_request(state, request).await;
+                drop(guard);
+                Ok::<_, std::convert::Infallible>(response)
             }
         })
     };
@@ -222,12 +222,13 @@
         }
         let now = state.now();
         let limits = state.limits();
-        let slow = activity.head_since.get();
-        if slow.is_some_and(|since| now >= since + limits.header_timeout) {
+        let head_started_at = activity.head_started_at.get();
+        if head_started_at.is_some_and(|since| now >= since + limits.header_timeout) {
             return;
         }
-        let idle = activity.requests.get() == 0 && activity.head_since.get().is_none();
-        if idle && now >= activity.moved.get() + limits.idle_timeout {
+        let idle =
+            activity.open_requests.get() == 0 && activity.head_started_at.get().is_none();
+        if idle && now >= activity.last_io_at.get() + limits.idle_timeout {
             connection.as_mut().graceful_shutdown();
         }
     }
@@ -241,8 +242,8 @@
         let state = state.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request: Request<Incoming>| {
-                let answer = probe(&state, request.uri().path());
-                async move { Ok::<_, std::convert::Infallible>(answer) }
+                let response = probe_response(&state, request.uri().path());
+                async move { Ok::<_, std::convert::Infallible>(response) }
             });
             let connection =
                 http1::Builder::new().serve_connection(TokioIo::new(stream), service);
@@ -253,21 +254,21 @@
 }
 
 /// Answers one probe.
-fn probe(state: &TrafficState, path: &str) -> CallerResponse {
+fn probe_response(state: &TrafficState, path: &str) -> CallerResponse {
     if path == state.config().ready_path {
         let status = if state.is_ready() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         };
-        let mut answer = Response::new(whole(bytes::Bytes::new()));
-        *answer.status_mut() = status;
-        return answer;
+        let mut response = Response::new(full_body(bytes::Bytes::new()));
+        *response.status_mut() = status;
+        return response;
     }
     if path == "/metrics" {
-        return Response::new(whole(state.metrics.render().into()));
+        return Response::new(full_body(state.metrics.render().into()));
     }
-    let mut answer = Response::new(whole(bytes::Bytes::new()));
-    *answer.status_mut() = StatusCode::NOT_FOUND;
-    answer
+    let mut response = Response::new(full_body(bytes::Bytes::new()));
+    *response.status_mut() = StatusCode::NOT_FOUND;
+    response
 }
--- a/crates/flaxtide-entry/src/logging.rs
+++ b/crates/flaxtide-entry/src/logging.rs
@@ -48,11 +48,11 @@
 /// log::info!(request = "9c41d07be2a35f68"; "a line of JSON");
 /// ```
 pub fn init_entry_logging() {
-    let (lines, ring) = bounded(QUEUE_LINES);
+    let (lines, queue) = bounded(QUEUE_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
     let counted = dropped.clone();
     let writer = thread::Builder::new().name("log".into());
-    if let Err(cause) = writer.spawn(move || write_lines(&ring, &counted)) {
+    if let Err(cause) = writer.spawn(move || write_lines(&queue, &counted)) {
         eprintln!("no log: its thread can't be started: {cause}");
         return;
     }
@@ -76,12 +76,12 @@
 }
 
 /// Writes the lines of a ring to standard output until the ring is closed.
-fn write_lines(ring: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
+fn write_lines(queue: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
     let mut batch = Vec::new();
-    while let Ok(line) = ring.recv() {
+    while let Ok(line) = queue.recv() {
         thread::sleep(BATCH_DELAY);
         batch.extend(line);
-        batch.extend(ring.try_iter().flatten());
+        batch.extend(queue.try_iter().flatten());
         let lost = dropped.swap(0, Ordering::Relaxed);
         if lost > 0 {
             let line = format!(
--- a/crates/flaxtide-entry/src/names.rs
+++ b/crates/flaxtide-entry/src/names.rs
@@ -17,7 +17,7 @@
     /// Servers by what stands for them between instances.
     keys: HashMap<FleetKey, ServerId>,
     /// The starts of servers, by number.
-    starts: Vec<ServerIncarnation>,
+    incarnations: Vec<ServerIncarnation>,
 }
 
 /// A start of a server.
@@ -32,7 +32,7 @@
 
 impl IdTable {
     /// Returns the number of a service.
-    pub(crate) fn pool(&mut self, service: &str) -> PoolId {
+    pub(crate) fn pool_id(&mut self, service: &str) -> PoolId {
         if let Some(pool) = self.pools.get(service) {
             return *pool;
         }
@@ -42,26 +42,27 @@
     }
 
     /// Returns the number of a server, which is another one for each start of it.
-    pub(crate) fn server(&mut self, entry: &ServerEntry) -> ServerId {
+    pub(crate) fn server_id(&mut self, entry: &ServerEntry) -> ServerId {
         let incarnation = entry.incarnation();
         if let Some(server) = self.servers.get(&incarnation) {
             return *server;
         }
-        let server = self.starts.len() as ServerId;
+        let server = self.incarnations.len() as ServerId;
         let key = fleet_key(&incarnation);
         self.servers.insert(incarnation, server);
         self.keys.insert(key, server);
-        self.starts.push(ServerIncarnation { name: entry.name.clone(), key });
+        self.incarnations
+            .push(ServerIncarnation { name: entry.name.clone(), key });
         server
     }
 
     /// Returns the start of a server that has a number.
-    pub(crate) fn start(&self, server: ServerId) -> Option<&ServerIncarnation> {
-        self.starts.get(server as usize)
+    pub(crate) fn incarnation(&self, server: ServerId) -> Option<&ServerIncarnation> {
+        self.incarnations.get(server as usize)
     }
 
     /// Returns the server whose start a key stands for.
-    pub(crate) fn with_key(&self, key: FleetKey) -> Option<ServerId> {
+    pub(crate) fn server_with_key(&self, key: FleetKey) -> Option<ServerId> {
         self.keys.get(&key).copied()
     }
 }
--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -164,9 +164,9 @@
         reply: LocalReply,
         retry_after: Option<Duration>,
     ) -> CallerResponse {
-        let answer = reply.answer(retry_after);
-        self.record_end(reply.name(), answer.status().as_u16());
-        answer
+        let response = reply.into_response(retry_after);
+        self.record_end(reply.name(), response.status().as_u16());
+        response
     }
 
     /// Answers a request that a server failed and that isn't tried again.
@@ -218,7 +218,7 @@
             return AttemptOutcome::TimedOut;
         }
         // It may have been found to crash servers while it waited.
-        if self.state.quarantine.holds(request) {
+        if self.state.quarantine.is_quarantined(request) {
             return AttemptOutcome::Quarantined;
         }
         self.server.set(Some(choice.server));
@@ -278,7 +278,9 @@
         let progress = self.state.with_router(|core, _| core.progress(self.request));
         let Some(progress) = progress else { return };
         if server_has_ended(&self.state, server).await {
-            self.state.quarantine.record(&self.state, request, server, progress);
+            self.state
+                .quarantine
+                .record_crash(&self.state, request, server, progress);
         }
     }
 
@@ -298,7 +300,7 @@
             self.state.connections.close_idle_of(server);
         }
         let mut verdict = RetryVerdict::End;
-        let quarantined = self.state.quarantine.holds(request);
+        let quarantined = self.state.quarantine.is_quarantined(request);
         self.state.run_router(|core, now| {
             if quarantined {
                 return core.abandon(self.request, fault, now);
--- a/crates/flaxtide-entry/src/pushback.rs
+++ b/crates/flaxtide-entry/src/pushback.rs
@@ -24,7 +24,7 @@
     /// Reports that the fleet thread hasn't taken, and when they were made.
     unsent: RefCell<Vec<(Duration, PushbackReport)>>,
     /// Reports of servers that aren't listed yet, and when they came.
-    unplaced: RefCell<HashMap<FleetKey, (Duration, PushbackReport)>>,
+    pending: RefCell<HashMap<FleetKey, (Duration, PushbackReport)>>,
     /// When peers are told again of each server.
     schedule: RefCell<ReportSchedule>,
 }
@@ -43,7 +43,7 @@
         }
         if statement.leaving && state.mark_leaving(server) {
             log_leaving(state, server, "server");
-            self.tell(state, server);
+            self.report_to_peers(state, server);
         }
         let note = state
             .with_router(|core, now| core.hear_statement(server, statement, sent, now));
@@ -54,9 +54,9 @@
         match note.filter(|note| note.restated) {
             Some(StatementNote { rate, part, .. }) => {
                 log_rate(state, server, rate, part, "server");
-                self.tell(state, server);
+                self.report_to_peers(state, server);
             }
-            None if due => self.tell(state, server),
+            None if due => self.report_to_peers(state, server),
             None => {}
         }
     }
@@ -73,14 +73,14 @@
         &self,
         state: &TrafficState,
         report: &PushbackReport,
-        came: Duration,
+        received_at: Duration,
     ) {
         let server = state.server_with_key(report.server);
         if report.leaving && server.is_some_and(|server| state.mark_leaving(server)) {
             log_leaving(state, server.unwrap_or_default(), "peer");
         }
         let effect = server.and_then(|server| {
-            let heard = report.heard(came);
+            let heard = report.heard(received_at);
             state.with_router(|core, now| {
                 core.hear_peer_rate(server, report.rate, heard, now)
             })
@@ -90,28 +90,30 @@
                 log_rate(state, server, report.rate, None, "peer");
             }
             // The server has told this instance something else since.
-            (Some(server), Some(ReportEffect::Outdated)) => self.tell(state, server),
+            (Some(server), Some(ReportEffect::Outdated)) => {
+                self.report_to_peers(state, server)
+            }
             (Some(_), Some(ReportEffect::Known)) => {}
-            _ => self.keep_pending(*report, came),
+            _ => self.keep_pending(*report, received_at),
         }
     }
 
     /// Keeps a report until its server is listed. The oldest goes if there are too many: its server
     /// may have left before this instance started.
-    fn keep_pending(&self, report: PushbackReport, came: Duration) {
-        let mut unplaced = self.unplaced.borrow_mut();
-        unplaced.insert(report.server, (came, report));
-        if unplaced.len() > MAX_KEPT_REPORTS {
-            let oldest = unplaced.iter().min_by_key(|(_, (came, _))| *came);
+    fn keep_pending(&self, report: PushbackReport, received_at: Duration) {
+        let mut pending = self.pending.borrow_mut();
+        pending.insert(report.server, (received_at, report));
+        if pending.len() > MAX_KEPT_REPORTS {
+            let oldest = pending.iter().min_by_key(|(_, (received_at, _))| *received_at);
             let oldest = oldest.map(|(server, _)| *server);
-            oldest.and_then(|server| unplaced.remove(&server));
+            oldest.and_then(|server| pending.remove(&server));
         }
     }
 
     /// Applies the reports of servers that are listed by now.
-    pub(crate) fn place(&self, state: &TrafficState) {
-        for (came, report) in self.unplaced.take().into_values() {
-            self.apply_report(state, &report, came);
+    pub(crate) fn apply_pending(&self, state: &TrafficState) {
+        for (received_at, report) in self.pending.take().into_values() {
+            self.apply_report(state, &report, received_at);
         }
     }
 
@@ -124,7 +126,7 @@
     }
 
     /// Tells peers what a server has said.
-    fn tell(&self, state: &TrafficState, server: ServerId) {
+    fn report_to_peers(&self, state: &TrafficState, server: ServerId) {
         let known = state.with_router(|core, _| core.stated_rate(server));
         let (Some(key), Some((rate, heard))) = (state.server_key(server), known) else {
             return;
--- a/crates/flaxtide-entry/src/quarantine.rs
+++ b/crates/flaxtide-entry/src/quarantine.rs
@@ -27,35 +27,36 @@
     /// Reports that the fleet thread hasn't taken, and when they were made.
     unsent: RefCell<Vec<(Duration, Vec<CrashReport>)>>,
     /// Whether a peer has told what it knows, or there are none.
-    informed: Cell<bool>,
+    synced: Cell<bool>,
     /// When it last looked for requests to be forgotten.
-    expired: Cell<Duration>,
+    last_expiry: Cell<Duration>,
 }
 
 impl CallQuarantine {
     /// Starts with nothing known. `has_peers` tells whether there may be peers that know more.
     pub(crate) fn new(has_peers: bool) -> Self {
-        Self { informed: Cell::new(!has_peers), ..Self::default() }
+        Self { synced: Cell::new(!has_peers), ..Self::default() }
     }
 
     /// Returns whether a request is sent to no server.
-    pub(crate) fn holds(&self, request: &CallerRequest) -> bool {
+    pub(crate) fn is_quarantined(&self, request: &CallerRequest) -> bool {
         let log = self.log.borrow();
         !log.is_empty() && log.is_quarantined(request.fingerprint())
     }
 
     /// Records that a server ended while it ran a request.
-    pub(crate) fn record(
+    pub(crate) fn record_crash(
         &self,
         state: &TrafficState,
         request: &CallerRequest,
         server: ServerId,
         progress: CallProgress,
     ) {
-        let Some(start) = state.server_key(server) else { return };
+        let Some(incarnation) = state.server_key(server) else { return };
         let fingerprint = request.fingerprint();
         let now = state.now();
-        let report = self.log.borrow_mut().record(fingerprint, start, progress, now);
+        let report =
+            self.log.borrow_mut().record(fingerprint, incarnation, progress, now);
         let quarantined = self.log.borrow().is_quarantined(fingerprint);
         state.metrics.crashes.inc();
         log::info!(
@@ -64,7 +65,7 @@
             fingerprint = format!("{fingerprint:032x}"), begun = progress.begun, quarantined;
             "server ended"
         );
-        self.tell(state, report.into_iter().collect());
+        self.report_to_peers(state, report.into_iter().collect());
     }
 
     /// Records that a server has answered a request well.
@@ -76,7 +77,7 @@
         let reports = self.log.borrow_mut().clear(fingerprint, state.now());
         if !reports.is_empty() {
             log::info!(fingerprint = format!("{fingerprint:032x}"); "request cleared");
-            self.tell(state, reports);
+            self.report_to_peers(state, reports);
         }
     }
 
@@ -84,7 +85,7 @@
     pub(crate) fn renew(&self, state: &TrafficState, request: &CallerRequest) {
         let fingerprint = request.fingerprint();
         let reports = self.log.borrow_mut().renew(fingerprint, state.now());
-        self.tell(state, reports);
+        self.report_to_peers(state, reports);
     }
 
     /// Handles what peers report.
@@ -93,17 +94,17 @@
         for report in reports {
             self.log.borrow_mut().apply(report, now);
         }
-        self.show(state);
+        self.update_metrics(state);
     }
 
     /// Records whether a peer has told what it knows.
-    pub(crate) fn set_synced(&self, informed: bool) {
-        self.informed.set(self.informed.get() || informed);
+    pub(crate) fn set_synced(&self, synced: bool) {
+        self.synced.set(self.synced.get() || synced);
     }
 
     /// Returns whether it is known which requests crash servers, as far as any peer could tell.
     pub(crate) fn is_synced(&self, now: Duration) -> bool {
-        self.informed.get() || now >= PEER_SYNC_TIMEOUT
+        self.synced.get() || now >= PEER_SYNC_TIMEOUT
     }
 
     /// Tells the fleet thread what it hasn't taken, and forgets what is old. To be called often.
@@ -112,18 +113,18 @@
             self.send(state, at, reports);
         }
         let now = state.now();
-        if now >= self.expired.get() + EXPIRY_INTERVAL {
-            self.expired.set(now);
+        if now >= self.last_expiry.get() + EXPIRY_INTERVAL {
+            self.last_expiry.set(now);
             self.log.borrow_mut().expire(now);
-            self.show(state);
+            self.update_metrics(state);
         }
     }
 
     /// Tells peers.
-    fn tell(&self, state: &TrafficState, reports: Vec<CrashReport>) {
+    fn report_to_peers(&self, state: &TrafficState, reports: Vec<CrashReport>) {
         if !reports.is_empty() {
             self.send(state, state.now(), reports);
-            self.show(state);
+            self.update_metrics(state);
         }
     }
 
@@ -138,7 +139,7 @@
     }
 
     /// Shows how many requests are known.
-    fn show(&self, state: &TrafficState) {
+    fn update_metrics(&self, state: &TrafficState) {
         let log = self.log.borrow();
         state.metrics.suspected.set(log.suspects() as i64);
         state.metrics.quarantined.set(log.quarantined().len() as i64);
--- a/crates/flaxtide-entry/src/reply.rs
+++ b/crates/flaxtide-entry/src/reply.rs
@@ -120,20 +120,20 @@
     }
 
     /// Makes the answer.
-    pub(crate) fn answer(self, retry_after: Option<Duration>) -> CallerResponse {
+    pub(crate) fn into_response(self, retry_after: Option<Duration>) -> CallerResponse {
         let status = self.status();
         let ran = match status {
             StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => "unknown",
             _ => "no",
         };
         let body = json!({ "ran": ran, "reason": self.name(), "remedy": self.remedy() });
-        let mut answer = Response::new(whole(Bytes::from(body.to_string())));
-        *answer.status_mut() = status;
-        let headers = answer.headers_mut();
+        let mut response = Response::new(full_body(Bytes::from(body.to_string())));
+        *response.status_mut() = status;
+        let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        if let Some(span) = retry_after
+        if let Some(delay) = retry_after
             && let Ok(value) =
-                HeaderValue::from_str(&format!("{:.3}", span.as_secs_f64()))
+                HeaderValue::from_str(&format!("{:.3}", delay.as_secs_f64()))
         {
             headers.insert(RETRY_AFTER, value);
         }
@@ -141,11 +141,11 @@
             // What is left of the request isn't read.
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        answer
+        response
     }
 }
 
 /// Makes a whole body.
-pub(crate) fn whole(content: Bytes) -> ResponseBody {
+pub(crate) fn full_body(content: Bytes) -> ResponseBody {
     Either::Left(Full::new(content))
 }
--- a/crates/flaxtide-entry/src/response.rs
+++ b/crates/flaxtide-entry/src/response.rs
@@ -8,7 +8,7 @@
 use crate::exchange::{CallerRequest, ResponseStart};
 use crate::open_call::{AttemptOutcome, OpenCall};
 use crate::relay::{StreamRelay, relay_body};
-use crate::reply::{CallerResponse, whole};
+use crate::reply::{CallerResponse, full_body};
 
 /// An answer that has come, or has started to.
 pub(crate) enum ReceivedResponse {
@@ -108,12 +108,12 @@
 ) -> CallerResponse {
     call.record_first_event();
     call.record_missed_target();
-    let mut answer = Response::new(whole(body));
-    *answer.status_mut() = status;
-    *answer.headers_mut() = headers;
+    let mut response = Response::new(full_body(body));
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
     call.may_have_run.set(true);
     call.record_end("answered", status.as_u16());
-    answer
+    response
 }
 
 /// Starts to pass a stream on.
@@ -127,8 +127,8 @@
     call.may_have_run.set(true);
     let (status, headers) = (start.status, start.headers);
     let relay = StreamRelay::new(call, request, start.body, first);
-    let mut answer = Response::new(relay_body(relay));
-    *answer.status_mut() = status;
-    *answer.headers_mut() = headers;
-    answer
+    let mut response = Response::new(relay_body(relay));
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
+    response
 }
--- a/crates/flaxtide-entry/src/routes.rs
+++ b/crates/flaxtide-entry/src/routes.rs
@@ -30,11 +30,11 @@
     /// The classes of each host, those with longer prefixes first.
     hosts: HashMap<String, Vec<ClassId>>,
     /// The pairs of a class's tier and an organisation's, most urgent first.
-    ranks: Vec<TierPair>,
+    tier_pairs: Vec<TierPair>,
     /// The tiers of all classes, most urgent first.
-    levels: Vec<TierRank>,
+    class_tiers: Vec<TierRank>,
     /// Counts it while it is in memory.
-    _kept: GaugeGuard,
+    _gauge_guard: GaugeGuard,
 }
 
 /// The tier of a class, which goes first, and that of an organisation. Where an
@@ -63,7 +63,7 @@
 
 impl RouteTable {
     /// Makes a table of rules.
-    pub(crate) fn new(rules: EntryRules, kept: GaugeGuard) -> Self {
+    pub(crate) fn new(rules: EntryRules, gauge_guard: GaugeGuard) -> Self {
         let mut hosts: HashMap<String, Vec<ClassId>> = HashMap::new();
         for (index, class) in rules.classes.iter().enumerate() {
             hosts.entry(class.host.clone()).or_default().push(index as ClassId);
@@ -73,8 +73,8 @@
                 std::cmp::Reverse(rules.classes[usize::from(*class)].prefix.len())
             });
         }
-        let ranks = rank_tiers(&rules);
-        let levels: BTreeSet<TierRank> =
+        let tier_pairs = rank_tiers(&rules);
+        let class_tiers: BTreeSet<TierRank> =
             rules.classes.iter().map(|class| class.tier).collect();
         Self {
             version: rules.version,
@@ -84,22 +84,26 @@
             keys: rules.keys,
             limits: rules.limits,
             hosts,
-            ranks,
-            levels: levels.into_iter().collect(),
-            _kept: kept,
+            tier_pairs,
+            class_tiers: class_tiers.into_iter().collect(),
+            _gauge_guard: gauge_guard,
         }
     }
 
     /// Returns the tier of a request: its place among all pairs of a class's tier and an
     /// organisation's. Requests of one class are still told apart by organisation.
-    pub(crate) fn tier(&self, caller: &CallerIdentity, class: &RequestClass) -> TierRank {
+    pub(crate) fn request_tier(
+        &self,
+        caller: &CallerIdentity,
+        class: &RequestClass,
+    ) -> TierRank {
         let pair = (class.tier, caller.tier.unwrap_or(class.tier));
-        let place = self.ranks.binary_search(&pair).unwrap_or(self.ranks.len());
-        TierRank::try_from(place).unwrap_or(TierRank::MAX)
+        let idx = self.tier_pairs.binary_search(&pair).unwrap_or(self.tier_pairs.len());
+        TierRank::try_from(idx).unwrap_or(TierRank::MAX)
     }
 
     /// Returns the class of the longest prefix that a path begins with.
-    pub(crate) fn find(&self, host: &str, path: &str) -> Option<ClassMatch> {
+    pub(crate) fn find_class(&self, host: &str, path: &str) -> Option<ClassMatch> {
         let name = host_name(host).to_ascii_lowercase();
         let classes = self.hosts.get(&name)?;
         let id = classes
@@ -110,19 +114,23 @@
     }
 
     /// Returns how urgent a class is: its place among the tiers of all classes.
-    pub(crate) fn level(&self, class: &RequestClass) -> u8 {
-        let place = self.levels.binary_search(&class.tier).unwrap_or(self.levels.len());
-        u8::try_from(place).unwrap_or(u8::MAX)
+    pub(crate) fn urgency_level(&self, class: &RequestClass) -> u8 {
+        let idx = self
+            .class_tiers
+            .binary_search(&class.tier)
+            .unwrap_or(self.class_tiers.len());
+        u8::try_from(idx).unwrap_or(u8::MAX)
     }
 
     /// Tells who a caller is by its key; nothing if the class wants a key that is in force.
-    pub(crate) fn admit(
+    pub(crate) fn authenticate(
         &self,
         class: &RequestClass,
         key: Option<&str>,
     ) -> Option<CallerIdentity> {
-        let open = class.anonymous || self.organisations.is_empty();
-        self.identify(key).or_else(|| open.then(CallerIdentity::default))
+        let allows_anonymous = class.anonymous || self.organisations.is_empty();
+        self.find_key_holder(key)
+            .or_else(|| allows_anonymous.then(CallerIdentity::default))
     }
 
     /// Returns the names of the organisations.
@@ -137,7 +145,7 @@
     }
 
     /// Tells who holds a key; nothing if nobody does.
-    fn identify(&self, key: Option<&str>) -> Option<CallerIdentity> {
+    fn find_key_holder(&self, key: Option<&str>) -> Option<CallerIdentity> {
         let id = *self.keys.get(key?)?;
         let organisation = self.organisations.get(usize::from(id))?;
         Some(CallerIdentity {
@@ -157,16 +165,16 @@
     /// Draws the service that gets a request, by the weights of the class.
     pub(crate) fn draw_service(&self, random: &mut impl Rng) -> Option<&str> {
         let targets = &self.class().targets;
-        let all: u32 = targets.iter().map(|target| target.weight).sum();
-        if all == 0 {
+        let total_weight: u32 = targets.iter().map(|target| target.weight).sum();
+        if total_weight == 0 {
             return targets.first().map(|target| target.service.as_str());
         }
-        let mut drawn = random.random_range(0..all);
+        let mut remaining = random.random_range(0..total_weight);
         for target in targets {
-            if drawn < target.weight {
+            if remaining < target.weight {
                 return Some(&target.service);
             }
-            drawn -= target.weight;
+            remaining -= target.weight;
         }
         None
     }
--- a/crates/flaxtide-entry/src/state.rs
+++ b/crates/flaxtide-entry/src/state.rs
@@ -207,22 +207,28 @@
 
     /// Returns the number of a service.
     pub(crate) fn pool_id(&self, service: &str) -> PoolId {
-        self.ids.borrow_mut().pool(service)
+        self.ids.borrow_mut().pool_id(service)
     }
 
     /// Returns the number of a server.
     pub(crate) fn server_id(&self, entry: &ServerEntry) -> ServerId {
-        self.ids.borrow_mut().server(entry)
+        self.ids.borrow_mut().server_id(entry)
     }
 
     /// Returns the name of a server.
     pub(crate) fn server_name(&self, server: ServerId) -> Option<ServerName> {
-        self.ids.borrow().start(server).map(|start| start.name.clone())
+        self.ids
+            .borrow()
+            .incarnation(server)
+            .map(|incarnation| incarnation.name.clone())
     }
 
     /// Returns what stands for a server between instances.
     pub(crate) fn server_key(&self, server: ServerId) -> Option<FleetKey> {
-        self.ids.borrow().start(server).map(|start| start.key)
+        self.ids
+            .borrow()
+            .incarnation(server)
+            .map(|incarnation| incarnation.key)
     }
 
     /// Returns where a server is reached.
@@ -235,11 +241,11 @@
     /// Records that a start of a server has said that it is leaving. Returns whether that is news.
     pub(crate) fn mark_leaving(&self, server: ServerId) -> bool {
         let Some(name) = self.listed_name(server) else { return false };
-        let news = self.directory.borrow_mut().mark_leaving(&name);
-        if news {
+        let changed = self.directory.borrow_mut().mark_leaving(&name);
+        if changed {
             self.update_router_servers();
         }
-        news
+        changed
     }
 
     /// Returns whether a start of a server is known to be leaving.
@@ -261,7 +267,7 @@
 
     /// Returns the server that a key stands for.
     pub(crate) fn server_with_key(&self, key: FleetKey) -> Option<ServerId> {
-        self.ids.borrow().with_key(key)
+        self.ids.borrow().server_with_key(key)
     }
 
     /// Returns the version of the rules in force; 0 without any.
@@ -285,8 +291,8 @@
             return false;
         }
         self.metrics.rules_version.set(rules.version as i64);
-        let kept = GaugeGuard::new(&self.metrics.rules_kept);
-        *self.table.borrow_mut() = Some(Rc::new(RouteTable::new(rules, kept)));
+        let gauge_guard = GaugeGuard::new(&self.metrics.rules_kept);
+        *self.table.borrow_mut() = Some(Rc::new(RouteTable::new(rules, gauge_guard)));
         self.update_router_servers();
         true
     }
@@ -294,7 +300,7 @@
     /// Tells the router which servers each service has.
     pub(crate) fn update_router_servers(&self) {
         let Some(table) = self.table() else { return };
-        let home = self.config().data_centre.clone();
+        let local_data_centre = self.config().data_centre.clone();
         for service in &table.services {
             let engine = service.engine;
             let directory = self.directory.borrow();
@@ -310,7 +316,7 @@
                         fetch_tokens_per_ms: engine.fetch_tokens_per_ms,
                     }),
                     data_centre: fleet_key(&entry.data_centre),
-                    near: entry.data_centre == home,
+                    near: entry.data_centre == local_data_centre,
                     leaving: entry.leaving,
                     lapsed: listed.lapsed(),
                 }
@@ -321,7 +327,7 @@
             self.run_router(|core, now| core.set_servers(pool, &servers, now));
         }
         self.metrics.servers.set(self.directory.borrow().len() as i64);
-        self.pushback.place(self);
+        self.pushback.apply_pending(self);
     }
 
     /// Has the router decide, and tells those who wait what it has decided.
--- a/crates/flaxtide-entry/src/stop.rs
+++ b/crates/flaxtide-entry/src/stop.rs
@@ -63,13 +63,13 @@
     events: &mut Receiver<SignalEvent>,
 ) {
     while let Some(SignalEvent::Reload) = events.recv().await {
-        reload(state, path, "signal");
+        reload_config(state, path, "signal");
     }
     stop(state).await;
 }
 
 /// Reads the instance file anew, if it differs.
-pub(crate) fn reload(state: &TrafficState, path: &Path, cause: &'static str) {
+pub(crate) fn reload_config(state: &TrafficState, path: &Path, cause: &'static str) {
     match EntryConfig::read(path) {
         Ok(config) if config == **state.config.borrow() => {}
         Ok(config) => {
@@ -86,7 +86,7 @@
 /// Stops in order: not ready, then no kept connections, then nothing in flight.
 async fn stop(state: &Rc<TrafficState>) {
     let start = state.now();
-    let most = start + state.config().stop_within.saturating_sub(STOP_MARGIN);
+    let deadline = start + state.config().stop_within.saturating_sub(STOP_MARGIN);
     log::info!(open = state.open_calls.get() as u64; "stopping: not ready any more");
     state.set_phase(ShutdownPhase::Leaving);
     state.fleet.leave();
@@ -96,15 +96,15 @@
     tokio::time::sleep(BALANCER_REACTION_TIME).await;
     state.set_phase(ShutdownPhase::Closing);
     tokio::time::sleep(LAST_STREAM_START - BALANCER_REACTION_TIME).await;
-    state.stop_deadline.set(Some(most));
+    state.stop_deadline.set(Some(deadline));
     loop {
-        while state.open_calls.get() > 0 && state.now() < most {
+        while state.open_calls.get() > 0 && state.now() < deadline {
             tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         // Answers leave the sockets. What comes meanwhile is refused, and so isn't cut.
         state.stop_deadline.set(Some(state.now()));
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
-        if state.open_calls.get() == 0 || state.now() >= most {
+        if state.open_calls.get() == 0 || state.now() >= deadline {
             break;
         }
     }
--- a/crates/flaxtide-entry/src/upstream.rs
+++ b/crates/flaxtide-entry/src/upstream.rs
@@ -95,7 +95,7 @@
     ) -> Option<ServerConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&server)?;
-        let mut waiting = vec![];
+        let mut busy = vec![];
         let mut found = None;
         while let Some(entry) = connections.pop() {
             if entry.connection.sender.is_closed() || now >= entry.expires_at {
@@ -106,9 +106,9 @@
                 break;
             }
             // Its last request is still being written.
-            waiting.push(entry);
+            busy.push(entry);
         }
-        connections.extend(waiting);
+        connections.extend(busy);
         found
     }
 
@@ -123,12 +123,13 @@
         if connection.sender.is_closed() {
             return;
         }
-        let life = keep_alive
-            .map_or(DEFAULT_IDLE_TIMEOUT, |span| span.mul_f64(IDLE_TIMEOUT_FRACTION));
+        let lifetime = keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |elapsed| {
+            elapsed.mul_f64(IDLE_TIMEOUT_FRACTION)
+        });
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(server).or_default();
         if connections.len() < MAX_IDLE_PER_SERVER {
-            connections.push(IdleConnection { connection, expires_at: now + life });
+            connections.push(IdleConnection { connection, expires_at: now + lifetime });
         }
     }
 
@@ -141,13 +142,13 @@
     }
 
     /// Takes in how long a connection took to open.
-    fn record_connect_time(&self, span: Duration) {
-        let kept = self
+    fn record_connect_time(&self, elapsed: Duration) {
+        let decayed = self
             .connect_time
             .get()
             .unwrap_or_default()
             .mul_f64(CONNECT_TIME_DECAY);
-        self.connect_time.set(Some(kept.max(span)));
+        self.connect_time.set(Some(decayed.max(elapsed)));
     }
 
     /// Returns when a server was found to have ended, if that was lately.
@@ -202,9 +203,9 @@
     address: SocketAddr,
 ) -> io::Result<ServerConnection> {
     let start = tokio::time::Instant::now();
-    let opened =
+    let connecting =
         tokio::time::timeout(connections.connect_timeout(), TcpStream::connect(address));
-    let stream = opened.await.map_err(|_| io::ErrorKind::TimedOut)??;
+    let stream = connecting.await.map_err(|_| io::ErrorKind::TimedOut)??;
     connections.record_connect_time(start.elapsed());
     stream.set_nodelay(true)?;
     enable_keepalive(&stream)?;
@@ -220,10 +221,10 @@
 /// Has the system end a connection whose peer is out of reach.
 pub(crate) fn enable_keepalive(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
-    let probes = TcpKeepalive::new()
+    let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_IDLE)
         .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_PROBES);
-    socket.set_tcp_keepalive(&probes)?;
+    socket.set_tcp_keepalive(&keepalive)?;
     socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))
 }
