--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -35,12 +35,12 @@
     let chunked = request.headers().contains_key(TRANSFER_ENCODING);
     let mut response = match handle_request(&state, request).await {
         Ok(response) => response,
-        Err((reply, attempt)) => {
+        Err((reply, attempt_id)) => {
             let reply = reply.defer_to_newer_rules(state.has_outdated_rules());
             state.metrics.ends.with_label_values(&[reply.name()]).inc();
             let version = state.table().map(|table| table.version);
             log::info!(
-                request = attempt, outcome = reply.name(), rules_version = version.unwrap_or_default();
+                request = attempt_id, outcome = reply.name(), rules_version = version.unwrap_or_default();
                 "turned away"
             );
             let retry_after = match reply {
@@ -84,16 +84,16 @@
     state: &Rc<TrafficState>,
     request: Request<Incoming>,
 ) -> Result<CallerResponse, Rejection> {
-    let received = state.now();
+    let received_at = state.now();
     let (parts, body) = request.into_parts();
     let head = state.dialect.read_request(&parts.headers);
-    let attempt = head.attempt.clone().unwrap_or_default();
-    let reject = |reply| (reply, attempt.clone());
+    let attempt_id = head.attempt.clone().unwrap_or_default();
+    let reject = |reply| (reply, attempt_id.clone());
     let matched = match_rules(state, &parts, &head).map_err(reject)?;
     let MatchedRules { class, caller, tier, level, max_body_bytes, .. } = matched;
     let wait = head.deadline.unwrap_or(class.class().timeout);
     let body = state
-        .wait_until(received + wait, read_body(body, max_body_bytes))
+        .wait_until(received_at + wait, read_body(body, max_body_bytes))
         .await;
     let body = body.unwrap_or(Err(LocalReply::BodyTooSlow)).map_err(reject)?;
     let mut headers = parts.headers;
@@ -116,16 +116,16 @@
         .duties
         .as_ref()
         .map(|board| CallUsage::new(board, &service, caller.name.as_deref()));
-    let call = OpenCall::new(state, class, attempt, &head, received, usage);
+    let call = OpenCall::new(state, class, attempt_id, &head, received_at, usage);
     let route_call = RouteCall {
-        request: call.request,
+        request: call.request_id,
         pool: state.pool_id(&service),
         class: call.class.id,
         organisation: caller.organisation.unwrap_or(NO_ORGANISATION),
         tier,
         level,
         target: call.class.class().target,
-        give_up: call.deadline.min(received + call.class.class().target / WAIT_PART),
+        give_up: call.deadline.min(received_at + call.class.class().target / WAIT_PART),
         deadline: call.deadline,
         repeatable: call.class.class().kind.repeatable(),
         run_limit: call.class.class().attempt_limit,
@@ -187,7 +187,7 @@
     if state.quarantine.is_quarantined(&request) {
         return call.reply_quarantined(&request);
     }
-    let mut decision = state.await_decision(call.request);
+    let mut decision = state.await_decision(call.request_id);
     state.run_router(|core, now| core.arrive(route_call, now));
     loop {
         let decided = state.wait_until(call.deadline, decision).await;
@@ -202,7 +202,7 @@
             Some(Err(_)) | None => return call.reply_timed_out(),
         };
         // Whoever is told to try again waits for the next decision.
-        decision = state.await_decision(call.request);
+        decision = state.await_decision(call.request_id);
         let fault = match call.try_server(&request, &choice, patience, None).await {
             AttemptOutcome::Started(start) => {
                 match receive_response(&call, &request, start).await {
--- a/crates/flaxtide-entry/src/crash.rs
+++ b/crates/flaxtide-entry/src/crash.rs
@@ -17,18 +17,18 @@
 
 /// How long it is known that a server has ended: the dozens of requests that ran there find it
 /// out within this time, with one probe for most of them.
-const ENDED_VALIDITY: Duration = Duration::from_millis(500);
+const EXIT_VALIDITY: Duration = Duration::from_millis(500);
 
 /// Returns whether a server has ended, after a connection to it broke: nobody listens at its
 /// address any more, and no connection to it is left. A server that closes or resets single
 /// connections still listens, and one that is out of reach refuses nothing. A connection that
 /// opens is kept for the next request.
-pub(crate) async fn server_has_ended(state: &TrafficState, server: ServerId) -> bool {
+pub(crate) async fn server_has_exited(state: &TrafficState, server: ServerId) -> bool {
     let now = state.now();
     if state
         .connections
-        .ended_at(server)
-        .is_some_and(|at| now < at + ENDED_VALIDITY)
+        .exited_at(server)
+        .is_some_and(|at| now < at + EXIT_VALIDITY)
     {
         return true;
     }
@@ -42,7 +42,7 @@
         Ok(Err(fault)) if fault.kind() == ErrorKind::ConnectionRefused => {
             let ended = wait_until_closed(state, server).await;
             if ended {
-                state.connections.record_ended(server, state.now());
+                state.connections.record_exit(server, state.now());
             }
             ended
         }
--- a/crates/flaxtide-entry/src/directory.rs
+++ b/crates/flaxtide-entry/src/directory.rs
@@ -298,26 +298,28 @@
 
     /// Returns until when a server of a service is used whose row has gone.
     fn grace_end(&self, service: &str, row: MissingRow) -> Duration {
-        let missing = row.noticed_at;
-        if self.is_mass_lapse(service, missing) {
-            return missing + MASS_LAPSE_GRACE;
+        let noticed_at = row.noticed_at;
+        if self.is_mass_lapse(service, noticed_at) {
+            return noticed_at + MASS_LAPSE_GRACE;
         }
-        let part = |part| self.leave_within.mul_f64(part);
-        let latest_end = row.last_seen_at + part(MAX_UNSEEN_FRACTION);
-        let normal_end = (missing + part(REMOVAL_GRACE_FRACTION)).min(latest_end);
+        let scaled = |fraction| self.leave_within.mul_f64(fraction);
+        let latest_end = row.last_seen_at + scaled(MAX_UNSEEN_FRACTION);
+        let normal_end = (noticed_at + scaled(REMOVAL_GRACE_FRACTION)).min(latest_end);
         // A row that went while the platform answered went for good, though it is out by now.
-        let Some(outage) = self.outage.filter(|outage| missing >= outage.since) else {
+        let Some(outage) = self.outage.filter(|outage| noticed_at >= outage.since) else {
             return normal_end;
         };
-        if missing <= outage.last + RECOVERY_WINDOW {
+        if noticed_at <= outage.last + RECOVERY_WINDOW {
             return outage.last + RECOVERY_GRACE;
         }
         let recovery_end = (outage.last + RECOVERY_GRACE).max(normal_end);
-        recovery_end.min(missing + part(MAX_GRACE_FRACTION)).min(latest_end)
+        recovery_end
+            .min(noticed_at + scaled(MAX_GRACE_FRACTION))
+            .min(latest_end)
     }
 
     /// Returns whether a row went together with many others of its service.
-    fn is_mass_lapse(&self, service: &str, missing: Duration) -> bool {
+    fn is_mass_lapse(&self, service: &str, noticed_at: Duration) -> bool {
         let members = || {
             let servers = self.servers.values();
             servers.filter(|server| server.entry.service == service)
@@ -325,7 +327,7 @@
         let together = members().filter(|server| {
             let others = server.missing;
             others.is_some_and(|other| {
-                other.noticed_at.abs_diff(missing) < MASS_LAPSE_WINDOW
+                other.noticed_at.abs_diff(noticed_at) < MASS_LAPSE_WINDOW
             })
         });
         let together = together.count();
--- a/crates/flaxtide-entry/src/listen.rs
+++ b/crates/flaxtide-entry/src/listen.rs
@@ -145,7 +145,7 @@
 
 /// Accepts callers until the process ends.
 pub(crate) async fn accept_callers(state: Rc<TrafficState>, listener: TcpListener) {
-    let open = Rc::new(Cell::new(0u64));
+    let open_connections = Rc::new(Cell::new(0u64));
     loop {
         let Some(stream) = accept(&listener).await else { continue };
         let most = state
@@ -153,15 +153,15 @@
             .descriptors
             .saturating_sub(RESERVED_DESCRIPTORS)
             .max(64);
-        if open.get() >= most {
-            log::warn!(open = open.get(), most; "caller turned away: descriptors are short");
+        if open_connections.get() >= most {
+            log::warn!(open = open_connections.get(), most; "caller turned away: descriptors are short");
             continue;
         }
-        open.set(open.get() + 1);
-        let (state, open) = (state.clone(), open.clone());
+        open_connections.set(open_connections.get() + 1);
+        let (state, open_connections) = (state.clone(), open_connections.clone());
         tokio::task::spawn_local(async move {
             handle_connection(state, stream).await;
-            open.set(open.get() - 1);
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
@@ -187,7 +187,7 @@
     }
     let activity = Rc::new(ConnectionActivity::default());
     activity.last_io_at.set(state.now());
-    let watched = TrackedStream {
+    let tracked = TrackedStream {
         stream,
         activity: activity.clone(),
         state: state.clone(),
@@ -207,15 +207,15 @@
     let connection = http1::Builder::new()
         .keep_alive(true)
         .max_buf_size(limits.header_bytes.max(MIN_HEAD_BUFFER_BYTES))
-        .serve_connection(TokioIo::new(watched), service);
+        .serve_connection(TokioIo::new(tracked), service);
     tokio::pin!(connection);
     loop {
-        let check = tokio::time::sleep(limits.header_timeout);
+        let timer = tokio::time::sleep(limits.header_timeout);
         tokio::select! {
             // A caller that breaks off, or sends what isn't HTTP, has ended its connection.
             _ = connection.as_mut() => return,
             () = state.phase_changed.notified() => {}
-            () = check => {}
+            () = timer => {}
         }
         if state.phase() >= ShutdownPhase::Closing {
             connection.as_mut().graceful_shutdown();
--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -8,7 +8,7 @@
 use flaxtide_policy::{RetryVerdict, RouteChoice, RouteFault};
 
 use crate::contract::RequestHead;
-use crate::crash::server_has_ended;
+use crate::crash::server_has_exited;
 use crate::duty::CallUsage;
 use crate::exchange::{CallerRequest, ResponseStart, ServerAttempt, exchange};
 use crate::reply::{CallerResponse, LocalReply};
@@ -27,7 +27,7 @@
     /// The state of the traffic thread.
     pub(crate) state: Rc<TrafficState>,
     /// The request.
-    pub(crate) request: RequestId,
+    pub(crate) request_id: RequestId,
     /// What identifies it to its caller.
     pub(crate) attempt_id: String,
     /// Its class.
@@ -82,7 +82,7 @@
         state.metrics.open_calls.set(state.open_calls.get() as i64);
         Self {
             state: state.clone(),
-            request: state.next_request_id(),
+            request_id: state.next_request_id(),
             attempt_id,
             class,
             received_at,
@@ -131,16 +131,17 @@
         if self.first_event_after.get().is_some_and(|first| first > class.target) {
             return Some("first");
         }
-        let paused =
-            class.pause_target.is_some_and(|most| self.longest_pause.get() > most);
+        let paused = class
+            .pause_target
+            .is_some_and(|limit| self.longest_pause.get() > limit);
         paused.then_some("pause")
     }
 
     /// Records that the answer, or its first event, has come.
     pub(crate) fn record_first_event(&self) {
-        let spent = self.state.now().saturating_sub(self.received_at);
-        self.first_event_after.set(Some(spent));
-        self.state.metrics.latency.observe(spent.as_secs_f64());
+        let elapsed = self.state.now().saturating_sub(self.received_at);
+        self.first_event_after.set(Some(elapsed));
+        self.state.metrics.latency.observe(elapsed.as_secs_f64());
         self.count_usage();
     }
 
@@ -234,7 +235,8 @@
         );
         let reason = format!("{:?}", choice.reason);
         self.state.metrics.dispatches.with_label_values(&[&reason]).inc();
-        let (request_id, new_connection) = (self.request, self.connection_suspect.get());
+        let (request_id, new_connection) =
+            (self.request_id, self.connection_suspect.get());
         let attempt = ServerAttempt {
             request_id,
             choice,
@@ -267,7 +269,7 @@
     /// Tells whether the request may leave a server that is silent.
     pub(crate) fn may_break_off(&self, resumable: bool) -> bool {
         self.state
-            .with_router(|core, now| core.may_break_off(self.request, resumable, now))
+            .with_router(|core, now| core.may_break_off(self.request_id, resumable, now))
     }
 
     /// Records it if the server of a request has ended under it.
@@ -275,9 +277,9 @@
         let (RouteFault::Broken, Some(server)) = (fault, self.server.get()) else {
             return;
         };
-        let progress = self.state.with_router(|core, _| core.progress(self.request));
+        let progress = self.state.with_router(|core, _| core.progress(self.request_id));
         let Some(progress) = progress else { return };
-        if server_has_ended(&self.state, server).await {
+        if server_has_exited(&self.state, server).await {
             self.state
                 .quarantine
                 .record_crash(&self.state, request, server, progress);
@@ -303,9 +305,9 @@
         let quarantined = self.state.quarantine.is_quarantined(request);
         self.state.run_router(|core, now| {
             if quarantined {
-                return core.abandon(self.request, fault, now);
+                return core.abandon(self.request_id, fault, now);
             }
-            let (decided, actions) = core.fail(self.request, fault, resumable, now);
+            let (decided, actions) = core.fail(self.request_id, fault, resumable, now);
             verdict = decided;
             actions
         });
@@ -324,8 +326,8 @@
 impl Drop for OpenCall {
     fn drop(&mut self) {
         self.record_end("caller_left", 0);
-        self.state.remove_waiter(self.request);
-        self.state.run_router(|core, now| core.leave(self.request, now));
+        self.state.remove_waiter(self.request_id);
+        self.state.run_router(|core, now| core.leave(self.request_id, now));
         self.state.open_calls.set(self.state.open_calls.get() - 1);
         self.state.metrics.open_calls.set(self.state.open_calls.get() as i64);
     }
--- a/crates/flaxtide-entry/src/relay.rs
+++ b/crates/flaxtide-entry/src/relay.rs
@@ -108,7 +108,7 @@
             match state.wait_until(until, source.next(&state)).await {
                 Some(Ok(Some(bytes))) => {
                     state.run_router(|core, now| {
-                        core.heard(self.call.request, now);
+                        core.heard(self.call.request_id, now);
                         vec![]
                     });
                     return Ok(Some(bytes));
@@ -129,7 +129,7 @@
     fn finish(&mut self) -> Option<Bytes> {
         self.call
             .state
-            .run_router(|core, now| core.finish(self.call.request, now));
+            .run_router(|core, now| core.finish(self.call.request_id, now));
         self.call.state.quarantine.clear(&self.call.state, &self.request);
         self.call.record_missed_target();
         self.call.record_end("streamed", 200);
@@ -145,7 +145,7 @@
         let state = self.call.state.clone();
         let mut fault = fault;
         loop {
-            let decision = state.await_decision(self.call.request);
+            let decision = state.await_decision(self.call.request_id);
             let resumable = self.resumable();
             let verdict = self.call.handle_fault(&self.request, fault, resumable).await;
             if verdict == RetryVerdict::End {
--- a/crates/flaxtide-entry/src/response.rs
+++ b/crates/flaxtide-entry/src/response.rs
@@ -42,7 +42,7 @@
         match next.map_err(AttemptOutcome::Fault)? {
             Some(bytes) if streams => {
                 state.run_router(|core, now| {
-                    core.heard(call.request, now);
+                    core.heard(call.request_id, now);
                     vec![]
                 });
                 return Ok(ReceivedResponse::Stream(start, bytes));
@@ -51,7 +51,7 @@
             None => break,
         }
     }
-    state.run_router(|core, now| core.finish(call.request, now));
+    state.run_router(|core, now| core.finish(call.request_id, now));
     if start.status.is_success() {
         state.quarantine.clear(state, request);
     }
--- a/crates/flaxtide-entry/src/state.rs
+++ b/crates/flaxtide-entry/src/state.rs
@@ -333,10 +333,10 @@
     /// Has the router decide, and tells those who wait what it has decided.
     pub(crate) fn run_router(
         &self,
-        ask: impl FnOnce(&mut RouteCore, Duration) -> Vec<RouteAction>,
+        event: impl FnOnce(&mut RouteCore, Duration) -> Vec<RouteAction>,
     ) {
         let now = self.now();
-        let actions = ask(&mut self.router.borrow_mut(), now);
+        let actions = event(&mut self.router.borrow_mut(), now);
         for action in actions {
             let request = match &action {
                 RouteAction::Dispatch { request, .. }
@@ -351,12 +351,12 @@
     }
 
     /// Asks the router something that decides nothing.
-    pub(crate) fn with_router<Answer>(
+    pub(crate) fn with_router<Output>(
         &self,
-        ask: impl FnOnce(&mut RouteCore, Duration) -> Answer,
-    ) -> Answer {
+        query: impl FnOnce(&mut RouteCore, Duration) -> Output,
+    ) -> Output {
         let now = self.now();
-        ask(&mut self.router.borrow_mut(), now)
+        query(&mut self.router.borrow_mut(), now)
     }
 
     /// Waits for the router's next decision about a request.
--- a/crates/flaxtide-entry/src/upstream.rs
+++ b/crates/flaxtide-entry/src/upstream.rs
@@ -45,7 +45,7 @@
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
 /// How long it is kept that a server has ended.
-const ENDED_RETENTION: Duration = Duration::from_secs(10);
+const EXIT_RETENTION: Duration = Duration::from_secs(10);
 
 /// The most idle connections that are kept to one server.
 const MAX_IDLE_PER_SERVER: usize = 32;
@@ -56,9 +56,9 @@
     /// By server, the one used last at the end.
     idle: RefCell<HashMap<ServerId, Vec<IdleConnection>>>,
     /// The servers that were found to have ended, and when.
-    ended: RefCell<HashMap<ServerId, Duration>>,
+    exited: RefCell<HashMap<ServerId, Duration>>,
     /// How long the slowest connections took to open lately.
-    connect_time: Cell<Option<Duration>>,
+    longest_connect_time: Cell<Option<Duration>>,
 }
 
 /// A connection that is idle.
@@ -123,9 +123,8 @@
         if connection.sender.is_closed() {
             return;
         }
-        let lifetime = keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |elapsed| {
-            elapsed.mul_f64(IDLE_TIMEOUT_FRACTION)
-        });
+        let lifetime = keep_alive
+            .map_or(DEFAULT_IDLE_TIMEOUT, |stated| stated.mul_f64(IDLE_TIMEOUT_FRACTION));
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(server).or_default();
         if connections.len() < MAX_IDLE_PER_SERVER {
@@ -135,32 +134,34 @@
 
     /// Returns how long a connection may take to open.
     fn connect_timeout(&self) -> Duration {
-        self.connect_time.get().map_or(MAX_CONNECT_TIMEOUT, |slowest| {
-            (slowest * CONNECT_TIMEOUT_FACTOR)
-                .clamp(MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
-        })
+        self.longest_connect_time
+            .get()
+            .map_or(MAX_CONNECT_TIMEOUT, |longest| {
+                (longest * CONNECT_TIMEOUT_FACTOR)
+                    .clamp(MIN_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT)
+            })
     }
 
     /// Takes in how long a connection took to open.
     fn record_connect_time(&self, elapsed: Duration) {
         let decayed = self
-            .connect_time
+            .longest_connect_time
             .get()
             .unwrap_or_default()
             .mul_f64(CONNECT_TIME_DECAY);
-        self.connect_time.set(Some(decayed.max(elapsed)));
+        self.longest_connect_time.set(Some(decayed.max(elapsed)));
     }
 
     /// Returns when a server was found to have ended, if that was lately.
-    pub(crate) fn ended_at(&self, server: ServerId) -> Option<Duration> {
-        self.ended.borrow().get(&server).copied()
+    pub(crate) fn exited_at(&self, server: ServerId) -> Option<Duration> {
+        self.exited.borrow().get(&server).copied()
     }
 
     /// Records that a server was found to have ended.
-    pub(crate) fn record_ended(&self, server: ServerId, now: Duration) {
-        let mut ended = self.ended.borrow_mut();
-        ended.retain(|_, at| now < *at + ENDED_RETENTION);
-        ended.insert(server, now);
+    pub(crate) fn record_exit(&self, server: ServerId, now: Duration) {
+        let mut exited = self.exited.borrow_mut();
+        exited.retain(|_, at| now < *at + EXIT_RETENTION);
+        exited.insert(server, now);
     }
 
     /// Returns whether an idle connection to a server is open.
