--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -6,7 +6,9 @@
 
 use bytes::Bytes;
 use flaxtide_core::TierRank;
-use flaxtide_policy::{RefusalCause, RetryVerdict, RouteAction, RouteCall, WAIT_PART};
+use flaxtide_policy::{
+    QUEUE_WAIT_DIVISOR, RefusalCause, RetryDecision, RouteAction, RouteCall,
+};
 use http_body_util::{BodyExt, Limited};
 use hyper::Request;
 use hyper::body::Incoming;
@@ -124,8 +126,10 @@
         organisation: caller.organisation.unwrap_or(NO_ORGANISATION),
         tier,
         level,
-        target: call.class.class().target,
-        give_up: call.deadline.min(received_at + call.class.class().target / WAIT_PART),
+        target: call.class.class().latency_target,
+        give_up: call
+            .deadline
+            .min(received_at + call.class.class().latency_target / QUEUE_WAIT_DIVISOR),
         deadline: call.deadline,
         repeatable: call.class.class().kind.repeatable(),
         run_limit: call.class.class().attempt_limit,
@@ -191,9 +195,9 @@
     state.run_router(|core, now| core.arrive(route_call, now));
     loop {
         let decided = state.wait_until(call.deadline, decision).await;
-        let (choice, patience) = match decided {
-            Some(Ok(RouteAction::Dispatch { choice, patience, .. })) => {
-                (choice, patience)
+        let (choice, silence_timeout) = match decided {
+            Some(Ok(RouteAction::Dispatch { choice, silence_timeout, .. })) => {
+                (choice, silence_timeout)
             }
             Some(Ok(RouteAction::Refuse { reason, retry_after, expected, .. })) => {
                 return reply_refused(&call, reason, retry_after, expected);
@@ -203,7 +207,8 @@
         };
         // Whoever is told to try again waits for the next decision.
         decision = state.await_decision(call.request_id);
-        let fault = match call.try_server(&request, &choice, patience, None).await {
+        let fault = match call.try_server(&request, &choice, silence_timeout, None).await
+        {
             AttemptOutcome::Started(start) => {
                 match receive_response(&call, &request, start).await {
                     Ok(ReceivedResponse::Whole(response)) => return response,
@@ -219,7 +224,7 @@
             AttemptOutcome::TimedOut => return call.reply_timed_out(),
             AttemptOutcome::Quarantined => return call.reply_quarantined(&request),
         };
-        if call.handle_fault(&request, fault, false).await == RetryVerdict::End {
+        if call.handle_fault(&request, fault, false).await == RetryDecision::Stop {
             return call.reply_failed(fault);
         }
     }
@@ -236,7 +241,7 @@
     log::info!(
         request = call.attempt_id, class = class.name, cause:? = cause,
         expected_ms = expected.map_or(-1, |span| span.as_millis() as i64),
-        target_ms = class.target.as_millis() as u64,
+        target_ms = class.latency_target.as_millis() as u64,
         retry_after_ms = retry_after.as_millis() as u64;
         "refusal"
     );
--- a/crates/flaxtide-entry/src/exchange.rs
+++ b/crates/flaxtide-entry/src/exchange.rs
@@ -18,7 +18,7 @@
 };
 use hyper::{Method, Request, Response, StatusCode, Uri};
 
-use crate::contract::SendHead;
+use crate::contract::UpstreamHead;
 use crate::state::TrafficState;
 use crate::upstream::{ServerConnection, connect};
 
@@ -173,8 +173,8 @@
     let name = state.server_name(server).ok_or(RouteFault::Unreachable)?;
     let address = state.server_address(server).ok_or(RouteFault::Unreachable)?;
     let fetch_from = choice.fetch.and_then(|fetch| state.server_address(fetch.from));
-    let head = SendHead {
-        left: time_left,
+    let head = UpstreamHead {
+        time_left,
         server: &name,
         organisation: request.organisation.as_deref(),
         tier: request.tier,
@@ -194,7 +194,7 @@
                 .map_err(|_| RouteFault::Unreachable)?,
         };
         // The server may have asked for less while this one waited for its connection.
-        if !state.with_router(|core, now| core.passes_gate(request_id, now)) {
+        if !state.with_router(|core, now| core.permit_send(request_id, now)) {
             state.connections.keep(server, connection, None, state.now());
             return Err(RouteFault::Withheld);
         }
@@ -222,7 +222,7 @@
 fn build_request(
     state: &TrafficState,
     request: &CallerRequest,
-    head: &SendHead<'_>,
+    head: &UpstreamHead<'_>,
     last_event: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let mut outgoing = Request::new(Full::new(request.body.clone()));
--- a/crates/flaxtide-entry/src/feed.rs
+++ b/crates/flaxtide-entry/src/feed.rs
@@ -58,7 +58,7 @@
 }
 
 /// Handles what the feed threads and the peers tell, until they have ended.
-pub(crate) async fn take_feed(
+pub(crate) async fn handle_feed_events(
     state: Rc<TrafficState>,
     feed: Arc<dyn PlatformFeed>,
     shared: Arc<SharedRules>,
@@ -92,10 +92,10 @@
             }
             FeedEvent::PeerReads(reads) => take_peer_reads(&state, &reads),
             FeedEvent::Crashes(reports) => {
-                state.quarantine.apply_reports(&state, &reports)
+                state.quarantine.apply_reports(&state, &reports);
             }
             FeedEvent::Pushback(reports) => {
-                state.pushback.apply_reports(&state, &reports)
+                state.pushback.apply_reports(&state, &reports);
             }
             FeedEvent::Fleet { live, newest_rules, knows_crashes, group } => {
                 state.quarantine.set_synced(knows_crashes);
--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -11,11 +11,11 @@
 use flaxtide_core::{InstanceName, MilliClock, ServerId, SettingsVersion};
 use flaxtide_fleet::{
     DutyHolder, FleetEvent, FleetKey, FleetNode, FleetNotice, FleetThread, FleetTiming,
-    FleetUpdate, LinkBytes, NodeDemand, OwnLoad, PartRead, PeerInfo, RowQuestion,
+    FleetUpdate, LinkBytes, NodeStatus, OwnLoad, PartRead, PeerInfo, RowQuestion,
     SettingsCopy, fleet_key,
 };
 use flaxtide_policy::{
-    CrashReport, PartKey, PeerLoad, PushbackReport, ReadNote, ServerLoad,
+    CrashReport, PartKey, PeerLoad, PrefillRecord, PushbackReport, ServerLoad,
 };
 use tokio::sync::mpsc;
 
@@ -24,7 +24,7 @@
 use crate::error::EntryError;
 use crate::feed::FeedEvent;
 use crate::metrics::EntryMetrics;
-use crate::reader::ListLog;
+use crate::reader::ServerListLog;
 use crate::shared_rules::{RulesCopy, SharedRules};
 use crate::state::TrafficState;
 
@@ -39,7 +39,7 @@
 
 /// Up to how many instances tell each other everything, whatever their data centres: so many
 /// heartbeats fit the 17 KB/s of control at their longest period.
-const JOINT_LIMIT: u32 = 58;
+const SINGLE_GROUP_LIMIT: u32 = 58;
 
 /// The ring to the fleet thread.
 #[derive(Debug, Clone)]
@@ -58,7 +58,7 @@
     /// Tells peers of a new version of the rules.
     pub(crate) fn announce(&self, version: SettingsVersion) {
         self.update(move |node, _| node.set_version(version));
-        self.send(FleetEvent::Urgent);
+        self.send(FleetEvent::SendHeartbeats);
     }
 
     /// Tells the fleet thread that rules which a peer sent can't be put in force.
@@ -69,12 +69,12 @@
     /// Tells peers that this instance is stopping.
     pub(crate) fn leave(&self) {
         self.update(|node, _| node.leave());
-        self.send(FleetEvent::Urgent);
+        self.send(FleetEvent::SendHeartbeats);
     }
 
     /// Tells peers that this instance holds the duties.
     pub(crate) fn announce_duty(&self, holder: DutyHolder) {
-        self.update(move |node, _| node.hear_duty(Some(holder)));
+        self.update(move |node, _| node.record_duty_holder(Some(holder)));
     }
 
     /// Asks a peer for the rows that it has read.
@@ -141,7 +141,7 @@
 pub(crate) fn open_fleet(
     config: &EntryConfig,
     shared: &Arc<SharedRules>,
-    list: &Arc<ListLog>,
+    list: &Arc<ServerListLog>,
     events: &mpsc::Sender<FeedEvent>,
     metrics: &Arc<EntryMetrics>,
 ) -> Result<FleetThread, EntryError> {
@@ -170,10 +170,12 @@
             Some(SettingsCopy { version: copy.version, tree: copy.text })
         },
         |_| {
-            let timing =
-                FleetTiming { joint_limit: JOINT_LIMIT, ..FleetTiming::default() };
+            let timing = FleetTiming {
+                single_group_limit: SINGLE_GROUP_LIMIT,
+                ..FleetTiming::default()
+            };
             let mut node = FleetNode::new(own, rand::random(), timing);
-            node.set_list(None, Duration::ZERO);
+            node.set_instance_list(None, Duration::ZERO);
             node.set_seeds(seeds);
             node
         },
@@ -183,7 +185,7 @@
         address: config.fleet,
         cause,
     })?;
-    fleet.share_rows(list.clone());
+    fleet.set_row_source(list.clone());
     Ok(fleet)
 }
 
@@ -235,7 +237,7 @@
 }
 
 /// Shows how many bytes went over the links to peers.
-pub(crate) fn show_peer_bytes(metrics: &EntryMetrics, bytes: &LinkBytes) {
+pub(crate) fn export_peer_bytes(metrics: &EntryMetrics, bytes: &LinkBytes) {
     let (received, sent) = bytes.get();
     for (direction, count) in [("received", received), ("sent", sent)] {
         metrics.peer_bytes.with_label_values(&[direction]).set(count as i64);
@@ -243,14 +245,14 @@
 }
 
 /// Notices when the platform brings bytes of rules.
-pub(crate) struct RulesSource {
+pub(crate) struct RulesDownloadMonitor {
     /// What the platform tells.
     feed: Arc<dyn PlatformFeed>,
     /// How many bytes had come when it last looked.
     received: u64,
 }
 
-impl RulesSource {
+impl RulesDownloadMonitor {
     /// Looks at a feed.
     pub(crate) fn new(feed: Arc<dyn PlatformFeed>) -> Self {
         Self { feed, received: 0 }
@@ -258,24 +260,24 @@
 
     /// Tells the fleet thread if bytes of rules have come since the last look: as long as
     /// they do, peers aren't asked for the same.
-    pub(crate) fn look(&mut self, link: &FleetLink) {
-        let received = self.feed.received(FeedTopic::Rules);
+    pub(crate) fn poll(&mut self, link: &FleetLink) {
+        let received = self.feed.received_bytes(FeedTopic::Rules);
         if received != self.received {
             self.received = received;
-            link.update(FleetNode::hear_source);
+            link.update(FleetNode::record_source_progress);
         }
     }
 }
 
 /// Tells peers what this instance has at servers, and hears how many instances are alive.
-pub(crate) fn tell_peers(
+pub(crate) fn publish_to_peers(
     state: &Rc<TrafficState>,
     link: &FleetLink,
     events: &mpsc::Sender<FeedEvent>,
 ) {
     let loads = state.with_router(|core, now| core.own_loads(now));
     let loads = loads.iter().filter_map(|load| own_load(state, load)).collect();
-    let notes = state.with_router(|core, now| core.own_reads(now));
+    let notes = state.with_router(|core, now| core.recent_prefills(now));
     let reads: Vec<(Duration, PartRead)> =
         notes.iter().filter_map(|note| part_read(state, note)).collect();
     let silent = state.with_router(|core, now| core.silent_servers(now));
@@ -294,12 +296,12 @@
         let recent = node.period() + TELL_PERIOD * 2;
         let reads = reads.iter().filter(|(age, _)| *age < recent).map(|(_, read)| *read);
         let reads = reads.collect();
-        node.set_demand(
-            NodeDemand {
+        node.set_status(
+            NodeStatus {
                 loads,
                 reads,
                 unresponsive: silent,
-                ..NodeDemand::default()
+                ..NodeStatus::default()
             },
             now,
         );
@@ -308,13 +310,13 @@
         if source.set_plan(plan) {
             log::info!(reader:? = reader, standby; "list reader");
         }
-        node.set_told_by_peers(source.told_lately());
+        node.set_follows_peers(source.told_lately());
         if let Some(board) = duties {
-            board.set_stands(node.stands_for_duties(now));
+            board.set_stands(node.is_duty_candidate(now));
         }
         let live = node.fleet_size(now);
-        let newest_rules = node.newest_known(now);
-        let knows_crashes = node.knows_crashes();
+        let newest_rules = node.newest_known_version(now);
+        let knows_crashes = node.has_synced_crashes();
         let group = node.instance_group(now);
         // Told again with the next update.
         let _ = events.try_send(FeedEvent::Fleet {
@@ -327,7 +329,7 @@
 }
 
 /// Spells what a server has read as peers are told, with its age.
-fn part_read(state: &TrafficState, note: &ReadNote) -> Option<(Duration, PartRead)> {
+fn part_read(state: &TrafficState, note: &PrefillRecord) -> Option<(Duration, PartRead)> {
     let server = state.server_key(note.server)?;
     Some((note.age, PartRead { server, part: note.part }))
 }
@@ -336,7 +338,7 @@
 pub(crate) fn take_peer_unresponsive(state: &TrafficState, servers: &[FleetKey]) {
     let known: Vec<ServerId> =
         servers.iter().filter_map(|key| state.server_with_key(*key)).collect();
-    state.with_router(|core, now| core.hear_rumours(&known, now));
+    state.with_router(|core, now| core.record_silence_reports(&known, now));
 }
 
 /// Takes in what servers have read for a peer.
@@ -346,7 +348,7 @@
         Some((server, read.part))
     });
     let known: Vec<(ServerId, PartKey)> = known.collect();
-    state.with_router(|core, now| core.hear_reads(&known, now));
+    state.with_router(|core, now| core.record_peer_prefills(&known, now));
 }
 
 /// Spells a load as peers are told.
@@ -356,7 +358,7 @@
         short: u8::try_from(load.short).unwrap_or(u8::MAX),
         long: u8::try_from(load.long).unwrap_or(u8::MAX),
         unread: load
-            .unread
+            .pending_prefill
             .map(|tokens| u16::try_from(tokens / TOKENS_PER_UNIT).unwrap_or(u16::MAX)),
     })
 }
@@ -374,9 +376,9 @@
             server,
             short: u32::from(load.short),
             long: u32::from(load.long),
-            unread: load.unread.map(|units| u32::from(units) * TOKENS_PER_UNIT),
+            pending_prefill: load.unread.map(|units| u32::from(units) * TOKENS_PER_UNIT),
         })
     });
     let known: Vec<PeerLoad> = known.collect();
-    state.with_router(|core, now| core.hear_peer(peer, &known, now));
+    state.with_router(|core, now| core.set_peer_loads(peer, &known, now));
 }
--- a/crates/flaxtide-entry/src/instance.rs
+++ b/crates/flaxtide-entry/src/instance.rs
@@ -15,19 +15,21 @@
 use crate::config::EntryConfig;
 use crate::contract::{DutyPlatform, FeedTopic, PlatformFeed, WireDialect};
 use crate::directory::CALL_PAUSE_FRACTION;
-use crate::duty::{DutyBoard, DutyThread, show_duties};
+use crate::duty::{DutyThread, SharedDuties, update_duty_view};
 use crate::error::EntryError;
-use crate::feed::{FeedEvent, take_feed};
-use crate::fleet::{FleetLink, RulesSource, open_fleet, show_peer_bytes, tell_peers};
+use crate::feed::{FeedEvent, handle_feed_events};
+use crate::fleet::{
+    FleetLink, RulesDownloadMonitor, export_peer_bytes, open_fleet, publish_to_peers,
+};
 use crate::follower::{TopicFollower, follow_topic};
 use crate::jump::JumpDetector;
 use crate::listen::{accept_callers, bind_listener, serve_probes};
 use crate::logging::flush_log;
 use crate::metrics::EntryMetrics;
 use crate::pushback::update_pushback_metrics;
-use crate::reader::ListLog;
+use crate::reader::ServerListLog;
 use crate::shared_rules::SharedRules;
-use crate::source::ListSource;
+use crate::source::ServerListSource;
 use crate::state::TrafficState;
 use crate::stop::{
     SignalEvent, handle_signals, register_signals, reload_config, watch_signals,
@@ -158,15 +160,17 @@
         let shared = Arc::new(SharedRules::default());
         let (events, feed_events) = channel(FEED_QUEUE_LEN);
         let (link, fleet_requests) = FleetLink::new();
-        let list = Arc::new(ListLog::new(config.leave_within));
-        let source =
-            Arc::new(ListSource::new(config.leave_within, !config.seeds.is_empty()));
+        let list = Arc::new(ServerListLog::new(config.leave_within));
+        let source = Arc::new(ServerListSource::new(
+            config.leave_within,
+            !config.seeds.is_empty(),
+        ));
         for topic in [FeedTopic::Rules, FeedTopic::Servers] {
-            let (pace, list) = match topic {
+            let (call_pause, list) = match topic {
                 FeedTopic::Rules => (Duration::ZERO, None),
                 FeedTopic::Servers => {
-                    let pace = config.leave_within.mul_f64(CALL_PAUSE_FRACTION);
-                    (pace, Some((list.clone(), link.clone())))
+                    let call_pause = config.leave_within.mul_f64(CALL_PAUSE_FRACTION);
+                    (call_pause, Some((list.clone(), link.clone())))
                 }
             };
             let (feed, events, metrics) = (feed.clone(), events.clone(), metrics.clone());
@@ -174,7 +178,7 @@
             spawn_feed(TopicFollower {
                 feed,
                 topic,
-                pace,
+                call_pause,
                 source,
                 list,
                 events,
@@ -191,10 +195,15 @@
         tokio::task::spawn_local(accept_callers(state.clone(), callers));
         tokio::task::spawn_local(serve_probes(state.clone(), ready));
         tokio::task::spawn_local(serve_probes(state.clone(), metrics_listener));
-        let source = RulesSource::new(feed.clone());
-        tokio::task::spawn_local(take_feed(state.clone(), feed, shared, feed_events));
+        let monitor = RulesDownloadMonitor::new(feed.clone());
+        tokio::task::spawn_local(handle_feed_events(
+            state.clone(),
+            feed,
+            shared,
+            feed_events,
+        ));
         let maintenance =
-            run_maintenance(state.clone(), path.clone(), events, source, peer_bytes);
+            run_maintenance(state.clone(), path.clone(), events, monitor, peer_bytes);
         tokio::task::spawn_local(maintenance);
         handle_signals(&state, &path, &mut signals).await;
         Ok(())
@@ -229,12 +238,12 @@
     fleet: &FleetThread,
     link: &FleetLink,
     metrics: &Arc<EntryMetrics>,
-) -> Result<Option<Arc<DutyBoard>>, EntryError> {
+) -> Result<Option<Arc<SharedDuties>>, EntryError> {
     let (Some(duties), Some(platform)) = (config.duties.clone(), platform) else {
         return Ok(None);
     };
-    let board = Arc::new(DutyBoard::new(duties.usage_window));
-    fleet.share_duties(board.clone());
+    let board = Arc::new(SharedDuties::new(duties.usage_window));
+    fleet.set_usage_exchange(board.clone());
     let (link, metrics) = (link.clone(), metrics.clone());
     let thread = DutyThread::new(config, duties, platform, board.clone(), link, metrics);
     spawn("the duties thread", move || thread.run())?;
@@ -263,7 +272,7 @@
     state: Rc<TrafficState>,
     path: PathBuf,
     events: Sender<FeedEvent>,
-    mut source: RulesSource,
+    mut monitor: RulesDownloadMonitor,
     peer_bytes: LinkBytes,
 ) {
     let mut ticks = 0u64;
@@ -272,22 +281,22 @@
         tokio::time::sleep(TICK).await;
         jumps.tick(&state);
         ticks += 1;
-        if state.with_router(|core, _| core.waits()) {
+        if state.with_router(|core, _| core.has_waiting_requests()) {
             state.run_router(|core, now| core.tick(now));
         }
         expire_servers(&state);
         log_server_health(&state);
-        source.look(&state.fleet);
+        monitor.poll(&state.fleet);
         state.quarantine.maintain(&state);
         state.pushback.maintain(&state);
-        tell_peers(&state, &state.fleet, &events);
+        publish_to_peers(&state, &state.fleet, &events);
         if ticks.is_multiple_of(TICKS_PER_ROUND) {
             expire_and_reload(&state, &path);
             if let Some(board) = &state.duties {
                 board.sample_wall_time();
-                show_duties(&state, board);
+                update_duty_view(&state, board);
             }
-            show_peer_bytes(&state.metrics, &peer_bytes);
+            export_peer_bytes(&state.metrics, &peer_bytes);
             update_pushback_metrics(&state);
         }
     }
@@ -312,11 +321,11 @@
 
 /// Logs what the router has come to believe of servers.
 fn log_server_health(state: &TrafficState) {
-    for note in state.with_router(|core, now| core.review(now)) {
-        let event = if note.well { "server gets work" } else { "server gets no work" };
+    for note in state.with_router(|core, now| core.health_changes(now)) {
+        let event = if note.healthy { "server gets work" } else { "server gets no work" };
         log::info!(
             server = state.server_name(note.server).unwrap_or_default(),
-            failures_percent = (note.failures * 100.0) as u64,
+            failures_percent = (note.failure_rate * 100.0) as u64,
             heard_ago_ms = note.heard_ago.as_millis() as u64;
             "{event}"
         );
--- a/crates/flaxtide-entry/src/jump.rs
+++ b/crates/flaxtide-entry/src/jump.rs
@@ -54,7 +54,7 @@
     log::warn!(span_ms = span.as_millis() as u64; "time jumped");
     state.not_ready_until.set(now + REJOIN_DELAY);
     state.connections.close_idle();
-    state.with_router(|core, now| core.resume(span, now));
+    state.with_router(|core, now| core.discount_stall(span, now));
     state.clock_jumped.notify_waiters();
 }
 
--- a/crates/flaxtide-entry/src/lib.rs
+++ b/crates/flaxtide-entry/src/lib.rs
@@ -48,10 +48,10 @@
 pub use self::backoff::PeerBackoff;
 pub use self::config::{DutyConfig, EntryConfig};
 pub use self::contract::{
-    AnswerHead, BackendService, CallKind, CallerLimits, DutyAnswer, DutyPass,
-    DutyPlatform, DutyRead, DutyRow, EntryRules, FeedBatch, FeedError, FeedRow,
-    FeedTopic, OrganisationRules, PlatformFeed, RequestClass, RequestHead, SendHead,
-    ServerEntry, ServiceEngine, TargetService, UsageReport, WireDialect,
+    AnswerHead, BackendService, CallKind, CallerLimits, DutyAnswer, DutyPlatform,
+    DutyRead, DutyRow, EntryRules, FeedBatch, FeedError, FeedRow, FeedTopic,
+    FencingToken, OrganisationRules, PlatformFeed, RequestClass, RequestHead,
+    ServerEntry, ServiceEngine, TargetService, UpstreamHead, UsageReport, WireDialect,
 };
 pub use self::directory::ServerDirectory;
 pub use self::error::EntryError;
@@ -61,4 +61,4 @@
 pub use self::instance::{EntryInstance, StopHandle};
 pub use self::lag::RulesLag;
 pub use self::logging::init_entry_logging;
-pub use self::reader::ListLog;
+pub use self::reader::ServerListLog;
--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use flaxtide_core::{RequestId, ServerId};
-use flaxtide_policy::{RetryVerdict, RouteChoice, RouteFault};
+use flaxtide_policy::{RetryDecision, RouteChoice, RouteFault};
 
 use crate::contract::RequestHead;
 use crate::crash::server_has_exited;
@@ -113,7 +113,7 @@
         log::info!(
             request = self.attempt_id, class = self.class.class().name, outcome = end,
             status, late = self.late_cause().unwrap_or_default(),
-            target_ms = self.class.class().target.as_millis() as u64, first_ms = first, pause_ms = self.longest_pause.get().as_millis() as u64, spent_ms = spent, may_have_run = self.may_have_run.get();
+            target_ms = self.class.class().latency_target.as_millis() as u64, first_ms = first, pause_ms = self.longest_pause.get().as_millis() as u64, spent_ms = spent, may_have_run = self.may_have_run.get();
             "end"
         );
     }
@@ -128,7 +128,11 @@
     /// Returns by what an answer missed its target: its first event, or a pause.
     fn late_cause(&self) -> Option<&'static str> {
         let class = self.class.class();
-        if self.first_event_after.get().is_some_and(|first| first > class.target) {
+        if self
+            .first_event_after
+            .get()
+            .is_some_and(|first| first > class.latency_target)
+        {
             return Some("first");
         }
         let paused = class
@@ -211,7 +215,7 @@
         &self,
         request: &CallerRequest,
         choice: &RouteChoice,
-        patience: Option<Duration>,
+        silence_timeout: Option<Duration>,
         last_event: Option<u64>,
     ) -> AttemptOutcome {
         let time_left = self.time_left();
@@ -248,7 +252,8 @@
         let mut sent = std::pin::pin!(sent);
         loop {
             let time_left = self.time_left();
-            let wait = patience.map_or(time_left, |patience| patience.min(time_left));
+            let wait = silence_timeout
+                .map_or(time_left, |silence_timeout| silence_timeout.min(time_left));
             let until = self.state.now() + wait;
             match self.state.wait_until(until, &mut sent).await {
                 Some(Ok(start)) => return AttemptOutcome::Started(start),
@@ -268,8 +273,9 @@
 
     /// Tells whether the request may leave a server that is silent.
     pub(crate) fn may_break_off(&self, resumable: bool) -> bool {
-        self.state
-            .with_router(|core, now| core.may_break_off(self.request_id, resumable, now))
+        self.state.with_router(|core, now| {
+            core.may_abort_silent(self.request_id, resumable, now)
+        })
     }
 
     /// Records it if the server of a request has ended under it.
@@ -292,7 +298,7 @@
         request: &CallerRequest,
         fault: RouteFault,
         resumable: bool,
-    ) -> RetryVerdict {
+    ) -> RetryDecision {
         self.record_crash(request, fault).await;
         if !fault.not_run() {
             self.may_have_run.set(true);
@@ -301,11 +307,11 @@
         if let (RouteFault::Silent, Some(server)) = (fault, self.server.get()) {
             self.state.connections.close_idle_of(server);
         }
-        let mut verdict = RetryVerdict::End;
+        let mut verdict = RetryDecision::Stop;
         let quarantined = self.state.quarantine.is_quarantined(request);
         self.state.run_router(|core, now| {
             if quarantined {
-                return core.abandon(self.request_id, fault, now);
+                return core.fail_without_retry(self.request_id, fault, now);
             }
             let (decided, actions) = core.fail(self.request_id, fault, resumable, now);
             verdict = decided;
@@ -315,7 +321,7 @@
         self.state.metrics.faults.with_label_values(&[&label]).inc();
         let server = self.server.get().and_then(|server| self.state.server_name(server));
         log::info!(
-            request = self.attempt_id, server = server.unwrap_or_default(), fault = label, again = verdict == RetryVerdict::Again,
+            request = self.attempt_id, server = server.unwrap_or_default(), fault = label, again = verdict == RetryDecision::Retry,
             left_ms = self.time_left().as_millis() as u64;
             "fault"
         );
@@ -327,7 +333,7 @@
     fn drop(&mut self) {
         self.record_end("caller_left", 0);
         self.state.remove_waiter(self.request_id);
-        self.state.run_router(|core, now| core.leave(self.request_id, now));
+        self.state.run_router(|core, now| core.cancel(self.request_id, now));
         self.state.open_calls.set(self.state.open_calls.get() - 1);
         self.state.metrics.open_calls.set(self.state.open_calls.get() as i64);
     }
--- a/crates/flaxtide-entry/src/pushback.rs
+++ b/crates/flaxtide-entry/src/pushback.rs
@@ -9,7 +9,7 @@
 use flaxtide_fleet::FleetKey;
 use flaxtide_policy::{
     PushbackReport, ReportEffect, ReportSchedule, RequestRate, ServerStatement,
-    StatedRate, StatementNote,
+    StatedRate, StatementChange,
 };
 
 use crate::state::TrafficState;
@@ -46,14 +46,14 @@
             self.report_to_peers(state, server);
         }
         let note = state
-            .with_router(|core, now| core.hear_statement(server, statement, sent, now));
-        if let Some(span) = note.and_then(|note| note.rests) {
+            .with_router(|core, now| core.record_statement(server, statement, sent, now));
+        if let Some(span) = note.and_then(|note| note.new_backoff) {
             log_backoff(state, server, span);
         }
         let due = self.schedule.borrow().is_due(server, statement.rate, state.now());
-        match note.filter(|note| note.restated) {
-            Some(StatementNote { rate, part, .. }) => {
-                log_rate(state, server, rate, part, "server");
+        match note.filter(|note| note.rate_changed) {
+            Some(StatementChange { rate, share, .. }) => {
+                log_rate(state, server, rate, share, "server");
                 self.report_to_peers(state, server);
             }
             None if due => self.report_to_peers(state, server),
@@ -80,13 +80,13 @@
             log_leaving(state, server.unwrap_or_default(), "peer");
         }
         let effect = server.and_then(|server| {
-            let heard = report.heard(received_at);
+            let heard = report.heard_at(received_at);
             state.with_router(|core, now| {
-                core.hear_peer_rate(server, report.rate, heard, now)
+                core.record_peer_rate(server, report.rate, heard, now)
             })
         });
         match (server, effect) {
-            (Some(server), Some(ReportEffect::News)) => {
+            (Some(server), Some(ReportEffect::Changed)) => {
                 log_rate(state, server, report.rate, None, "peer");
             }
             // The server has told this instance something else since.
@@ -132,7 +132,7 @@
             return;
         };
         let stated = rate.map_or(StatedRate::Unlimited, StatedRate::Limited);
-        self.schedule.borrow_mut().record_told(server, stated, state.now());
+        self.schedule.borrow_mut().record_sent(server, stated, state.now());
         let leaving = state.is_leaving(server);
         let report = PushbackReport { server: key, rate, age_ms: 0, leaving };
         self.send(state, heard, report);
@@ -152,7 +152,7 @@
 /// Shows how many servers ask for less.
 pub(crate) fn update_pushback_metrics(state: &TrafficState) {
     let count = state.with_router(|core, now| core.count_pushback(now));
-    for (kind, count) in [("limited", count.limited), ("resting", count.resting)] {
+    for (kind, count) in [("limited", count.limited), ("resting", count.backing_off)] {
         state.metrics.pushback.with_label_values(&[kind]).set(count as i64);
     }
 }
--- a/crates/flaxtide-entry/src/response.rs
+++ b/crates/flaxtide-entry/src/response.rs
@@ -1,7 +1,7 @@
 //! A server's answer, from its head to the whole of it, or to the start of a stream.
 
 use bytes::{Bytes, BytesMut};
-use flaxtide_policy::{RetryVerdict, RouteFault};
+use flaxtide_policy::{RetryDecision, RouteFault};
 use hyper::{Response, StatusCode};
 
 use crate::contract::CallKind;
@@ -42,7 +42,7 @@
         match next.map_err(AttemptOutcome::Fault)? {
             Some(bytes) if streams => {
                 state.run_router(|core, now| {
-                    core.heard(call.request_id, now);
+                    core.record_response_data(call.request_id, now);
                     vec![]
                 });
                 return Ok(ReceivedResponse::Stream(start, bytes));
@@ -86,7 +86,7 @@
             }
         }
     }
-    if call.handle_fault(request, RouteFault::Failed, false).await == RetryVerdict::Again
+    if call.handle_fault(request, RouteFault::Failed, false).await == RetryDecision::Retry
     {
         return Ok(ReceivedResponse::Retry);
     }
--- a/crates/flaxtide-entry/src/source.rs
+++ b/crates/flaxtide-entry/src/source.rs
@@ -40,7 +40,7 @@
 const SETTLING: Duration = Duration::from_secs(3);
 
 /// From whom this instance gets a list.
-pub(crate) struct ListSource {
+pub(crate) struct ServerListSource {
     /// The clock.
     clock: MilliClock,
     /// Within what time a leaving server may get no more work.
@@ -64,7 +64,7 @@
     lag: RulesLag,
 }
 
-impl ListSource {
+impl ServerListSource {
     /// Starts with nobody to ask. A leaving server may get no more work after
     /// `leave_within`; `has_peers` says whether there may be peers.
     pub(crate) fn new(leave_within: Duration, has_peers: bool) -> Self {
@@ -191,11 +191,11 @@
         while let Ok((peer, answer)) = told.recv_timeout(self.until(until)) {
             unanswered.retain(|other| *other != peer);
             match answer {
-                RowAnswer::Told(changes) => {
+                RowAnswer::Changes(changes) => {
                     self.record_told(peer);
                     return Some(changes);
                 }
-                RowAnswer::Unable => self.record_pause(peer, true),
+                RowAnswer::Unavailable => self.record_pause(peer, true),
                 RowAnswer::Unreachable => self.record_pause(peer, false),
             }
         }
