--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to the start of its answer.
+//! The path of one request from its head to the start of the response.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -24,16 +24,17 @@
 use crate::routes::{CallerIdentity, ClassMatch};
 use crate::state::{ShutdownPhase, TrafficState};
 
-/// An organisation's number for requests without one.
+/// Stands for the organisation of requests that have none.
 const NO_ORGANISATION: u16 = u16::MAX;
 
-/// Answers one request of a caller.
+/// Responds to one request of a caller.
 pub(crate) async fn serve_request(
     state: Rc<TrafficState>,
     request: Request<Incoming>,
 ) -> CallerResponse {
-    // The HTTP library drops a length beside chunks. What follows such a request may be a
-    // part of its body to whoever sent it, so it is never read as another request.
+    // hyper ignores Content-Length beside chunked encoding. The sender may regard the bytes
+    // after such a request as part of its body, so they must not be read as another request
+    // (request smuggling): the connection is closed.
     let chunked = request.headers().contains_key(TRANSFER_ENCODING);
     let mut response = match handle_request(&state, request).await {
         Ok(response) => response,
@@ -61,27 +62,27 @@
     response
 }
 
-/// A request that is turned away before it is a call: why, and what identifies it.
+/// Why a request is rejected before it becomes a call, and the caller's attempt ID.
 type Rejection = (LocalReply, String);
 
-/// What the rules say of a request.
+/// What the rules in force say about a request.
 struct MatchedRules {
-    /// Its class.
+    /// The request class.
     class: ClassMatch,
-    /// Who sends it.
+    /// The caller, as its key identifies it.
     caller: CallerIdentity,
-    /// Its tier.
+    /// The tier of the request, from its class and its organisation.
     tier: TierRank,
-    /// How urgent its class is.
+    /// The urgency of the class among all classes; 0 is the most urgent.
     level: u8,
-    /// The service that gets it, and whether its servers are engines; nothing if its class
-    /// has none.
+    /// The service that gets the request, and whether its servers are engines; `None` if the
+    /// class has no service.
     service: Option<(String, bool)>,
-    /// The most bytes of its body.
+    /// The largest body that is accepted.
     max_body_bytes: usize,
 }
 
-/// Reads a request, and has it served.
+/// Reads a request, matches it against the rules and runs it.
 async fn handle_request(
     state: &Rc<TrafficState>,
     request: Request<Incoming>,
@@ -117,7 +118,7 @@
     let usage = state
         .duties
         .as_ref()
-        .map(|board| CallUsage::new(board, &service, caller.name.as_deref()));
+        .map(|duties| CallUsage::new(duties, &service, caller.name.as_deref()));
     let call = OpenCall::new(state, class, attempt_id, &head, received_at, usage);
     let route_call = RouteCall {
         request: call.request_id,
@@ -138,8 +139,9 @@
     Ok(run_attempts(call, request, route_call).await)
 }
 
-/// Looks up what the rules in force say of a request. They aren't held any longer than
-/// that: newer ones may come while the request is open.
+/// Matches a request against the rules in force. The result keeps no reference to the route
+/// table, which would otherwise stay in memory until the request ends, although newer rules
+/// may have replaced it.
 fn match_rules(
     state: &TrafficState,
     parts: &Parts,
@@ -170,7 +172,7 @@
     })
 }
 
-/// Reads a body whole.
+/// Reads a whole body.
 async fn read_body(body: Incoming, max_len: usize) -> Result<Bytes, LocalReply> {
     let read = Limited::new(body, max_len).collect().await;
     let collected =
@@ -181,7 +183,7 @@
     Ok(collected.to_bytes())
 }
 
-/// Leads a call through its tries to the start of its answer.
+/// Runs the attempts of a call until a response starts or the request is given up.
 async fn run_attempts(
     call: OpenCall,
     request: CallerRequest,
@@ -202,10 +204,10 @@
             Some(Ok(RouteAction::Refuse { reason, retry_after, expected, .. })) => {
                 return reply_refused(&call, reason, retry_after, expected);
             }
-            // The router forgets nobody, but an answer is owed all the same.
+            // The router decides on every request; this guarantees a response in any case.
             Some(Err(_)) | None => return call.reply_timed_out(),
         };
-        // Whoever is told to try again waits for the next decision.
+        // Registered before the attempt, so that a decision to retry can't be missed.
         decision = state.await_decision(call.request_id);
         let fault = match call.try_server(&request, &choice, silence_timeout, None).await
         {
@@ -230,7 +232,7 @@
     }
 }
 
-/// Answers a request that the router refuses.
+/// Responds to a request that the router refuses.
 fn reply_refused(
     call: &OpenCall,
     cause: RefusalCause,
--- a/crates/flaxtide-entry/src/exchange.rs
+++ b/crates/flaxtide-entry/src/exchange.rs
@@ -1,5 +1,4 @@
-//! One try at one server: the request goes out, the head of the answer comes in and is
-//! checked.
+//! One attempt at one server: sends the request and checks the head of the response.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -22,7 +21,7 @@
 use crate::state::TrafficState;
 use crate::upstream::{ServerConnection, connect};
 
-/// Headers that concern one connection only, besides those that `Connection` names.
+/// Hop-by-hop headers, in addition to those that `Connection` names.
 const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -34,41 +33,41 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// How often a request is written anew because a kept connection turned out to be closed
-/// before any byte of it was written.
+/// How often a request is sent over another connection because the idle one turned out to
+/// be closed before any byte was written.
 const MAX_STALE_CONNECTIONS: usize = 3;
 
-/// How long the rest of a refusal may take.
+/// How long reading the rest of a refusal may take.
 const REFUSAL_DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A caller's request, read whole.
+/// A caller's request with its whole body.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
-    /// The method.
+    /// The HTTP method.
     pub(crate) method: Method,
     /// The path and query.
     pub(crate) uri: Uri,
-    /// The headers, without those that concern one connection only.
+    /// The headers, without hop-by-hop ones.
     pub(crate) headers: HeaderMap,
-    /// The body.
+    /// The whole body.
     pub(crate) body: Bytes,
-    /// What identifies it.
+    /// The caller's ID of this attempt, which the server's response must repeat.
     pub(crate) attempt_id: Option<String>,
-    /// The caller's organisation, as servers are told.
+    /// The caller's organisation, as passed to servers.
     pub(crate) organisation: Option<String>,
-    /// The tier, as engines are told.
+    /// The tier, as passed to engines; `None` for plain servers.
     pub(crate) tier: Option<TierRank>,
-    /// Tokens of its prompt.
+    /// The number of tokens of the prompt.
     pub(crate) tokens: u32,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub(crate) streams: bool,
-    /// What tells it when it comes again, once that has been asked for.
+    /// Identifies repeats of the request. Computed on first use.
     pub(crate) fingerprint: OnceCell<Fingerprint>,
 }
 
 impl CallerRequest {
-    /// Returns what tells it when it comes again. Hashing its body is put off until then: a
-    /// request whose servers go on needs none.
+    /// Returns the fingerprint that identifies repeats of the request. It hashes the body, so
+    /// it is computed only once a server has crashed.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         let path = self.uri.path_and_query().map_or("", |path| path.as_str());
         let caller = self.organisation.as_deref();
@@ -78,34 +77,35 @@
     }
 }
 
-/// The start of an answer that passes for right.
+/// The head of an accepted response, and its body still to be read.
 pub(crate) struct ResponseStart {
     /// The status.
     pub(crate) status: StatusCode,
-    /// The headers, without those that concern one connection only.
+    /// The headers, without hop-by-hop ones.
     pub(crate) headers: HeaderMap,
     /// The body.
     pub(crate) body: UpstreamBody,
 }
 
-/// The body of an answer, as it comes over its connection.
+/// The body of a server's response, read from its connection.
 pub(crate) struct UpstreamBody {
-    /// The body.
+    /// The body, as hyper reads it.
     body: Incoming,
-    /// Its connection.
+    /// The connection, which becomes idle at the end of the body. `None` after that, or after
+    /// an error.
     connection: Option<ServerConnection>,
-    /// The server.
+    /// The server at the other end.
     server: ServerId,
-    /// For how long the server keeps the connection.
+    /// For how long the server keeps an idle connection open, if it said so.
     keep_alive: Option<Duration>,
 }
 
 impl UpstreamBody {
-    /// Returns the next bytes of the body; nothing at its end.
+    /// Returns the next bytes of the body, or `None` at its end.
     ///
     /// # Errors
     ///
-    /// [`RouteFault::Broken`] if the connection broke before the end.
+    /// Returns [`RouteFault::Broken`] if the connection breaks before the end of the body.
     pub(crate) async fn next(
         &mut self,
         state: &TrafficState,
@@ -137,26 +137,26 @@
     }
 }
 
-/// One try of a request at a server.
+/// The parameters of one attempt of a request at a server.
 pub(crate) struct ServerAttempt<'a> {
-    /// The number of the request.
+    /// The ID under which the router knows the request.
     pub(crate) request_id: RequestId,
-    /// Which server, and why.
+    /// The server that the router chose.
     pub(crate) choice: &'a RouteChoice,
     /// How long the server may take.
     pub(crate) time_left: Duration,
-    /// The last event of a stream with which the server is to go on.
+    /// The last event that the caller has of a stream, after which the server is to resume.
     pub(crate) last_event: Option<u64>,
-    /// Whether it goes over a new connection, which shows that the server is in reach.
+    /// Whether to open a new connection, which proves that the server is reachable.
     pub(crate) new_connection: bool,
 }
 
-/// Sends a request to a server and checks the head of the answer.
+/// Sends a request to a server and checks the head of the response.
 ///
 /// # Errors
 ///
-/// Returns what went wrong; [`RouteFault::not_run`] tells whether it promises that the
-/// request hasn't run.
+/// Returns the fault; [`RouteFault::not_run`] tells whether it guarantees that the request
+/// hasn't run.
 pub(crate) async fn exchange(
     state: &Rc<TrafficState>,
     request: &CallerRequest,
@@ -187,29 +187,25 @@
         } else {
             state.connections.take(server, state.now())
         };
-        let mut connection = match idle {
-            Some(connection) => connection,
+        let mut conn = match idle {
+            Some(conn) => conn,
             None => connect(&state.connections, address)
                 .await
                 .map_err(|_| RouteFault::Unreachable)?,
         };
-        // The server may have asked for less while this one waited for its connection.
+        // The server may have pushed back while the connection was being opened.
         if !state.with_router(|core, now| core.permit_send(request_id, now)) {
-            state.connections.keep(server, connection, None, state.now());
+            state.connections.keep(server, conn, None, state.now());
             return Err(RouteFault::Withheld);
         }
-        let sent_at = state.now();
-        let kind = if connection.used { "kept" } else { "new" };
-        connection.used = true;
+        let sent = state.now();
+        let kind = if conn.used { "kept" } else { "new" };
+        conn.used = true;
         state.metrics.connections.with_label_values(&[kind]).inc();
-        match connection.sender.try_send_request(outgoing).await {
-            Ok(response) => {
-                return check_response(
-                    state, request, server, sent_at, connection, response,
-                );
-            }
+        match conn.sender.try_send_request(outgoing).await {
+            Ok(response) => return check(state, request, server, sent, conn, response),
             Err(mut fault) => match fault.take_message() {
-                // Nothing of it was written.
+                // No byte of it was written, so it can be sent again.
                 Some(unsent) => outgoing = unsent,
                 None => return Err(RouteFault::Broken),
             },
@@ -218,7 +214,7 @@
     Err(RouteFault::Unreachable)
 }
 
-/// Builds the request for a server.
+/// Builds the request as the server gets it.
 fn build_request(
     state: &TrafficState,
     request: &CallerRequest,
@@ -240,8 +236,8 @@
     outgoing
 }
 
-/// Checks the head of an answer.
-fn check_response(
+/// Checks the head of a response.
+fn check(
     state: &Rc<TrafficState>,
     request: &CallerRequest,
     server: ServerId,
@@ -254,7 +250,7 @@
     if head.replaced {
         return Err(RouteFault::Replaced);
     }
-    // Another request's answer is that of a connection which can't be trusted any more.
+    // A response to another request shows that the connection is out of step.
     let matches_request = head.attempt == request.attempt_id;
     if matches_request || (head.not_run && head.attempt.is_none()) {
         let mut statement = head.statement;
@@ -275,7 +271,8 @@
     }
     let claims_not_run = [429, 503, 408, 421].contains(&parts.status.as_u16());
     if claims_not_run || parts.status.is_redirection() {
-        // A server's own word for it that doesn't say that it hasn't run.
+        // These statuses usually mean that a request hasn't run, but the response lacks the
+        // header that guarantees it.
         return Err(RouteFault::Failed);
     }
     let mut headers = parts.headers;
@@ -290,17 +287,17 @@
     Ok(ResponseStart { status: parts.status, headers, body })
 }
 
-/// Reads the rest of a refusal beside, so that its connection can be kept.
+/// Reads the rest of a refusal in the background, so that its connection can be reused.
 fn drain_refusal(state: &Rc<TrafficState>, mut body: UpstreamBody) {
     let state = state.clone();
     tokio::task::spawn_local(async move {
         let read = async { while let Ok(Some(_)) = body.next(&state).await {} };
-        // A refusal that doesn't end in time ends with its connection.
+        // If it doesn't end in time, the connection is closed.
         let _ = tokio::time::timeout(REFUSAL_DRAIN_TIMEOUT, read).await;
     });
 }
 
-/// Takes away the headers that concern one connection only.
+/// Removes the hop-by-hop headers.
 pub(crate) fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -1,4 +1,4 @@
-//! A request that is being answered: its tries at servers, and how it ends.
+//! An open call: one caller's request, its attempts at backend servers, and its outcome.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,59 +15,60 @@
 use crate::routes::ClassMatch;
 use crate::state::TrafficState;
 
-/// When a caller is asked to come back at the latest.
+/// The longest `Retry-After` that a caller is given.
 pub(crate) const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The part of the time that is left after which a caller is told at the latest to come
-/// back, so that its next try has time.
+/// A caller is told to retry after at most the remaining time divided by this, so that the
+/// retry can still finish before the deadline.
 pub(crate) const RETRY_DIVISOR: u32 = 3;
 
-/// A request that is being answered. Dropping it tells the router that it has ended.
+/// A request in progress. Dropping it tells the router that the request has ended.
 pub(crate) struct OpenCall {
-    /// The state of the traffic thread.
+    /// The state shared by all tasks of the traffic thread.
     pub(crate) state: Rc<TrafficState>,
-    /// The request.
+    /// The ID under which the router knows the request.
     pub(crate) request_id: RequestId,
-    /// What identifies it to its caller.
+    /// The caller's ID of this attempt; empty if it sent none. Used in log lines.
     pub(crate) attempt_id: String,
-    /// Its class.
+    /// The request class that it matched.
     pub(crate) class: ClassMatch,
-    /// When it came.
+    /// When its head was received.
     pub(crate) received_at: Duration,
-    /// When its caller, or its class, stops waiting.
+    /// When the caller gives up, or the time-out of the class ends, whichever is earlier.
     pub(crate) deadline: Duration,
-    /// Whether it may have run at a server.
+    /// Whether any server may have run the request.
     pub(crate) may_have_run: Cell<bool>,
     /// The server that it was last sent to.
     server: Cell<Option<ServerId>>,
-    /// Whether a connection of it went silent or broke: the next try opens a new one.
+    /// Whether a connection used for it went silent or broke. If so, the next attempt opens
+    /// a new connection.
     connection_suspect: Cell<bool>,
-    /// When the first of its answer came.
+    /// The time from receipt to the first event of the response, or to the whole response.
     first_event_after: Cell<Option<Duration>>,
-    /// The longest time between two pieces of its answer.
+    /// The longest pause between two pieces of the response.
     pub(crate) longest_pause: Cell<Duration>,
-    /// Whether its end has been logged.
+    /// Whether [`Self::record_end`] has been called.
     end_recorded: Cell<bool>,
     /// When it was last sent to a server.
     sent_at: Cell<Duration>,
-    /// What it adds to the usage.
+    /// Counts it in the usage report; `None` if usage isn't reported.
     usage: Option<CallUsage>,
 }
 
-/// What became of one try.
+/// The outcome of one attempt at a server.
 pub(crate) enum AttemptOutcome {
-    /// The answer has started.
+    /// The server has begun to respond.
     Started(ResponseStart),
-    /// A server failed it.
+    /// The attempt failed.
     Fault(RouteFault),
-    /// Its time is over.
+    /// The deadline of the call has passed.
     TimedOut,
-    /// It isn't sent: servers end under it.
+    /// The request was not sent, because it crashes servers.
     Quarantined,
 }
 
 impl OpenCall {
-    /// Opens a call.
+    /// Opens a call and counts it as open.
     pub(crate) fn new(
         state: &Rc<TrafficState>,
         class: ClassMatch,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Logs how the request ended, once.
+    /// Logs and counts the outcome of the request. Only the first call has an effect.
     pub(crate) fn record_end(&self, end: &'static str, status: u16) {
         if self.end_recorded.replace(true) {
             return;
@@ -118,14 +119,15 @@
         );
     }
 
-    /// Counts a whole answer that missed its target.
+    /// Counts a complete response that missed its latency target.
     pub(crate) fn record_missed_target(&self) {
         if let Some(cause) = self.late_cause() {
             self.state.metrics.late.with_label_values(&[cause]).inc();
         }
     }
 
-    /// Returns by what an answer missed its target: its first event, or a pause.
+    /// Returns which target the response missed: `first` (time to the first event) or `pause`
+    /// (between two events).
     fn late_cause(&self) -> Option<&'static str> {
         let class = self.class.class();
         if self
@@ -141,7 +143,7 @@
         paused.then_some("pause")
     }
 
-    /// Records that the answer, or its first event, has come.
+    /// Records the arrival of the response, or of its first event if it is a stream.
     pub(crate) fn record_first_event(&self) {
         let elapsed = self.state.now().saturating_sub(self.received_at);
         self.first_event_after.set(Some(elapsed));
@@ -149,8 +151,8 @@
         self.count_usage();
     }
 
-    /// Counts the request among those that began to run: a stream with its first event, another
-    /// one when it was sent.
+    /// Counts the request in the usage report: a stream as of its first event, any other
+    /// request as of when it was sent.
     fn count_usage(&self) {
         let Some(usage) = &self.usage else { return };
         let streams = self.class.class().kind.streams();
@@ -158,12 +160,12 @@
         usage.begin(if streams { Duration::ZERO } else { ago });
     }
 
-    /// Returns how much time is left.
+    /// Returns the time left until the deadline.
     pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_sub(self.state.now())
     }
 
-    /// Makes an answer of the instance's own, which ends the request.
+    /// Builds a response of the instance itself and records the end of the request.
     pub(crate) fn reply_locally(
         &self,
         reply: LocalReply,
@@ -174,7 +176,7 @@
         response
     }
 
-    /// Answers a request that a server failed and that isn't tried again.
+    /// Responds to a request whose last attempt failed and that isn't retried.
     pub(crate) fn reply_failed(&self, fault: RouteFault) -> CallerResponse {
         if self.may_have_run.get() {
             let reply = match fault {
@@ -187,7 +189,7 @@
         self.reply_locally(LocalReply::NoServer, Some(retry_after.min(MAX_RETRY_AFTER)))
     }
 
-    /// Answers a request under which servers end.
+    /// Responds to a request that crashes servers.
     pub(crate) fn reply_quarantined(&self, request: &CallerRequest) -> CallerResponse {
         self.state.quarantine.renew(&self.state, request);
         log::info!(
@@ -201,7 +203,7 @@
         self.reply_locally(LocalReply::Quarantined, None)
     }
 
-    /// Answers a request whose time is over.
+    /// Responds to a request whose deadline has passed.
     pub(crate) fn reply_timed_out(&self) -> CallerResponse {
         if self.may_have_run.get() {
             return self.reply_locally(LocalReply::TimedOut, None);
@@ -209,8 +211,8 @@
         self.reply_locally(LocalReply::TooLate, Some(MAX_RETRY_AFTER))
     }
 
-    /// Sends the request to a server and waits for the start of the answer, as long as the
-    /// router is patient.
+    /// Sends the request to a server and waits for the start of the response. After
+    /// each `silence_timeout`, the router decides whether to abort the attempt.
     pub(crate) async fn try_server(
         &self,
         request: &CallerRequest,
@@ -222,7 +224,7 @@
         if time_left.is_zero() {
             return AttemptOutcome::TimedOut;
         }
-        // It may have been found to crash servers while it waited.
+        // It may have been quarantined while it waited in the queue.
         if self.state.quarantine.is_quarantined(request) {
             return AttemptOutcome::Quarantined;
         }
@@ -252,8 +254,8 @@
         let mut sent = std::pin::pin!(sent);
         loop {
             let time_left = self.time_left();
-            let wait = silence_timeout
-                .map_or(time_left, |silence_timeout| silence_timeout.min(time_left));
+            let wait =
+                silence_timeout.map_or(time_left, |timeout| timeout.min(time_left));
             let until = self.state.now() + wait;
             match self.state.wait_until(until, &mut sent).await {
                 Some(Ok(start)) => return AttemptOutcome::Started(start),
@@ -271,14 +273,14 @@
         }
     }
 
-    /// Tells whether the request may leave a server that is silent.
+    /// Returns whether the request may be taken from a server that is silent.
     pub(crate) fn may_break_off(&self, resumable: bool) -> bool {
         self.state.with_router(|core, now| {
             core.may_abort_silent(self.request_id, resumable, now)
         })
     }
 
-    /// Records it if the server of a request has ended under it.
+    /// Adds to the crash log if the server exited while it ran this request.
     async fn record_crash(&self, request: &CallerRequest, fault: RouteFault) {
         let (RouteFault::Broken, Some(server)) = (fault, self.server.get()) else {
             return;
@@ -292,7 +294,7 @@
         }
     }
 
-    /// Tells the router of a fault. Returns whether the request is tried again.
+    /// Reports a failed attempt to the router. Returns whether the request is retried.
     pub(crate) async fn handle_fault(
         &self,
         request: &CallerRequest,
@@ -307,25 +309,25 @@
         if let (RouteFault::Silent, Some(server)) = (fault, self.server.get()) {
             self.state.connections.close_idle_of(server);
         }
-        let mut verdict = RetryDecision::Stop;
+        let mut decision = RetryDecision::Stop;
         let quarantined = self.state.quarantine.is_quarantined(request);
         self.state.run_router(|core, now| {
             if quarantined {
                 return core.fail_without_retry(self.request_id, fault, now);
             }
             let (decided, actions) = core.fail(self.request_id, fault, resumable, now);
-            verdict = decided;
+            decision = decided;
             actions
         });
         let label = format!("{fault:?}");
         self.state.metrics.faults.with_label_values(&[&label]).inc();
         let server = self.server.get().and_then(|server| self.state.server_name(server));
         log::info!(
-            request = self.attempt_id, server = server.unwrap_or_default(), fault = label, again = verdict == RetryDecision::Retry,
+            request = self.attempt_id, server = server.unwrap_or_default(), fault = label, again = decision == RetryDecision::Retry,
             left_ms = self.time_left().as_millis() as u64;
             "fault"
         );
-        verdict
+        decision
     }
 }
 
--- a/crates/flaxtide-entry/src/reply.rs
+++ b/crates/flaxtide-entry/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of the instance's own: refusals and faults, as JSON, with a remedy.
+//! Responses of the instance itself: refusals and errors, as JSON with a remedy.
 
 use std::io;
 use std::time::Duration;
@@ -11,47 +11,47 @@
 use hyper::{Response, StatusCode};
 use serde_json::json;
 
-/// The body of an answer: whole, or passed on as it comes.
+/// The body of a response: whole, or a stream that is passed on.
 pub(crate) type ResponseBody =
     Either<Full<Bytes>, StreamBody<LocalBoxStream<'static, io::Result<Frame<Bytes>>>>>;
 
-/// An answer to a caller.
+/// A response to a caller.
 pub(crate) type CallerResponse = Response<ResponseBody>;
 
-/// Why the instance itself answers.
+/// Why the instance itself responds, instead of passing a server's response on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LocalReply {
-    /// The request isn't right.
+    /// The request is malformed.
     Malformed,
-    /// Its body is too large.
+    /// The body exceeds the limit.
     BodyTooLarge,
-    /// Its body didn't come in time.
+    /// The body didn't arrive before the deadline.
     BodyTooSlow,
-    /// Nobody holds its key.
+    /// No organisation has the caller's key.
     UnknownKey,
-    /// No class has its host and path.
+    /// No class matches the host and path.
     UnknownTarget,
-    /// There are no rules yet.
+    /// The instance has no rules yet.
     NoRules,
-    /// The rules in force don't allow it, but there are newer ones, which may.
+    /// The rules in force don't allow the request, but newer rules, which may allow it, exist.
     OutdatedRules,
-    /// The instance stops before it could be answered.
+    /// The instance will stop before the request could be completed.
     Stopping,
-    /// No server can take it.
+    /// No server is available.
     NoServer,
-    /// It would be too late for its caller.
+    /// The response would come after the caller's deadline.
     TooLate,
-    /// Servers end when they run it, so it is sent to none.
+    /// Servers exit when they run the request, so it is sent to none.
     Quarantined,
-    /// A server failed it, and it may have run.
+    /// A server failed, and may have run the request.
     ServerFailed,
-    /// Its time is over, and it may have run.
+    /// The deadline has passed, and a server may have run the request.
     TimedOut,
 }
 
 impl LocalReply {
-    /// Returns what is true if newer rules than those in force are known to exist: what they
-    /// may allow isn't denied for good, which callers wouldn't try again.
+    /// Replaces a rejection that newer rules might lift by a temporary one, if the rules in
+    /// force are outdated: callers don't retry after a permanent rejection.
     pub(crate) fn defer_to_newer_rules(self, behind: bool) -> Self {
         match self {
             Self::UnknownKey | Self::UnknownTarget if behind => Self::OutdatedRules,
@@ -59,10 +59,10 @@
         }
     }
 
-    /// Returns the status. Only refusals have one that says "not run".
+    /// Returns the status. Only refusals have one that means "not run".
     fn status(self) -> StatusCode {
         match self {
-            // Callers repeat neither: no server will ever run it.
+            // Callers don't retry after status 400, and neither would ever succeed.
             Self::Malformed | Self::Quarantined => StatusCode::BAD_REQUEST,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns a short name, for logs and metrics.
+    /// Returns the short name used in responses, logs and metrics.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Makes the answer.
+    /// Builds the response.
     pub(crate) fn into_response(self, retry_after: Option<Duration>) -> CallerResponse {
         let status = self.status();
         let ran = match status {
@@ -138,14 +138,14 @@
             headers.insert(RETRY_AFTER, value);
         }
         if matches!(self, Self::Malformed | Self::BodyTooLarge | Self::BodyTooSlow) {
-            // What is left of the request isn't read.
+            // The rest of the request isn't read.
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 }
 
-/// Makes a whole body.
+/// Makes a body of content that is complete.
 pub(crate) fn full_body(content: Bytes) -> ResponseBody {
     Either::Left(Full::new(content))
 }
--- a/crates/flaxtide-entry/src/response.rs
+++ b/crates/flaxtide-entry/src/response.rs
@@ -1,4 +1,4 @@
-//! A server's answer, from its head to the whole of it, or to the start of a stream.
+//! Receives a server's response: all of it, or the start of a stream.
 
 use bytes::{Bytes, BytesMut};
 use flaxtide_policy::{RetryDecision, RouteFault};
@@ -10,17 +10,17 @@
 use crate::relay::{StreamRelay, relay_body};
 use crate::reply::{CallerResponse, full_body};
 
-/// An answer that has come, or has started to.
+/// What has been received of a response.
 pub(crate) enum ReceivedResponse {
-    /// It is whole.
+    /// The whole response, ready for the caller.
     Whole(CallerResponse),
-    /// It is a stream, whose first bytes these are.
+    /// The head and the first bytes of a stream.
     Stream(ResponseStart, Bytes),
-    /// It is a server's error, and the router tries the request elsewhere.
+    /// A server error, after which the router retries the request.
     Retry,
 }
 
-/// Receives an answer: all of it, or the first bytes of a stream.
+/// Receives a whole response, or the first bytes of a stream.
 pub(crate) async fn receive_response(
     call: &OpenCall,
     request: &CallerRequest,
@@ -28,7 +28,7 @@
 ) -> Result<ReceivedResponse, AttemptOutcome> {
     let state = &call.state;
     if start.status.is_server_error() && call.class.class().kind == CallKind::Idempotent {
-        // Another server may answer it. If none may, this answer is lost, so it is kept.
+        // The request may be retried elsewhere. The error is kept, to be passed on if not.
         return receive_server_error(call, request, start).await;
     }
     let streams = request.streams && start.status.is_success();
@@ -63,8 +63,8 @@
     )))
 }
 
-/// Receives a server's own error for a request that may be tried elsewhere. One that breaks off
-/// is no answer of the server's.
+/// Receives the error response of a server to a request that may be retried elsewhere. An
+/// error response that breaks off counts as a broken connection.
 async fn receive_server_error(
     call: &OpenCall,
     request: &CallerRequest,
@@ -99,7 +99,7 @@
     )))
 }
 
-/// Makes an answer out of a server's whole one.
+/// Builds the caller's response from a server's complete one and records the end of the call.
 fn complete_response(
     call: &OpenCall,
     status: StatusCode,
@@ -116,7 +116,7 @@
     response
 }
 
-/// Starts to pass a stream on.
+/// Starts to pass a stream on to the caller.
 pub(crate) fn start_stream(
     call: OpenCall,
     request: CallerRequest,
--- a/crates/flaxtide-entry/src/upstream.rs
+++ b/crates/flaxtide-entry/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to servers: opened, kept while idle, closed after any doubt.
+//! Connections to backend servers: opened, pooled while idle, closed when in doubt.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,68 +15,69 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// How long a connection may take to open before any has been seen to. A server in reach
-/// takes a few milliseconds; one behind a cut never answers.
+/// The connect time-out while no connect time is known, and its upper bound. A reachable
+/// server accepts within a few milliseconds; one behind a network partition never does.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long one may take at least: a busy machine on either side isn't out of reach.
+/// The lower bound of the connect time-out, so that a busy machine isn't taken as unreachable.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// One may take so many times as long as the slowest that were seen to open.
+/// The connect time-out as a multiple of the longest recent connect time.
 const CONNECT_TIMEOUT_FACTOR: u32 = 8;
 
-/// How much of the slowest is kept with each connection that opens.
+/// The factor by which the longest connect time decays with each new connection.
 const CONNECT_TIME_DECAY: f64 = 0.95;
 
-/// After so long without acknowledgement, the system gives a connection up.
+/// The system closes a connection after sent data has been unacknowledged for this long.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A connection that has gone silent is found by probes: after this idle time,
+/// The idle time after which TCP keepalive probes a connection.
 const KEEPALIVE_IDLE: Duration = Duration::from_millis(1500);
-/// again after this time each,
+/// The time between two keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1000);
-/// and so many of them. A cut of a few seconds, after which a stream goes on, is shorter.
+/// The number of unanswered probes after which a connection is closed. With the times above,
+/// connections outlive a partition of a few seconds, and streams continue after it.
 const KEEPALIVE_PROBES: u32 = 3;
 
-/// How long an idle connection is used if the server doesn't say how long it keeps it.
+/// How long an idle connection may be reused if the server doesn't state its time-out.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The part of the server's own idle time for which a connection is used.
+/// The fraction of the server's stated idle time-out for which a connection may be reused.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
-/// How long it is kept that a server has ended.
+/// How long it is remembered that a server has exited.
 const EXIT_RETENTION: Duration = Duration::from_secs(10);
 
-/// The most idle connections that are kept to one server.
+/// The maximum number of idle connections to one server.
 const MAX_IDLE_PER_SERVER: usize = 32;
 
 /// The idle connections to all servers.
 #[derive(Default)]
 pub(crate) struct ServerConnections {
-    /// By server, the one used last at the end.
+    /// By server, the most recently used last.
     idle: RefCell<HashMap<ServerId, Vec<IdleConnection>>>,
-    /// The servers that were found to have ended, and when.
+    /// The servers that were found to have exited, and when.
     exited: RefCell<HashMap<ServerId, Duration>>,
-    /// How long the slowest connections took to open lately.
+    /// The longest recent connect time, decaying with each connection.
     longest_connect_time: Cell<Option<Duration>>,
 }
 
-/// A connection that is idle.
+/// An idle connection.
 struct IdleConnection {
     /// The connection.
     connection: ServerConnection,
-    /// Until when it may be used.
+    /// Until when it may be reused.
     expires_at: Duration,
 }
 
-/// A connection to a server. Dropping it closes it at once, which cancels what the server
-/// is doing for it.
+/// A connection to a server. Dropping it closes the connection, which cancels the request
+/// that the server runs for it.
 pub(crate) struct ServerConnection {
-    /// Sends requests.
+    /// Sends requests over the connection.
     pub(crate) sender: SendRequest<Full<Bytes>>,
     /// The task that drives the connection.
     task: AbortHandle,
-    /// Whether it has been used before.
+    /// Whether a request has been sent over it before.
     pub(crate) used: bool,
 }
 
@@ -87,7 +88,7 @@
 }
 
 impl ServerConnections {
-    /// Returns an idle connection to a server, if one is open.
+    /// Returns an idle connection to a server, if there is an open one.
     pub(crate) fn take(
         &self,
         server: ServerId,
@@ -105,14 +106,14 @@
                 found = Some(entry.connection);
                 break;
             }
-            // Its last request is still being written.
+            // Its previous request is still being written.
             busy.push(entry);
         }
         connections.extend(busy);
         found
     }
 
-    /// Keeps a connection whose last answer was whole and right.
+    /// Adds a connection to the idle ones after a complete, valid response.
     pub(crate) fn keep(
         &self,
         server: ServerId,
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Returns how long a connection may take to open.
+    /// Returns the time-out for opening a connection.
     fn connect_timeout(&self) -> Duration {
         self.longest_connect_time
             .get()
@@ -142,7 +143,7 @@
             })
     }
 
-    /// Takes in how long a connection took to open.
+    /// Records how long a connection took to open.
     fn record_connect_time(&self, elapsed: Duration) {
         let decayed = self
             .longest_connect_time
@@ -152,27 +153,27 @@
         self.longest_connect_time.set(Some(decayed.max(elapsed)));
     }
 
-    /// Returns when a server was found to have ended, if that was lately.
+    /// Returns when a server was found to have exited, if that was recent.
     pub(crate) fn exited_at(&self, server: ServerId) -> Option<Duration> {
         self.exited.borrow().get(&server).copied()
     }
 
-    /// Records that a server was found to have ended.
+    /// Records that a server was found to have exited.
     pub(crate) fn record_exit(&self, server: ServerId, now: Duration) {
         let mut exited = self.exited.borrow_mut();
         exited.retain(|_, at| now < *at + EXIT_RETENTION);
         exited.insert(server, now);
     }
 
-    /// Returns whether an idle connection to a server is open.
+    /// Returns whether there is an open idle connection to a server.
     pub(crate) fn has_open_idle(&self, server: ServerId) -> bool {
         let idle = self.idle.borrow();
         let mut connections = idle.get(&server).into_iter().flatten();
         connections.any(|entry| !entry.connection.sender.is_closed())
     }
 
-    /// Closes the idle connections to a server one of whose connections went silent: the
-    /// others may have gone silent with it.
+    /// Closes the idle connections to a server after another one went silent: they may have
+    /// lost their peer too.
     pub(crate) fn close_idle_of(&self, server: ServerId) {
         self.idle.borrow_mut().remove(&server);
     }
@@ -194,11 +195,11 @@
     }
 }
 
-/// Opens a connection to a server, within what `connections` has seen that it takes.
+/// Opens a connection to a server, within a time-out that depends on recent connect times.
 ///
 /// # Errors
 ///
-/// Returns the fault if none could be opened in time; nothing was sent then.
+/// Returns an error if the connection couldn't be opened in time; nothing was sent then.
 pub(crate) async fn connect(
     connections: &ServerConnections,
     address: SocketAddr,
@@ -213,13 +214,14 @@
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (sender, driver) = handshake.map_err(io::Error::other)?;
     let task = tokio::task::spawn_local(async move {
-        // Whoever waits for the answer is told of the fault by the sender.
+        // The sender reports the error to the task that waits for the response.
         let _ = driver.await;
     });
     Ok(ServerConnection { sender, task: task.abort_handle(), used: false })
 }
 
-/// Has the system end a connection whose peer is out of reach.
+/// Enables TCP keepalive and a time-out, so that the system closes a connection whose peer is
+/// unreachable.
 pub(crate) fn enable_keepalive(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
