--- a/crates/flaxtide-entry/src/backoff.rs
+++ b/crates/flaxtide-entry/src/backoff.rs
@@ -1,18 +1,19 @@
-//! Peers that had nothing to tell, and when they are asked again.
+//! Backoff for peers that couldn't answer a question about the server list. A peer is called
+//! unable if it responds, but has read too little from the platform lately to answer, and
+//! unreachable if it doesn't respond.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest pause, and that after a question without an answer.
+/// The longest backoff, and the backoff after a question that got no answer.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// For how long after peers have been drawn anew, or one of them has started again, their word
-/// that they can't tell isn't taken for trouble of the platform: they may only not know from where to
-/// tell.
+/// For this long after the peers to ask were selected or one of them restarted, unable peers don't
+/// suggest an outage of the platform: they may not have read from it yet.
 const PEER_SETTLING_TIME: Duration = Duration::from_secs(3);
 
-/// Peers that had nothing to tell, until one tells again.
+/// The backoff of each peer that couldn't answer, until a peer answers again.
 ///
 /// ```
 /// use std::time::Duration;
@@ -25,77 +26,77 @@
 /// ```
 #[derive(Debug)]
 pub struct PeerBackoff {
-    /// The first pause of a peer that answers that it can't tell; it doubles with each.
+    /// The first backoff of a peer that is unable to answer. It doubles each further time.
     first: Duration,
-    /// The pauses.
+    /// The peers that couldn't answer.
     entries: HashMap<SocketAddr, BackoffEntry>,
-    /// When the peers that are asked were last drawn.
+    /// When the peers to ask were last selected.
     peers_set_at: Option<Duration>,
 }
 
-/// The pause of one peer.
+/// The backoff of one peer.
 #[derive(Debug, Clone, Copy)]
 struct BackoffEntry {
-    /// Whether the peer has answered.
+    /// Whether the peer responded; it was unable to answer then.
     reachable: bool,
-    /// How long it is.
+    /// The length of the backoff.
     duration: Duration,
-    /// When it ends.
+    /// When the backoff ends.
     until: Duration,
 }
 
 impl PeerBackoff {
-    /// Starts without any.
+    /// Creates a backoff without entries.
     #[must_use]
     pub fn new(first: Duration) -> Self {
         Self { first, entries: HashMap::new(), peers_set_at: None }
     }
 
-    /// Returns whether a peer may be asked.
+    /// Returns whether a peer may be asked now.
     #[must_use]
     pub fn may_ask(&self, peer: SocketAddr, now: Duration) -> bool {
         self.entries.get(&peer).is_none_or(|entry| now >= entry.until)
     }
 
-    /// Returns whether a peer has answered that it can't tell, since one last told.
+    /// Returns whether any peer has been unable to answer since the last success.
     #[must_use]
     pub fn any_unable(&self) -> bool {
         self.entries.values().any(|entry| entry.reachable)
     }
 
-    /// Returns whether the platform seems to be in trouble: a peer that should know has answered
-    /// that it can't tell.
+    /// Returns whether an outage of the platform is likely: a peer that should have read from it
+    /// was unable to answer.
     #[must_use]
     pub fn suggest_outage(&self, now: Duration) -> bool {
         let settled = self.peers_set_at.is_none_or(|at| now >= at + PEER_SETTLING_TIME);
         settled && self.any_unable()
     }
 
-    /// Forgets all peers but these, which are asked from now on.
+    /// Sets the peers that are asked from now on, and forgets all others.
     pub fn set_peers(&mut self, peers: &[SocketAddr], now: Duration) {
         self.entries.retain(|peer, _| peers.contains(peer));
         self.peers_set_at = Some(now);
     }
 
-    /// Records that a peer has told. What others couldn't before says nothing of the next time
-    /// that nobody tells.
+    /// Records that a peer has answered. Drops the entries of other unable peers too, because
+    /// they say nothing about the platform at the next failure.
     pub fn record_success(&mut self, peer: SocketAddr) {
         self.entries.retain(|other, entry| *other != peer && !entry.reachable);
     }
 
-    /// Records that a peer has answered that it can't tell.
+    /// Records that a peer was unable to answer.
     pub fn record_unable(&mut self, peer: SocketAddr, now: Duration) {
         let before = self.entries.get(&peer).filter(|entry| entry.reachable);
         let duration = before.map_or(self.first, |entry| entry.duration * 2);
         self.back_off(peer, true, duration.min(MAX_BACKOFF), now);
     }
 
-    /// Records that no answer came from a peer.
+    /// Records that a peer was unreachable.
     pub fn record_unreachable(&mut self, peer: SocketAddr, now: Duration) {
         self.back_off(peer, false, MAX_BACKOFF, now);
     }
 
-    /// Begins a pause.
+    /// Starts the backoff of a peer.
     fn back_off(
         &mut self,
         peer: SocketAddr,
--- a/crates/flaxtide-entry/src/directory.rs
+++ b/crates/flaxtide-entry/src/directory.rs
@@ -1,8 +1,9 @@
-//! The servers that the platform lists, and those that it has lost sight of.
+//! The backend servers that the platform lists, and those whose row is missing.
 //!
-//! A server's row goes when the server has left, and also when it couldn't renew the row
-//! because the platform was out. The first kind gets no more work soon; the second is used
-//! on, so that an outage of the platform doesn't take the servers away.
+//! A server's row disappears when the server has left, but also when it couldn't renew the
+//! row because the platform was unavailable. In the first case the server must soon get no
+//! more requests; in the second it stays in use, so that an outage of the platform doesn't
+//! take all servers out of service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,47 +12,50 @@
 
 use crate::contract::ServerEntry;
 
-/// For how long a server whose row has gone is used if nothing else is known, as a part of
-/// the time within which a server that leaves must get no more work. It goes on serving for
-/// longer than this; servers that are left take its work meanwhile.
+/// How long a server whose row is missing stays in use if nothing points to an outage, as a
+/// fraction of `leave_within`, the time within which a leaving server must get no more
+/// requests. The server itself serves for longer than this, and the other servers take over
+/// its requests meanwhile.
 const REMOVAL_GRACE_FRACTION: f64 = 0.4;
 
-/// A row that goes while the platform answers is used for no longer than this part of that
-/// time, whatever was before. With [`CALL_PAUSE_FRACTION`] and the period in which rows are looked at,
-/// the whole stays within it.
+/// The upper bound for a row that disappears while the platform answers, whatever happened
+/// before, as a fraction of `leave_within`. Together with [`CALL_PAUSE_FRACTION`] and the
+/// period in which rows are checked, it stays within the whole.
 const MAX_GRACE_FRACTION: f64 = 0.55;
 
-/// A row that is found missing late is used for no longer than this part of that time since it
-/// may have gone, whatever it was that kept the list from being looked at. The rest is for a
-/// request that is on its way.
+/// The upper bound, counted from when the row may have disappeared, for a row that is found
+/// missing late, whatever delayed reading the list; as a fraction of `leave_within`. The rest
+/// is for requests that are already on their way.
 const MAX_UNSEEN_FRACTION: f64 = 0.85;
 
-/// The time between two looks at the list, as a part of that time.
+/// The pause between two calls for the server list, as a fraction of `leave_within`.
 pub(crate) const CALL_PAUSE_FRACTION: f64 = 0.35;
 
-/// Servers write their rows anew within two seconds of the platform's return.
+/// How long servers have to rewrite their rows after the platform returns. They do so within
+/// two seconds.
 const RECOVERY_GRACE: Duration = Duration::from_millis(2200);
 
-/// For how long a row that went together with many others is missed.
+/// How long a server stays in use whose row disappeared together with many others.
 const MASS_LAPSE_GRACE: Duration = Duration::from_secs(8);
 
-/// Rows that are missing this soon after the platform's return went while it was out.
+/// Rows found missing this soon after the platform returns disappeared during the outage.
 const RECOVERY_WINDOW: Duration = Duration::from_millis(500);
 
-/// Rows that go within this time of each other go together.
+/// Rows that disappear within this time of each other count as disappearing together.
 const MASS_LAPSE_WINDOW: Duration = Duration::from_millis(1500);
 
-/// So many rows that go together, as a part of a service, are a lapse and no departure.
+/// If at least this fraction of a service's rows disappear together, they have lapsed, and
+/// their servers haven't left.
 const MASS_LAPSE_FRACTION: f64 = 0.34;
 
-/// For how long a server that had gone and is listed by a restored copy of the store isn't
-/// used: a row that its server doesn't renew lapses within three heartbeats of 1.2 s.
+/// How long a departed server isn't used after a store restored from a backup lists it again. If
+/// the server doesn't renew its row, the row lapses within three heartbeats of 1.2 s.
 const RESTORED_ROW_HOLD: Duration = Duration::from_secs(5);
 
-/// How long a server that has left is remembered: longer than a copy of the store is old.
+/// How long a departed server is remembered: longer than the age of a backup of the store.
 const DEPARTED_RETENTION: Duration = Duration::from_secs(300);
 
-/// All servers that may be used.
+/// The servers that may be used.
 ///
 /// ```
 /// use std::time::Duration;
@@ -66,65 +70,67 @@
     servers: BTreeMap<ServerName, DirectoryEntry>,
     /// The last outage of the platform.
     outage: Option<OutageSpan>,
-    /// Within what time a server that leaves must get no more work.
+    /// The time within which a leaving server must get no more requests.
     leave_within: Duration,
-    /// The era of the store by whose rows this is.
+    /// The era of the store, which increases each time the store is restored from a backup.
     era: u64,
-    /// The starts of servers that have left lately.
+    /// The incarnations of servers that have left recently.
     departed: BTreeMap<ServerName, DepartedServer>,
-    /// Servers that had gone and are listed by a restored copy, and from when they are believed.
+    /// Departed servers that a restored store lists again, with the time from which they may be
+    /// used.
     held: BTreeMap<ServerName, (ServerEntry, Duration)>,
 }
 
-/// An outage of the platform, as far as it is known.
+/// The times at which an outage of the platform was recorded.
 #[derive(Debug, Clone, Copy)]
 struct OutageSpan {
-    /// When it was first noted.
+    /// When it was first recorded.
     since: Duration,
-    /// When it was last noted.
+    /// When it was last recorded.
     last: Duration,
 }
 
-/// A start of a server that has left.
+/// An incarnation of a server that has left.
 #[derive(Debug)]
 struct DepartedServer {
-    /// When it started, as far as its row told.
+    /// When it started, if its row said so.
     started: Option<u64>,
-    /// Whether it had said that it was leaving; otherwise its row went.
+    /// Whether it had announced that it was leaving. Otherwise its row disappeared.
     leaving: bool,
-    /// The era in which that was.
+    /// The era of the store at that time.
     era: u64,
-    /// When it left.
+    /// When it was removed from the directory.
     left_at: Duration,
 }
 
 /// A server, and whether the platform lists it.
 #[derive(Debug, Clone)]
 pub(crate) struct DirectoryEntry {
-    /// What the platform told of it.
+    /// The server's row.
     pub(crate) entry: ServerEntry,
-    /// When its row went, if it has.
+    /// When the row disappeared; `None` while it is listed.
     missing: Option<MissingRow>,
 }
 
-/// When a row went that is missing.
+/// The times that are known about a missing row.
 #[derive(Debug, Clone, Copy)]
 struct MissingRow {
-    /// When this instance learnt of it.
+    /// When this instance noticed that the row was missing.
     noticed_at: Duration,
-    /// Since when it may have been missing: the list was known to have it until then.
+    /// The last time at which the row was known to be listed.
     last_seen_at: Duration,
 }
 
 impl DirectoryEntry {
-    /// Tells whether the platform doesn't list it now.
+    /// Returns whether the server's row is missing.
     pub(crate) fn lapsed(&self) -> bool {
         self.missing.is_some()
     }
 }
 
 impl ServerDirectory {
-    /// Starts with no server known.
+    /// Creates an empty directory. A leaving server must get no more requests after
+    /// `leave_within`.
     #[must_use]
     pub fn new(leave_within: Duration) -> Self {
         Self {
@@ -137,7 +143,7 @@
         }
     }
 
-    /// Records that the platform is out.
+    /// Records that the platform is unavailable.
     pub fn record_outage(&mut self, now: Duration) {
         match &mut self.outage {
             Some(outage) if now <= outage.last + RECOVERY_GRACE => outage.last = now,
@@ -145,18 +151,18 @@
         }
     }
 
-    /// Records the era of the store whose rows follow.
+    /// Records the era of the store that the following rows are from.
     pub(crate) fn enter_era(&mut self, era: u64) {
         self.era = self.era.max(era);
     }
 
-    /// Records a server's row. Returns whether that changes anything. A server that has said
-    /// that it is leaving gets no more work, even if a copy of the store from before lists it
-    /// as ready; it comes back as another start only.
+    /// Applies a server's row. Returns whether that changes anything. A server that has
+    /// announced that it is leaving gets no more requests, even if a restored store lists
+    /// it as ready. Only another incarnation of it is used again.
     pub fn put(&mut self, mut entry: ServerEntry, now: Duration) -> bool {
         let name = entry.name.clone();
         let known = self.servers.get(&name);
-        // A row that doesn't say when its server started is of the start that is known.
+        // A row without a start time belongs to the known incarnation.
         entry.started = entry.started.or(known.and_then(|known| known.entry.started));
         entry.leaving |= known.is_some_and(|known| {
             known.entry.leaving && known.entry.started == entry.started
@@ -172,14 +178,15 @@
         true
     }
 
-    /// Records that a server has said itself that it is leaving: what its row says afterwards
-    /// takes nothing back. Returns whether that changes anything.
+    /// Records that a server has announced in a response that it is leaving. Later rows of the
+    /// same incarnation don't revoke this. Returns whether that changes anything.
     pub fn mark_leaving(&mut self, name: &str) -> bool {
         let Some(server) = self.servers.get_mut(name) else { return false };
         !std::mem::replace(&mut server.entry.leaving, true)
     }
 
-    /// Returns whether a row of an unknown server isn't believed, or not yet: its server has left.
+    /// Returns whether the row of an unknown server is ignored, for now or for good, because the
+    /// server has left.
     fn holds_back_row(&mut self, entry: &ServerEntry, now: Duration) -> bool {
         let departed = self.departed.get(&entry.name);
         let departed = departed.filter(|departed| {
@@ -190,7 +197,7 @@
             return true;
         }
         if departed.era >= self.era {
-            // Its row had lapsed, and it has written it anew.
+            // The row had lapsed and the server has written it again.
             return false;
         }
         let until = now + RESTORED_ROW_HOLD;
@@ -212,8 +219,8 @@
         self.departed.insert(entry.name.clone(), departed);
     }
 
-    /// Puts servers into service that a restored copy has listed for so long that they must
-    /// be there. Returns whether there are any.
+    /// Puts servers into use that a restored store has listed for so long that they must be
+    /// running. Returns whether there are any.
     pub(crate) fn release_held(&mut self, now: Duration) -> bool {
         let due = self.held.iter().filter(|(_, (_, until))| now >= *until);
         let due: Vec<ServerName> = due.map(|(name, _)| name.clone()).collect();
@@ -226,26 +233,26 @@
         !due.is_empty()
     }
 
-    /// Returns whether an entry is of another start of a known server.
+    /// Returns whether an entry describes another incarnation of a known server.
     pub(crate) fn is_restart(&self, entry: &ServerEntry) -> bool {
         let known = self.servers.get(&entry.name).and_then(|known| known.entry.started);
         known.is_some() && entry.started.is_some() && known != entry.started
     }
 
-    /// Forgets a server at once, as its row names none any more. Returns whether it was
-    /// known.
+    /// Removes a server at once, because its row no longer describes a server. Returns whether
+    /// it was in use.
     pub(crate) fn discard(&mut self, name: &str) -> bool {
         self.held.remove(name);
         self.servers.remove(name).is_some()
     }
 
-    /// Records that a row has just gone. Returns whether that changes anything.
+    /// Records that a row has just disappeared. Returns whether that changes anything.
     pub fn remove(&mut self, name: &str, now: Duration) -> bool {
         self.remove_unseen(name, Duration::ZERO, now)
     }
 
-    /// Records that a row has gone at some time in the last `unseen`. Returns whether that
-    /// changes anything.
+    /// Records that a row has disappeared within the last `unseen`, during which the list wasn't
+    /// read. Returns whether that changes anything.
     pub fn remove_unseen(&mut self, name: &str, unseen: Duration, now: Duration) -> bool {
         self.held.remove(name);
         let Some(server) = self.servers.get_mut(name) else { return false };
@@ -263,7 +270,8 @@
         true
     }
 
-    /// Applies a whole list: what it lacks has gone at some time in the last `unseen`.
+    /// Records that all rows that aren't in a complete list have disappeared within the last
+    /// `unseen`.
     pub(crate) fn retain_listed(
         &mut self,
         listed: &[ServerName],
@@ -281,7 +289,7 @@
         changed
     }
 
-    /// Forgets servers that have been missing for too long. Returns their names.
+    /// Removes servers whose row has been missing for too long. Returns their names.
     pub fn expire(&mut self, now: Duration) -> Vec<ServerName> {
         let expired = self.servers.iter().filter(|(_, server)| {
             let Some(missing) = server.missing else { return false };
@@ -296,7 +304,7 @@
         expired
     }
 
-    /// Returns until when a server of a service is used whose row has gone.
+    /// Returns until when a server stays in use after its row has disappeared.
     fn grace_end(&self, service: &str, row: MissingRow) -> Duration {
         let noticed_at = row.noticed_at;
         if self.is_mass_lapse(service, noticed_at) {
@@ -305,7 +313,8 @@
         let scaled = |fraction| self.leave_within.mul_f64(fraction);
         let latest_end = row.last_seen_at + scaled(MAX_UNSEEN_FRACTION);
         let normal_end = (noticed_at + scaled(REMOVAL_GRACE_FRACTION)).min(latest_end);
-        // A row that went while the platform answered went for good, though it is out by now.
+        // A row that disappeared while the platform answered is gone for good, even if an outage
+        // has begun since.
         let Some(outage) = self.outage.filter(|outage| noticed_at >= outage.since) else {
             return normal_end;
         };
@@ -318,7 +327,7 @@
             .min(latest_end)
     }
 
-    /// Returns whether a row went together with many others of its service.
+    /// Returns whether a row disappeared together with many others of its service.
     fn is_mass_lapse(&self, service: &str, noticed_at: Duration) -> bool {
         let members = || {
             let servers = self.servers.values();
@@ -334,12 +343,12 @@
         together >= 2 && together as f64 >= MASS_LAPSE_FRACTION * members().count() as f64
     }
 
-    /// Tells whether any server's row is missing.
+    /// Returns whether the row of any server is missing.
     pub(crate) fn has_missing_rows(&self) -> bool {
         self.servers.values().any(DirectoryEntry::lapsed)
     }
 
-    /// Returns a server.
+    /// Returns a server by name.
     pub(crate) fn get(&self, name: &str) -> Option<&DirectoryEntry> {
         self.servers.get(name)
     }
@@ -353,7 +362,7 @@
         servers.filter(move |server| server.entry.service == service)
     }
 
-    /// Returns how many servers may be used.
+    /// Returns the number of servers that may be used.
     pub(crate) fn len(&self) -> usize {
         self.servers.len()
     }
--- a/crates/flaxtide-entry/src/jump.rs
+++ b/crates/flaxtide-entry/src/jump.rs
@@ -1,5 +1,5 @@
-//! Jumps of time: the machine was suspended, or the process stood still, and what this instance
-//! holds true was so longer ago than it seems.
+//! Clock jumps: after the machine was suspended or the process stalled, everything that this
+//! instance knows is older than it seems.
 
 use std::future::Future;
 use std::pin::pin;
@@ -7,36 +7,35 @@
 
 use crate::state::TrafficState;
 
-/// A tick that comes so much later than the one before is a jump. An instance with an eighth of
-/// a core may be late by some hundred milliseconds while it is busy.
+/// A tick that is late by this much is a clock jump. A busy instance with an eighth of a core
+/// may be late by some hundred milliseconds.
 const MIN_JUMP: Duration = Duration::from_secs(1);
 
-/// How long an instance isn't ready after a jump: within it, changes of rules and servers that
-/// were told meanwhile are read, and peers are heard.
+/// How long an instance isn't ready after a clock jump, so that it can read changed rules and
+/// servers and receive its peers' data first.
 const REJOIN_DELAY: Duration = Duration::from_secs(1);
 
-/// A timer that fires so much later than it was due shows that the process stood still or had no
-/// time: what has come meanwhile may not have been read.
+/// A timer that fires this late shows that the process stalled or had no CPU time, so data that
+/// has arrived may still be unread.
 const LATE_TIMER_THRESHOLD: Duration = Duration::from_millis(250);
 
-/// How long what has come meanwhile may take to be read.
+/// How long reading the data that has arrived may take.
 const CATCH_UP_TIME: Duration = Duration::from_millis(200);
 
-/// Notices jumps by the time between two ticks.
+/// Detects clock jumps from the time between two ticks.
 #[derive(Debug)]
 pub(crate) struct JumpDetector {
-    /// When the last tick was.
+    /// The time of the last tick.
     last_tick: Duration,
 }
 
 impl JumpDetector {
-    /// Starts to watch.
+    /// Creates a detector whose first tick follows `now`.
     pub(crate) fn new(now: Duration) -> Self {
         Self { last_tick: now }
     }
 
-    /// Handles a tick: if time has jumped, what was known before is judged again before any
-    /// work is given out.
+    /// Handles a tick. After a clock jump, the state is adjusted before more requests are sent.
     pub(crate) fn tick(&mut self, state: &TrafficState) {
         let now = state.now();
         let span = now.saturating_sub(self.last_tick);
@@ -47,11 +46,12 @@
     }
 }
 
-/// Handles a jump. Ages are counted on a clock that has jumped too, so peers' words, rate windows
-/// and heartbeats need nothing; what waits on timers, connections, and the silence of servers do.
+/// Adjusts timers, connections and the time-outs of silent servers to a clock jump. The ages of
+/// peers' data, rate windows and heartbeats need no adjustment, because they are measured on a
+/// clock that has jumped too.
 fn handle_jump(state: &TrafficState, span: Duration, now: Duration) {
     state.metrics.time_jumps.inc();
-    log::warn!(span_ms = span.as_millis() as u64; "time jumped");
+    log::warn!(span_ms = span.as_millis() as u64; "clock jumped");
     state.not_ready_until.set(now + REJOIN_DELAY);
     state.connections.close_idle();
     state.with_router(|core, now| core.discount_stall(span, now));
@@ -59,9 +59,9 @@
 }
 
 impl TrafficState {
-    /// Waits for something until a time on the clock; nothing if it hasn't come then. Timers
-    /// leave out the time of a suspension, so the clock is asked again after a jump. After a late
-    /// timer there is some more time to read what has come.
+    /// Waits for a future until a time on the clock; returns `None` if it isn't done by then.
+    /// Timers don't count the time of a suspension, so the time is checked again after a clock
+    /// jump. After a late timer, the future gets some more time to read what has arrived.
     pub(crate) async fn wait_until<Outcome>(
         &self,
         mut until: Duration,
--- a/crates/flaxtide-entry/src/names.rs
+++ b/crates/flaxtide-entry/src/names.rs
@@ -1,4 +1,4 @@
-//! Numbers for the names of services and servers, as the router knows them.
+//! Numeric IDs for the names of services and servers, used by the router.
 
 use std::collections::HashMap;
 
@@ -7,31 +7,31 @@
 
 use crate::contract::ServerEntry;
 
-/// Numbers for the names of services and servers. A name keeps its number.
+/// Assigns IDs to services and to incarnations of servers. An ID never changes.
 #[derive(Debug, Default)]
 pub(crate) struct IdTable {
-    /// Services.
+    /// The IDs of services by name.
     pools: HashMap<String, PoolId>,
-    /// Servers, each start of one by itself.
+    /// The IDs of servers by incarnation.
     servers: HashMap<String, ServerId>,
-    /// Servers by what stands for them between instances.
+    /// The IDs of servers by their key in messages between instances.
     keys: HashMap<FleetKey, ServerId>,
-    /// The starts of servers, by number.
+    /// The incarnations of servers, indexed by ID.
     incarnations: Vec<ServerIncarnation>,
 }
 
-/// A start of a server.
+/// An incarnation of a server: one run of its process.
 #[derive(Debug)]
 pub(crate) struct ServerIncarnation {
     /// The server's name.
     pub(crate) name: ServerName,
-    /// What stands for this start between instances. What peers say of an earlier start of
-    /// the server isn't taken for this one's.
+    /// The key of this incarnation in messages between instances. Peers' data about an earlier
+    /// incarnation therefore isn't applied to this one.
     pub(crate) key: FleetKey,
 }
 
 impl IdTable {
-    /// Returns the number of a service.
+    /// Returns the ID of a service, and assigns one if it is new.
     pub(crate) fn pool_id(&mut self, service: &str) -> PoolId {
         if let Some(pool) = self.pools.get(service) {
             return *pool;
@@ -41,7 +41,7 @@
         pool
     }
 
-    /// Returns the number of a server, which is another one for each start of it.
+    /// Returns the ID of an incarnation of a server, and assigns one if it is new.
     pub(crate) fn server_id(&mut self, entry: &ServerEntry) -> ServerId {
         let incarnation = entry.incarnation();
         if let Some(server) = self.servers.get(&incarnation) {
@@ -56,12 +56,12 @@
         server
     }
 
-    /// Returns the start of a server that has a number.
+    /// Returns the incarnation that has an ID.
     pub(crate) fn incarnation(&self, server: ServerId) -> Option<&ServerIncarnation> {
         self.incarnations.get(server as usize)
     }
 
-    /// Returns the server whose start a key stands for.
+    /// Returns the server whose incarnation has a key.
     pub(crate) fn server_with_key(&self, key: FleetKey) -> Option<ServerId> {
         self.keys.get(&key).copied()
     }
--- a/crates/flaxtide-entry/src/routes.rs
+++ b/crates/flaxtide-entry/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which class a request belongs to.
+//! Matches requests to request classes, callers and tiers.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -11,58 +11,58 @@
 };
 use crate::metrics::GaugeGuard;
 
-/// The rules in force, made quick to look things up in.
+/// The rules in force, indexed for look-up.
 #[derive(Debug)]
 pub(crate) struct RouteTable {
     /// The version of the rules.
     pub(crate) version: SettingsVersion,
-    /// The request classes. Requests hold theirs, and nothing else of the table: it is
-    /// large, and isn't to stay in memory as long as the last request that came under it.
+    /// The request classes. A request keeps only its class alive, not the table, which is
+    /// large and would otherwise stay in memory until the last request under it ends.
     classes: Vec<Rc<RequestClass>>,
-    /// The services behind them.
+    /// The services that serve the classes.
     pub(crate) services: Vec<BackendService>,
-    /// The organisations; empty where requests carry no keys.
+    /// The organisations; empty if requests carry no keys.
     organisations: Vec<OrganisationRules>,
-    /// Which organisation holds a key.
+    /// The organisation that holds each key.
     keys: HashMap<String, OrganisationId>,
-    /// What callers may send.
+    /// The limits on callers' connections and requests.
     pub(crate) limits: CallerLimits,
-    /// The classes of each host, those with longer prefixes first.
+    /// The classes of each host, those with longer path prefixes first.
     hosts: HashMap<String, Vec<ClassId>>,
-    /// The pairs of a class's tier and an organisation's, most urgent first.
+    /// All pairs of a class tier and an organisation tier, most urgent first.
     tier_pairs: Vec<TierPair>,
     /// The tiers of all classes, most urgent first.
     class_tiers: Vec<TierRank>,
-    /// Counts it while it is in memory.
+    /// Counts the table in the metric `rules_kept` while it is in memory.
     _gauge_guard: GaugeGuard,
 }
 
-/// The tier of a class, which goes first, and that of an organisation. Where an
-/// organisation has none, the class's stands in for it.
+/// The tier of a class and that of an organisation, ordered by the class first. If an
+/// organisation has no tier, that of the class stands in for it.
 type TierPair = (TierRank, TierRank);
 
-/// The class of a request.
+/// The class that a request matched.
 #[derive(Debug, Clone)]
 pub(crate) struct ClassMatch {
-    /// The class, which stays as it was when the request came.
+    /// The class as of when the request arrived.
     class: Rc<RequestClass>,
-    /// Its number in the rules.
+    /// Its index in the rules.
     pub(crate) id: ClassId,
 }
 
-/// Who sends a request.
+/// The caller, as its key identifies it. All fields are `None` for an anonymous caller.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct CallerIdentity {
-    /// The organisation.
+    /// The index of the organisation in the rules.
     pub(crate) organisation: Option<OrganisationId>,
-    /// Its name.
+    /// The name of the organisation.
     pub(crate) name: Option<String>,
-    /// Its tier.
+    /// The tier of the organisation, if it has one.
     pub(crate) tier: Option<TierRank>,
 }
 
 impl RouteTable {
-    /// Makes a table of rules.
+    /// Builds the table for rules. The guard counts it in the metric `rules_kept`.
     pub(crate) fn new(rules: EntryRules, gauge_guard: GaugeGuard) -> Self {
         let mut hosts: HashMap<String, Vec<ClassId>> = HashMap::new();
         for (index, class) in rules.classes.iter().enumerate() {
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Returns the tier of a request: its place among all pairs of a class's tier and an
-    /// organisation's. Requests of one class are still told apart by organisation.
+    /// Returns the tier of a request: the rank of its pair of class tier and organisation tier.
+    /// Requests of one class are thus still ordered by organisation.
     pub(crate) fn request_tier(
         &self,
         caller: &CallerIdentity,
@@ -102,7 +102,7 @@
         TierRank::try_from(idx).unwrap_or(TierRank::MAX)
     }
 
-    /// Returns the class of the longest prefix that a path begins with.
+    /// Returns the class whose path prefix is the longest match.
     pub(crate) fn find_class(&self, host: &str, path: &str) -> Option<ClassMatch> {
         let name = host_name(host).to_ascii_lowercase();
         let classes = self.hosts.get(&name)?;
@@ -113,7 +113,7 @@
         Some(ClassMatch { class: self.classes[usize::from(id)].clone(), id })
     }
 
-    /// Returns how urgent a class is: its place among the tiers of all classes.
+    /// Returns the urgency of a class: the rank of its tier among those of all classes.
     pub(crate) fn urgency_level(&self, class: &RequestClass) -> u8 {
         let idx = self
             .class_tiers
@@ -122,7 +122,8 @@
         u8::try_from(idx).unwrap_or(u8::MAX)
     }
 
-    /// Tells who a caller is by its key; nothing if the class wants a key that is in force.
+    /// Identifies a caller by its key. Returns `None` if the class requires a valid key and the
+    /// caller has none.
     pub(crate) fn authenticate(
         &self,
         class: &RequestClass,
@@ -138,13 +139,13 @@
         self.organisations.iter().map(|known| known.name.as_str())
     }
 
-    /// Tells whether the servers of a service are engines.
+    /// Returns whether the servers of a service are engines.
     pub(crate) fn is_engine(&self, service: &str) -> bool {
         let mut services = self.services.iter();
         services.any(|known| known.name == service && known.engine.is_some())
     }
 
-    /// Tells who holds a key; nothing if nobody does.
+    /// Returns the holder of a key, or `None` if the key is unknown.
     fn find_key_holder(&self, key: Option<&str>) -> Option<CallerIdentity> {
         let id = *self.keys.get(key?)?;
         let organisation = self.organisations.get(usize::from(id))?;
@@ -162,7 +163,7 @@
         &self.class
     }
 
-    /// Draws the service that gets a request, by the weights of the class.
+    /// Draws the service for a request, by the weights of the class.
     pub(crate) fn draw_service(&self, random: &mut impl Rng) -> Option<&str> {
         let targets = &self.class().targets;
         let total_weight: u32 = targets.iter().map(|target| target.weight).sum();
--- a/crates/flaxtide-entry/src/state.rs
+++ b/crates/flaxtide-entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread knows, and the router that it owns.
+//! The state of the traffic thread, including the router.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -31,76 +31,76 @@
 use crate::stop::LAST_CALL_MARGIN;
 use crate::upstream::ServerConnections;
 
-/// How many requests a plain server works on at once if nobody says.
+/// How many requests a plain server runs at once if neither its service nor its row says.
 const DEFAULT_PLAIN_SERVER_SLOTS: u32 = 6;
 
-/// How far a stop has come.
+/// The phase of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ShutdownPhase {
-    /// It takes requests.
+    /// The instance takes requests.
     Serving,
-    /// It isn't ready, but the balancer may not have noticed.
+    /// The instance reports that it isn't ready, but the load balancer may still send requests.
     Leaving,
-    /// It closes connections once their requests are answered.
+    /// The instance closes each connection after its current request.
     Closing,
 }
 
-/// What the traffic thread knows.
+/// The state shared by all tasks of the traffic thread.
 pub(crate) struct TrafficState {
-    /// The instance file.
+    /// The instance file in force.
     pub(crate) config: RefCell<Rc<EntryConfig>>,
-    /// The clock.
+    /// The clock of the traffic thread, which tests may move.
     pub(crate) clock: MilliClock,
-    /// The words of requests and answers.
+    /// Translates the headers of requests and responses.
     pub(crate) dialect: Arc<dyn WireDialect>,
-    /// The metrics.
+    /// The metrics of the instance.
     pub(crate) metrics: Arc<EntryMetrics>,
-    /// The open connections to servers.
+    /// The idle connections to servers.
     pub(crate) connections: ServerConnections,
-    /// The ring to the fleet thread.
+    /// The queue to the fleet thread.
     pub(crate) fleet: FleetLink,
-    /// From whom this instance gets what few read from the platform.
+    /// Chooses the peer or the platform from which the server list is read.
     pub(crate) source: Arc<ServerListSource>,
     /// The requests that crash servers.
     pub(crate) quarantine: CallQuarantine,
-    /// What servers say of themselves.
+    /// What servers state about their limits, and its exchange with peers.
     pub(crate) pushback: PushbackExchange,
-    /// What is shared for the duties that one instance has for all, if there are any.
+    /// The state shared with the duties thread; `None` if the instance has no duties.
     pub(crate) duties: Option<Arc<SharedDuties>>,
-    /// The rules in force.
+    /// The rules in force; `None` until the first have arrived.
     table: RefCell<Option<Rc<RouteTable>>>,
     /// The servers that may be used.
     pub(crate) directory: RefCell<ServerDirectory>,
-    /// The newest version of the rules that peers have told of.
+    /// The newest version of the rules that peers have announced.
     pub(crate) newest_rules: Cell<SettingsVersion>,
-    /// Whether the platform's list of servers has been read.
+    /// Whether the server list has been read at least once.
     pub(crate) servers_listed: Cell<bool>,
-    /// The router.
+    /// The router, which decides where and when requests are sent.
     router: RefCell<RouteCore>,
-    /// Who waits for the router's decision.
+    /// The requests that wait for a decision of the router.
     waiters: RefCell<HashMap<RequestId, oneshot::Sender<RouteAction>>>,
-    /// Numbers for names.
+    /// The numeric IDs of services and servers.
     ids: RefCell<IdTable>,
-    /// The number of the next request.
+    /// The ID of the next request.
     next_request: Cell<RequestId>,
-    /// The source of randomness for weights.
+    /// Draws the service of a request by weight.
     pub(crate) rng: RefCell<SmallRng>,
-    /// How far a stop has come.
+    /// The phase of a planned stop; `Serving` before one.
     phase: Cell<ShutdownPhase>,
-    /// Until when it isn't ready after a jump of time.
+    /// After a clock jump, the time before which the instance isn't ready.
     pub(crate) not_ready_until: Cell<Duration>,
-    /// Wakes those that wait when time has jumped.
+    /// Wakes timers when the clock has jumped.
     pub(crate) clock_jumped: Notify,
     /// Wakes connections when the phase changes.
     pub(crate) phase_changed: Notify,
-    /// How many requests are being answered.
+    /// The number of requests in progress.
     pub(crate) open_calls: Cell<usize>,
-    /// When the process ends at the latest, once that is near.
+    /// When the process must end. Set in the late phase of a stop.
     pub(crate) stop_deadline: Cell<Option<Duration>>,
 }
 
 impl TrafficState {
-    /// Starts with nothing known.
+    /// Creates the state of an instance that knows neither rules nor servers.
     pub(crate) fn new(
         config: EntryConfig,
         clock: MilliClock,
@@ -149,12 +149,12 @@
         }
     }
 
-    /// Returns the time.
+    /// Returns the time on the clock of the traffic thread.
     pub(crate) fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Returns the instance file.
+    /// Returns the instance file in force.
     pub(crate) fn config(&self) -> Rc<EntryConfig> {
         self.config.borrow().clone()
     }
@@ -164,7 +164,7 @@
         self.table.borrow().clone()
     }
 
-    /// Returns what callers may send.
+    /// Returns the limits on callers' connections and requests; defaults without rules.
     pub(crate) fn limits(&self) -> CallerLimits {
         let table = self.table.borrow();
         table
@@ -172,18 +172,18 @@
             .map_or_else(CallerLimits::default, |table| table.limits)
     }
 
-    /// Returns how far a stop has come.
+    /// Returns the phase of a planned stop.
     pub(crate) fn phase(&self) -> ShutdownPhase {
         self.phase.get()
     }
 
-    /// Goes on with a stop.
+    /// Enters the next phase of a stop.
     pub(crate) fn set_phase(&self, phase: ShutdownPhase) {
         self.phase.set(phase);
         self.phase_changed.notify_waiters();
     }
 
-    /// Tells whether the balancer may send callers.
+    /// Returns whether the load balancer may send requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.phase.get() == ShutdownPhase::Serving
             && self.table.borrow().is_some()
@@ -192,25 +192,25 @@
             && self.quarantine.is_synced(self.now())
     }
 
-    /// Tells whether a request that comes now may not end before the process must.
+    /// Returns whether a request that starts now might not end before the process must.
     pub(crate) fn is_too_late_to_start(&self, streams: bool) -> bool {
         let Some(end) = self.stop_deadline.get() else { return false };
         streams || self.now() + LAST_CALL_MARGIN > end
     }
 
-    /// Returns the number of a new request.
+    /// Returns the ID for a new request.
     pub(crate) fn next_request_id(&self) -> RequestId {
         let request = self.next_request.get();
         self.next_request.set(request + 1);
         request
     }
 
-    /// Returns the number of a service.
+    /// Returns the ID of a service.
     pub(crate) fn pool_id(&self, service: &str) -> PoolId {
         self.ids.borrow_mut().pool_id(service)
     }
 
-    /// Returns the number of a server.
+    /// Returns the ID of the incarnation of a server that an entry describes.
     pub(crate) fn server_id(&self, entry: &ServerEntry) -> ServerId {
         self.ids.borrow_mut().server_id(entry)
     }
@@ -223,7 +223,7 @@
             .map(|incarnation| incarnation.name.clone())
     }
 
-    /// Returns what stands for a server between instances.
+    /// Returns the key of a server's incarnation in messages between instances.
     pub(crate) fn server_key(&self, server: ServerId) -> Option<FleetKey> {
         self.ids
             .borrow()
@@ -231,14 +231,15 @@
             .map(|incarnation| incarnation.key)
     }
 
-    /// Returns where a server is reached.
+    /// Returns the address of a server, if it is listed.
     pub(crate) fn server_address(&self, server: ServerId) -> Option<SocketAddr> {
         let name = self.server_name(server)?;
         let directory = self.directory.borrow();
         directory.get(&name).map(|listed| listed.entry.address)
     }
 
-    /// Records that a start of a server has said that it is leaving. Returns whether that is news.
+    /// Records that a server has announced that it is leaving. Returns whether that is new. Has
+    /// no effect if another incarnation of the server is listed.
     pub(crate) fn mark_leaving(&self, server: ServerId) -> bool {
         let Some(name) = self.listed_name(server) else { return false };
         let changed = self.directory.borrow_mut().mark_leaving(&name);
@@ -248,7 +249,7 @@
         changed
     }
 
-    /// Returns whether a start of a server is known to be leaving.
+    /// Returns whether an incarnation of a server is known to be leaving.
     pub(crate) fn is_leaving(&self, server: ServerId) -> bool {
         let Some(name) = self.listed_name(server) else { return false };
         self.directory
@@ -257,7 +258,7 @@
             .is_some_and(|listed| listed.entry.leaving)
     }
 
-    /// Returns the name of a start of a server if it is the one that is listed.
+    /// Returns the name of a server if this is the incarnation that is listed.
     fn listed_name(&self, server: ServerId) -> Option<ServerName> {
         let name = self.server_name(server)?;
         let directory = self.directory.borrow();
@@ -265,27 +266,27 @@
         (self.server_id(&listed.entry) == server).then_some(name)
     }
 
-    /// Returns the server that a key stands for.
+    /// Returns the server that a key from a peer denotes.
     pub(crate) fn server_with_key(&self, key: FleetKey) -> Option<ServerId> {
         self.ids.borrow().server_with_key(key)
     }
 
-    /// Returns the version of the rules in force; 0 without any.
+    /// Returns the version of the rules in force, or 0 if there are none.
     pub(crate) fn rules_version(&self) -> SettingsVersion {
         self.table.borrow().as_ref().map_or(0, |table| table.version)
     }
 
-    /// Tells whether newer rules than those in force are known to exist.
+    /// Returns whether newer rules than those in force are known to exist.
     pub(crate) fn has_outdated_rules(&self) -> bool {
         self.newest_rules.get() > self.rules_version()
     }
 
-    /// Tells whether rules of a version would be newer than those in force.
+    /// Returns whether rules of a version would replace those in force.
     pub(crate) fn needs_rules(&self, version: SettingsVersion) -> bool {
         self.table.borrow().is_none() || version > self.rules_version()
     }
 
-    /// Puts rules in force, unless newer ones are. Returns whether it did.
+    /// Puts rules in force unless newer ones are. Returns whether it did.
     pub(crate) fn install_rules(&self, rules: EntryRules) -> bool {
         if !self.needs_rules(rules.version) {
             return false;
@@ -297,7 +298,7 @@
         true
     }
 
-    /// Tells the router which servers each service has.
+    /// Passes the servers of each service to the router.
     pub(crate) fn update_router_servers(&self) {
         let Some(table) = self.table() else { return };
         let local_data_centre = self.config().data_centre.clone();
@@ -330,7 +331,8 @@
         self.pushback.apply_pending(self);
     }
 
-    /// Has the router decide, and tells those who wait what it has decided.
+    /// Runs the router on an event and delivers its decisions to the requests that wait for
+    /// them.
     pub(crate) fn run_router(
         &self,
         event: impl FnOnce(&mut RouteCore, Duration) -> Vec<RouteAction>,
@@ -343,14 +345,14 @@
                 | RouteAction::Refuse { request, .. } => *request,
             };
             let waiter = self.waiters.borrow_mut().remove(&request);
-            // A caller who left meanwhile has told the router, so nobody is missed.
+            // A caller who has disconnected has already been reported to the router.
             if let Some(waiter) = waiter {
                 let _ = waiter.send(action);
             }
         }
     }
 
-    /// Asks the router something that decides nothing.
+    /// Queries or updates the router where no decision can follow.
     pub(crate) fn with_router<Output>(
         &self,
         query: impl FnOnce(&mut RouteCore, Duration) -> Output,
@@ -359,7 +361,7 @@
         query(&mut self.router.borrow_mut(), now)
     }
 
-    /// Waits for the router's next decision about a request.
+    /// Returns a receiver for the router's next decision about a request.
     pub(crate) fn await_decision(
         &self,
         request: RequestId,
@@ -369,7 +371,7 @@
         decision
     }
 
-    /// Forgets a request that waits for a decision.
+    /// Removes the registration of a request that waits for a decision.
     pub(crate) fn remove_waiter(&self, request: RequestId) {
         self.waiters.borrow_mut().remove(&request);
     }
