--- a/crates/flaxtide-entry/src/error.rs
+++ b/crates/flaxtide-entry/src/error.rs
@@ -1,4 +1,4 @@
-//! Why an instance doesn't start.
+//! Errors that keep an instance from starting.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,43 +6,47 @@
 
 use derive_more::{Display, Error};
 
-/// Why an entry instance doesn't start.
+/// An error that keeps an entry instance from starting.
 #[derive(Debug, Display, Error)]
 pub enum EntryError {
     /// The instance file can't be read.
     #[display("{}: {cause}; check the path and its permissions", path.display())]
     ReadConfig {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What happened.
+        /// The error of the operating system.
         #[error(source)]
         cause: io::Error,
     },
-    /// The instance file isn't right.
+    /// The instance file is invalid.
     #[display("{}: {message}", path.display())]
     BadConfig {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// The line and the error in it.
         message: String,
     },
-    /// It can't listen.
-    #[display("can't listen for {purpose} on {address}: {cause}; is it in use?")]
+    /// A listener can't be opened.
+    #[display(
+        "failed to listen for {purpose} on {address}: {cause}; check whether the address is in use"
+    )]
     Listen {
-        /// For whom.
+        /// The clients that the listener is for.
         purpose: &'static str,
-        /// Where.
+        /// The address to listen on.
         address: SocketAddr,
-        /// What happened.
+        /// The error of the operating system.
         #[error(source)]
         cause: io::Error,
     },
     /// A thread or the runtime can't be started.
-    #[display("can't start {duty}: {cause}; check the limits of the process")]
+    #[display(
+        "failed to start {component}: {cause}; check the resource limits of the process"
+    )]
     Spawn {
-        /// What for.
-        duty: &'static str,
-        /// What happened.
+        /// The thread, or the runtime.
+        component: &'static str,
+        /// The error of the operating system.
         #[error(source)]
         cause: io::Error,
     },
--- a/crates/flaxtide-entry/src/instance.rs
+++ b/crates/flaxtide-entry/src/instance.rs
@@ -1,4 +1,4 @@
-//! An entry instance: its threads, their start and their end.
+//! An entry instance: its threads, from start to stop.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -35,56 +35,56 @@
     SignalEvent, handle_signals, register_signals, reload_config, watch_signals,
 };
 
-/// The length of the ring from the feed threads.
+/// The capacity of the queue from the feed threads to the traffic thread.
 const FEED_QUEUE_LEN: usize = 64;
 
-/// The length of the ring from the signal thread.
+/// The capacity of the queue from the signal thread.
 const SIGNAL_QUEUE_LEN: usize = 8;
 
-/// How often requests that wait are looked at, whatever happens.
-const TICK: Duration = Duration::from_millis(100);
+/// The longest time between two checks of waiting requests and other timed state.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often idle connections and the instance file are looked at, in ticks.
+/// How often idle connections and the instance file are checked, in ticks.
 const TICKS_PER_ROUND: u64 = 5;
 
-/// The stack of a thread that does one small duty.
+/// The stack size of a thread with one small task.
 const WORKER_STACK_BYTES: usize = 256 * 1024;
 
-/// An entry instance of the traffic path.
+/// An entry instance, which serves callers.
 pub struct EntryInstance {
-    /// Where the instance file is.
+    /// The path of the instance file.
     path: PathBuf,
-    /// What it says.
+    /// The content of the instance file.
     config: EntryConfig,
-    /// The words of requests and answers.
+    /// Translates the headers of requests and responses.
     dialect: Arc<dyn WireDialect>,
-    /// What the platform tells.
+    /// Reads the rules and the server list from the platform.
     feed: Arc<dyn PlatformFeed>,
-    /// Where duties are done that one instance has for all, if there are any.
+    /// Carries out the duties at the platform; `None` if the instance has no duties.
     duties: Option<Arc<dyn DutyPlatform>>,
     /// The clock of the traffic thread.
     clock: MilliClock,
-    /// The ring of signals: where they come in, and where they are obeyed.
+    /// Both ends of the queue of signals.
     signals: (Sender<SignalEvent>, Receiver<SignalEvent>),
 }
 
 /// Stops an instance that runs on another thread, as SIGTERM would.
 #[derive(Debug, Clone)]
 pub struct StopHandle {
-    /// The ring of signals.
+    /// The sending end of the queue of signals.
     signals: Sender<SignalEvent>,
 }
 
 impl StopHandle {
-    /// Has the instance stop in order. It goes on until its requests are answered.
+    /// Asks the instance to stop gracefully. It runs until its open requests have ended.
     pub fn stop(&self) {
-        // An instance whose ring is full or gone is stopping already.
+        // If the queue is full or closed, the instance is already stopping.
         let _ = self.signals.try_send(SignalEvent::Stop);
     }
 }
 
 impl EntryInstance {
-    /// Makes an instance that hasn't started.
+    /// Creates an instance that hasn't started.
     #[must_use]
     pub fn new(
         path: PathBuf,
@@ -103,41 +103,41 @@
         }
     }
 
-    /// Has the traffic thread follow another clock, such as one that a test moves.
+    /// Sets the clock of the traffic thread, such as one that a test moves.
     #[must_use]
     pub fn with_clock(self, clock: MilliClock) -> Self {
         Self { clock, ..self }
     }
 
-    /// Has the instance stand for the duties that one instance has for all.
+    /// Makes the instance a candidate for the duties that one instance carries out for all.
     #[must_use]
     pub fn with_duties(self, duties: Arc<dyn DutyPlatform>) -> Self {
         Self { duties: Some(duties), ..self }
     }
 
-    /// Returns what stops the instance.
+    /// Returns a handle that stops the instance.
     #[must_use]
     pub fn stop_handle(&self) -> StopHandle {
         StopHandle { signals: self.signals.0.clone() }
     }
 
-    /// Serves callers on this thread until a signal has stopped it.
+    /// Serves callers on the current thread until a signal has stopped the instance.
     ///
     /// # Errors
     ///
-    /// Returns the fault if it can't listen on its addresses or start its threads.
+    /// Returns an error if the instance can't listen on its addresses or start its threads.
     pub fn run(self) -> Result<(), EntryError> {
         let runtime = Builder::new_current_thread()
             .enable_all()
             .build()
-            .map_err(|cause| EntryError::Spawn { duty: "the runtime", cause })?;
+            .map_err(|cause| EntryError::Spawn { component: "the runtime", cause })?;
         spawn_signals(self.signals.0.clone())?;
         let served = LocalSet::new().block_on(&runtime, self.serve());
         flush_log();
         served
     }
 
-    /// Serves callers until a signal has stopped it.
+    /// Starts the threads and serves callers until a signal has stopped the instance.
     async fn serve(self) -> Result<(), EntryError> {
         let Self {
             path,
@@ -157,7 +157,7 @@
             "started"
         );
         let metrics = Arc::new(EntryMetrics::new());
-        let shared = Arc::new(SharedRules::default());
+        let shared_rules = Arc::new(SharedRules::default());
         let (events, feed_events) = channel(FEED_QUEUE_LEN);
         let (link, fleet_requests) = FleetLink::new();
         let list = Arc::new(ServerListLog::new(config.leave_within));
@@ -185,12 +185,19 @@
                 metrics,
             })?;
         }
-        let fleet = open_fleet(&config, &shared, &list, &events, &metrics)?;
+        let fleet = open_fleet(&config, &shared_rules, &list, &events, &metrics)?;
         let peer_bytes = fleet.bytes();
-        let board = start_duties(&config, duties, &fleet, &link, &metrics)?;
+        let shared_duties = start_duties(&config, duties, &fleet, &link, &metrics)?;
         spawn("the fleet thread", move || fleet.run(&fleet_requests))?;
-        let state =
-            TrafficState::new(config, clock, dialect, metrics, link, source, board);
+        let state = TrafficState::new(
+            config,
+            clock,
+            dialect,
+            metrics,
+            link,
+            source,
+            shared_duties,
+        );
         let state = Rc::new(state);
         tokio::task::spawn_local(accept_callers(state.clone(), callers));
         tokio::task::spawn_local(serve_probes(state.clone(), ready));
@@ -199,7 +206,7 @@
         tokio::task::spawn_local(handle_feed_events(
             state.clone(),
             feed,
-            shared,
+            shared_rules,
             feed_events,
         ));
         let maintenance =
@@ -218,20 +225,22 @@
     bind_listener(address).map_err(|cause| EntryError::Listen { purpose, address, cause })
 }
 
-/// Starts the thread of a duty.
+/// Starts the thread that `component` names, such as "the log thread".
 fn spawn(
-    duty: &'static str,
+    component: &'static str,
     run: impl FnOnce() + Send + 'static,
 ) -> Result<(), EntryError> {
-    let name = duty.trim_start_matches("the ").trim_end_matches(" thread");
+    let name = component.trim_start_matches("the ").trim_end_matches(" thread");
     let thread = thread::Builder::new()
         .name(name.into())
         .stack_size(WORKER_STACK_BYTES);
     let spawned = thread.spawn(run);
-    spawned.map(drop).map_err(|cause| EntryError::Spawn { duty, cause })
+    spawned
+        .map(drop)
+        .map_err(|cause| EntryError::Spawn { component, cause })
 }
 
-/// Starts the thread of the duties that one instance has for all, if there are any.
+/// Starts the duties thread, if the instance has duties.
 fn start_duties(
     config: &EntryConfig,
     platform: Option<Arc<dyn DutyPlatform>>,
@@ -242,32 +251,33 @@
     let (Some(duties), Some(platform)) = (config.duties.clone(), platform) else {
         return Ok(None);
     };
-    let board = Arc::new(SharedDuties::new(duties.usage_window));
-    fleet.set_usage_exchange(board.clone());
+    let shared_duties = Arc::new(SharedDuties::new(duties.usage_window));
+    fleet.set_usage_exchange(shared_duties.clone());
     let (link, metrics) = (link.clone(), metrics.clone());
-    let thread = DutyThread::new(config, duties, platform, board.clone(), link, metrics);
+    let thread =
+        DutyThread::new(config, duties, platform, shared_duties.clone(), link, metrics);
     spawn("the duties thread", move || thread.run())?;
-    Ok(Some(board))
+    Ok(Some(shared_duties))
 }
 
 /// Starts the thread that waits for signals.
 fn spawn_signals(events: Sender<SignalEvent>) -> Result<(), EntryError> {
-    let duty = "the signal thread";
+    let component = "the signal thread";
     let signals =
-        register_signals().map_err(|cause| EntryError::Spawn { duty, cause })?;
-    spawn(duty, move || watch_signals(signals, &events))
+        register_signals().map_err(|cause| EntryError::Spawn { component, cause })?;
+    spawn(component, move || watch_signals(signals, &events))
 }
 
 /// Starts the thread that follows a topic.
 fn spawn_feed(follower: TopicFollower) -> Result<(), EntryError> {
-    let duty = match follower.topic {
+    let component = match follower.topic {
         FeedTopic::Rules => "the rules thread",
         FeedTopic::Servers => "the servers thread",
     };
-    spawn(duty, move || follow_topic(&follower))
+    spawn(component, move || follow_topic(&follower))
 }
 
-/// Looks, now and then, at what time alone changes.
+/// Runs the periodic tasks: timed decisions, expiry, retries and metrics.
 async fn run_maintenance(
     state: Rc<TrafficState>,
     path: PathBuf,
@@ -278,7 +288,7 @@
     let mut ticks = 0u64;
     let mut jumps = JumpDetector::new(state.now());
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         jumps.tick(&state);
         ticks += 1;
         if state.with_router(|core, _| core.has_waiting_requests()) {
@@ -292,9 +302,9 @@
         publish_to_peers(&state, &state.fleet, &events);
         if ticks.is_multiple_of(TICKS_PER_ROUND) {
             expire_and_reload(&state, &path);
-            if let Some(board) = &state.duties {
-                board.sample_wall_time();
-                update_duty_view(&state, board);
+            if let Some(shared_duties) = &state.duties {
+                shared_duties.sample_wall_time();
+                update_duty_view(&state, shared_duties);
             }
             export_peer_bytes(&state.metrics, &peer_bytes);
             update_pushback_metrics(&state);
@@ -302,7 +312,7 @@
     }
 }
 
-/// Forgets servers that the platform hasn't listed for too long.
+/// Removes servers whose row has been missing for too long.
 fn expire_servers(state: &TrafficState) {
     if state.directory.borrow_mut().release_held(state.now()) {
         state.update_router_servers();
@@ -312,27 +322,31 @@
     }
     let gone = state.directory.borrow_mut().expire(state.now());
     for server in &gone {
-        log::info!(server; "server gone");
+        log::info!(server; "server removed: its row is missing");
     }
     if !gone.is_empty() {
         state.update_router_servers();
     }
 }
 
-/// Logs what the router has come to believe of servers.
+/// Logs changes in the router's view of the health of servers.
 fn log_server_health(state: &TrafficState) {
-    for note in state.with_router(|core, now| core.health_changes(now)) {
-        let event = if note.healthy { "server gets work" } else { "server gets no work" };
+    for change in state.with_router(|core, now| core.health_changes(now)) {
+        let event = if change.healthy {
+            "server eligible again"
+        } else {
+            "server not eligible: unhealthy"
+        };
         log::info!(
-            server = state.server_name(note.server).unwrap_or_default(),
-            failures_percent = (note.failure_rate * 100.0) as u64,
-            heard_ago_ms = note.heard_ago.as_millis() as u64;
+            server = state.server_name(change.server).unwrap_or_default(),
+            failures_percent = (change.failure_rate * 100.0) as u64,
+            heard_ago_ms = change.heard_ago.as_millis() as u64;
             "{event}"
         );
     }
 }
 
-/// Looks at idle connections and the instance file.
+/// Closes expired idle connections and reloads the instance file if it has changed.
 fn expire_and_reload(state: &TrafficState, path: &Path) {
     let now = state.now();
     state.connections.expire(now);
--- a/crates/flaxtide-entry/src/listen.rs
+++ b/crates/flaxtide-entry/src/listen.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: accepted, watched while idle, closed in order.
+//! Connections from callers: accepts them, times them out and closes them gracefully.
 
 use std::cell::Cell;
 use std::io;
@@ -24,33 +24,33 @@
 /// How many connections may wait to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// How long a listener that can't accept waits, such as while descriptors are short.
+/// The pause after a failed accept, for example when file descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Descriptors that are kept for everything but callers: servers, peers, the platform.
+/// File descriptors reserved for servers, peers and the platform.
 const RESERVED_DESCRIPTORS: u64 = 1200;
 
-/// The least buffer that the HTTP library takes for a head.
+/// The smallest head buffer that hyper accepts.
 const MIN_HEAD_BUFFER_BYTES: usize = 8192;
 
-/// What has happened on a connection.
+/// The activity on a connection.
 #[derive(Debug, Default)]
 struct ConnectionActivity {
-    /// When bytes last went either way.
+    /// When bytes were last read or written.
     last_io_at: Cell<Duration>,
-    /// Since when bytes of a head have come that isn't whole.
+    /// When the first bytes of an incomplete head arrived.
     head_started_at: Cell<Option<Duration>>,
-    /// How many requests are being answered.
+    /// The number of requests in progress.
     open_requests: Cell<u32>,
 }
 
-/// A connection that records what happens on it.
+/// A connection that records its activity.
 struct TrackedStream {
     /// The connection.
     stream: TcpStream,
-    /// What has happened.
+    /// Its activity.
     activity: Rc<ConnectionActivity>,
-    /// Tells the time.
+    /// Provides the clock.
     state: Rc<TrafficState>,
 }
 
@@ -113,11 +113,11 @@
     }
 }
 
-/// A request that is being answered on a connection.
+/// Counts a request on a connection as open until it is dropped.
 struct RequestGuard(Rc<ConnectionActivity>);
 
 impl RequestGuard {
-    /// Records that a request's head is whole.
+    /// Records that the head of a request is complete.
     fn new(activity: &Rc<ConnectionActivity>) -> Self {
         activity.head_started_at.set(None);
         activity.open_requests.set(activity.open_requests.get() + 1);
@@ -131,11 +131,11 @@
     }
 }
 
-/// Opens a listener.
+/// Binds a listener to an address.
 ///
 /// # Errors
 ///
-/// Returns the fault if the address can't be had.
+/// Returns an error if the address isn't available.
 pub(crate) fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -143,7 +143,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts callers until the process ends.
+/// Accepts connections from callers until the process ends.
 pub(crate) async fn accept_callers(state: Rc<TrafficState>, listener: TcpListener) {
     let open_connections = Rc::new(Cell::new(0u64));
     loop {
@@ -154,7 +154,7 @@
             .saturating_sub(RESERVED_DESCRIPTORS)
             .max(64);
         if open_connections.get() >= most {
-            log::warn!(open = open_connections.get(), most; "caller turned away: descriptors are short");
+            log::warn!(open = open_connections.get(), most; "connection rejected: too few file descriptors");
             continue;
         }
         open_connections.set(open_connections.get() + 1);
@@ -166,23 +166,23 @@
     }
 }
 
-/// Accepts one connection.
+/// Accepts one connection. Returns `None` after a pause if that fails.
 async fn accept(listener: &TcpListener) -> Option<TcpStream> {
     match listener.accept().await {
         Ok((stream, _)) => Some(stream),
         Err(cause) => {
-            log::warn!(cause = cause.to_string(); "connection not accepted");
+            log::warn!(cause = cause.to_string(); "failed to accept a connection");
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
 }
 
-/// Serves one connection of a caller until it ends.
+/// Serves one connection from a caller until it ends.
 async fn handle_connection(state: Rc<TrafficState>, stream: TcpStream) {
     let configured = stream.set_nodelay(true).and_then(|()| enable_keepalive(&stream));
     if let Err(cause) = configured {
-        log::debug!(cause = cause.to_string(); "caller's connection can't be prepared");
+        log::debug!(cause = cause.to_string(); "failed to configure a caller's connection");
         return;
     }
     let activity = Rc::new(ConnectionActivity::default());
@@ -212,7 +212,7 @@
     loop {
         let timer = tokio::time::sleep(limits.header_timeout);
         tokio::select! {
-            // A caller that breaks off, or sends what isn't HTTP, has ended its connection.
+            // On an error, such as invalid HTTP, the connection is closed too.
             _ = connection.as_mut() => return,
             () = state.phase_changed.notified() => {}
             () = timer => {}
@@ -234,8 +234,7 @@
     }
 }
 
-/// Answers the balancer, which asks whether the instance is ready, and whoever reads the
-/// metrics.
+/// Serves the load balancer's readiness checks and the metrics.
 pub(crate) async fn serve_probes(state: Rc<TrafficState>, listener: TcpListener) {
     loop {
         let Some(stream) = accept(&listener).await else { continue };
@@ -247,13 +246,13 @@
             });
             let connection =
                 http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // Whoever asks again opens another connection.
+            // The client opens another connection if this one fails.
             let _ = connection.await;
         });
     }
 }
 
-/// Answers one probe.
+/// Responds to a readiness check or a request for the metrics.
 fn probe_response(state: &TrafficState, path: &str) -> CallerResponse {
     if path == state.config().ready_path {
         let status = if state.is_ready() {
--- a/crates/flaxtide-entry/src/pushback.rs
+++ b/crates/flaxtide-entry/src/pushback.rs
@@ -1,4 +1,4 @@
-//! What servers say of themselves in their answers, and what peers have heard them say, on the
+//! What servers state about their limits in responses, and its exchange with peers; on the
 //! traffic thread.
 
 use std::cell::RefCell;
@@ -14,23 +14,23 @@
 
 use crate::state::TrafficState;
 
-/// Of how many servers it is kept that peers reported before the platform listed them, and how
-/// many reports wait for the fleet thread.
+/// The maximum number of reports kept for servers that aren't listed yet, and of reports that
+/// wait for the fleet thread.
 const MAX_KEPT_REPORTS: usize = 1024;
 
-/// What is exchanged with peers of what servers say.
+/// Applies the statements of servers and exchanges them with peers.
 #[derive(Debug, Default)]
 pub(crate) struct PushbackExchange {
-    /// Reports that the fleet thread hasn't taken, and when they were made.
+    /// Reports that the fleet thread hasn't accepted yet, and when they were made.
     unsent: RefCell<Vec<(Duration, PushbackReport)>>,
-    /// Reports of servers that aren't listed yet, and when they came.
+    /// Reports about servers that aren't listed yet, and when they were received.
     pending: RefCell<HashMap<FleetKey, (Duration, PushbackReport)>>,
-    /// When peers are told again of each server.
+    /// When each server's statement is due to be reported to peers again.
     schedule: RefCell<ReportSchedule>,
 }
 
 impl PushbackExchange {
-    /// Handles what a server states in an answer to a request that was sent at `sent`.
+    /// Applies what a server states in a response to a request that was sent at `sent`.
     pub(crate) fn apply_statement(
         &self,
         state: &TrafficState,
@@ -43,32 +43,32 @@
         }
         if statement.leaving && state.mark_leaving(server) {
             log_leaving(state, server, "server");
-            self.report_to_peers(state, server);
+            self.publish(state, server);
         }
-        let note = state
+        let change = state
             .with_router(|core, now| core.record_statement(server, statement, sent, now));
-        if let Some(span) = note.and_then(|note| note.new_backoff) {
-            log_backoff(state, server, span);
+        if let Some(duration) = change.and_then(|change| change.new_backoff) {
+            log_backoff(state, server, duration);
         }
         let due = self.schedule.borrow().is_due(server, statement.rate, state.now());
-        match note.filter(|note| note.rate_changed) {
+        match change.filter(|change| change.rate_changed) {
             Some(StatementChange { rate, share, .. }) => {
                 log_rate(state, server, rate, share, "server");
-                self.report_to_peers(state, server);
+                self.publish(state, server);
             }
-            None if due => self.report_to_peers(state, server),
+            None if due => self.publish(state, server),
             None => {}
         }
     }
 
-    /// Handles what peers have heard servers say.
+    /// Applies reports from peers.
     pub(crate) fn apply_reports(&self, state: &TrafficState, reports: &[PushbackReport]) {
         for report in reports {
             self.apply_report(state, report, state.now());
         }
     }
 
-    /// Handles a report that came at `came`.
+    /// Applies a report that was received at `received_at`.
     fn apply_report(
         &self,
         state: &TrafficState,
@@ -80,26 +80,24 @@
             log_leaving(state, server.unwrap_or_default(), "peer");
         }
         let effect = server.and_then(|server| {
-            let heard = report.heard_at(received_at);
+            let heard_at = report.heard_at(received_at);
             state.with_router(|core, now| {
-                core.record_peer_rate(server, report.rate, heard, now)
+                core.record_peer_rate(server, report.rate, heard_at, now)
             })
         });
         match (server, effect) {
             (Some(server), Some(ReportEffect::Changed)) => {
                 log_rate(state, server, report.rate, None, "peer");
             }
-            // The server has told this instance something else since.
-            (Some(server), Some(ReportEffect::Outdated)) => {
-                self.report_to_peers(state, server)
-            }
+            // This instance has a newer statement of the server, which the peer lacks.
+            (Some(server), Some(ReportEffect::Outdated)) => self.publish(state, server),
             (Some(_), Some(ReportEffect::Known)) => {}
             _ => self.keep_pending(*report, received_at),
         }
     }
 
-    /// Keeps a report until its server is listed. The oldest goes if there are too many: its server
-    /// may have left before this instance started.
+    /// Keeps a report until its server is listed. If there are too many, the oldest is dropped:
+    /// its server may have left before this instance started.
     fn keep_pending(&self, report: PushbackReport, received_at: Duration) {
         let mut pending = self.pending.borrow_mut();
         pending.insert(report.server, (received_at, report));
@@ -110,14 +108,14 @@
         }
     }
 
-    /// Applies the reports of servers that are listed by now.
+    /// Applies the reports about servers that have been listed since.
     pub(crate) fn apply_pending(&self, state: &TrafficState) {
         for (received_at, report) in self.pending.take().into_values() {
             self.apply_report(state, &report, received_at);
         }
     }
 
-    /// Tells the fleet thread what it hasn't taken. To be called often.
+    /// Retries unsent reports. Called periodically.
     pub(crate) fn maintain(&self, state: &TrafficState) {
         for (at, report) in self.unsent.take() {
             self.send(state, at, report);
@@ -125,20 +123,21 @@
         self.schedule.borrow_mut().expire(state.now());
     }
 
-    /// Tells peers what a server has said.
-    fn report_to_peers(&self, state: &TrafficState, server: ServerId) {
+    /// Publishes the latest statement of a server to peers.
+    fn publish(&self, state: &TrafficState, server: ServerId) {
         let known = state.with_router(|core, _| core.stated_rate(server));
-        let (Some(key), Some((rate, heard))) = (state.server_key(server), known) else {
+        let (Some(key), Some((rate, heard_at))) = (state.server_key(server), known)
+        else {
             return;
         };
         let stated = rate.map_or(StatedRate::Unlimited, StatedRate::Limited);
         self.schedule.borrow_mut().record_sent(server, stated, state.now());
         let leaving = state.is_leaving(server);
         let report = PushbackReport { server: key, rate, age_ms: 0, leaving };
-        self.send(state, heard, report);
+        self.send(state, heard_at, report);
     }
 
-    /// Hands a report to the fleet thread, or keeps it until it takes more.
+    /// Passes a report to the fleet thread, or keeps it for later if its queue is full.
     fn send(&self, state: &TrafficState, at: Duration, report: PushbackReport) {
         if !state.fleet.report_pushback(report, &state.clock, at) {
             let mut unsent = self.unsent.borrow_mut();
@@ -149,7 +148,7 @@
     }
 }
 
-/// Shows how many servers ask for less.
+/// Updates the metrics of servers that push back.
 pub(crate) fn update_pushback_metrics(state: &TrafficState) {
     let count = state.with_router(|core, now| core.count_pushback(now));
     for (kind, count) in [("limited", count.limited), ("resting", count.backing_off)] {
@@ -157,29 +156,29 @@
     }
 }
 
-/// Logs that a server says that it leaves.
+/// Logs that a server announces that it is leaving.
 fn log_leaving(state: &TrafficState, server: ServerId, source: &'static str) {
     let name = state.server_name(server).unwrap_or_default();
-    log::info!(server = name, source; "server says that it leaves");
+    log::info!(server = name, source; "server is leaving");
 }
 
-/// Logs that a server wants nothing from this instance for a while.
-fn log_backoff(state: &TrafficState, server: ServerId, span: Duration) {
+/// Logs that a server asks not to be sent requests for a while.
+fn log_backoff(state: &TrafficState, server: ServerId, duration: Duration) {
     let name = state.server_name(server).unwrap_or_default();
-    log::info!(server = name, rest_ms = span.as_millis() as u64; "server asks for rest");
+    log::info!(server = name, rest_ms = duration.as_millis() as u64; "server asks for backoff");
 }
 
-/// Logs what rate a server states.
+/// Logs the request rate that a server states; -1 for none.
 fn log_rate(
     state: &TrafficState,
     server: ServerId,
     rate: Option<RequestRate>,
-    part: Option<f64>,
+    share: Option<f64>,
     source: &'static str,
 ) {
     log::info!(
         server = state.server_name(server).unwrap_or_default(), source,
-        rate = rate.map_or(-1.0, RequestRate::per_second), part = part.unwrap_or(-1.0);
-        "server states"
+        rate = rate.map_or(-1.0, RequestRate::per_second), part = share.unwrap_or(-1.0);
+        "server stated a request rate"
     );
 }
--- a/crates/flaxtide-entry/src/quarantine.rs
+++ b/crates/flaxtide-entry/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the servers that run them, as this instance and its peers have seen.
+//! Requests that crash backend servers, as seen by this instance and its peers.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -9,42 +9,43 @@
 use crate::exchange::CallerRequest;
 use crate::state::TrafficState;
 
-/// How long an instance that starts waits for its peers to tell which requests crash servers.
-/// Peers in reach do so within a round of heartbeats; without any it serves all the same.
+/// How long a starting instance waits for its peers' crash logs. Reachable peers send them
+/// within a round of heartbeats; if none does, the instance serves all the same.
 const PEER_SYNC_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How many groups of reports wait for the fleet thread at most, which takes hundreds a second.
+/// The maximum number of groups of reports that wait for the fleet thread, which takes
+/// hundreds per second.
 const MAX_UNSENT: usize = 256;
 
-/// How often requests are forgotten that haven't come for long.
+/// How often requests are forgotten that haven't been seen for long.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Which requests crash servers, on the traffic thread.
+/// The requests that crash servers, as known to the traffic thread.
 #[derive(Debug, Default)]
 pub(crate) struct CallQuarantine {
-    /// What is known.
+    /// Suspected and quarantined requests.
     log: RefCell<CrashLog>,
-    /// Reports that the fleet thread hasn't taken, and when they were made.
+    /// Reports that the fleet thread hasn't accepted yet, and when they were made.
     unsent: RefCell<Vec<(Duration, Vec<CrashReport>)>>,
-    /// Whether a peer has told what it knows, or there are none.
+    /// Whether a peer has sent its crash log, or there are no peers.
     synced: Cell<bool>,
-    /// When it last looked for requests to be forgotten.
+    /// When old entries were last removed.
     last_expiry: Cell<Duration>,
 }
 
 impl CallQuarantine {
-    /// Starts with nothing known. `has_peers` tells whether there may be peers that know more.
+    /// Creates an empty quarantine. `has_peers` tells whether there may be peers that know more.
     pub(crate) fn new(has_peers: bool) -> Self {
         Self { synced: Cell::new(!has_peers), ..Self::default() }
     }
 
-    /// Returns whether a request is sent to no server.
+    /// Returns whether a request is quarantined, so that it must not be sent to any server.
     pub(crate) fn is_quarantined(&self, request: &CallerRequest) -> bool {
         let log = self.log.borrow();
         !log.is_empty() && log.is_quarantined(request.fingerprint())
     }
 
-    /// Records that a server ended while it ran a request.
+    /// Records that a server exited while it ran a request.
     pub(crate) fn record_crash(
         &self,
         state: &TrafficState,
@@ -63,12 +64,12 @@
             request = request.attempt_id.clone().unwrap_or_default(),
             server = state.server_name(server).unwrap_or_default(),
             fingerprint = format!("{fingerprint:032x}"), begun = progress.begun, quarantined;
-            "server ended"
+            "server exited while it ran a request"
         );
-        self.report_to_peers(state, report.into_iter().collect());
+        self.publish(state, report.into_iter().collect());
     }
 
-    /// Records that a server has answered a request well.
+    /// Records that a server has completed a request, which clears it of suspicion.
     pub(crate) fn clear(&self, state: &TrafficState, request: &CallerRequest) {
         if self.log.borrow().is_empty() {
             return;
@@ -76,19 +77,19 @@
         let fingerprint = request.fingerprint();
         let reports = self.log.borrow_mut().clear(fingerprint, state.now());
         if !reports.is_empty() {
-            log::info!(fingerprint = format!("{fingerprint:032x}"); "request cleared");
-            self.report_to_peers(state, reports);
+            log::info!(fingerprint = format!("{fingerprint:032x}"); "request no longer suspected");
+            self.publish(state, reports);
         }
     }
 
-    /// Records that a request in quarantine has come again.
+    /// Extends the quarantine of a request that has come again.
     pub(crate) fn renew(&self, state: &TrafficState, request: &CallerRequest) {
         let fingerprint = request.fingerprint();
         let reports = self.log.borrow_mut().renew(fingerprint, state.now());
-        self.report_to_peers(state, reports);
+        self.publish(state, reports);
     }
 
-    /// Handles what peers report.
+    /// Applies reports from peers.
     pub(crate) fn apply_reports(&self, state: &TrafficState, reports: &[CrashReport]) {
         let now = state.now();
         for report in reports {
@@ -97,17 +98,17 @@
         self.update_metrics(state);
     }
 
-    /// Records whether a peer has told what it knows.
+    /// Records whether a peer has sent its crash log. Never reset.
     pub(crate) fn set_synced(&self, synced: bool) {
         self.synced.set(self.synced.get() || synced);
     }
 
-    /// Returns whether it is known which requests crash servers, as far as any peer could tell.
+    /// Returns whether the peers' crash logs have arrived or are no longer waited for.
     pub(crate) fn is_synced(&self, now: Duration) -> bool {
         self.synced.get() || now >= PEER_SYNC_TIMEOUT
     }
 
-    /// Tells the fleet thread what it hasn't taken, and forgets what is old. To be called often.
+    /// Retries unsent reports and removes old entries. Called periodically.
     pub(crate) fn maintain(&self, state: &TrafficState) {
         for (at, reports) in self.unsent.take() {
             self.send(state, at, reports);
@@ -120,15 +121,15 @@
         }
     }
 
-    /// Tells peers.
-    fn report_to_peers(&self, state: &TrafficState, reports: Vec<CrashReport>) {
+    /// Publishes reports to peers.
+    fn publish(&self, state: &TrafficState, reports: Vec<CrashReport>) {
         if !reports.is_empty() {
             self.send(state, state.now(), reports);
             self.update_metrics(state);
         }
     }
 
-    /// Hands reports to the fleet thread, or keeps them until it takes more.
+    /// Passes reports to the fleet thread, or keeps them for later if its queue is full.
     fn send(&self, state: &TrafficState, at: Duration, reports: Vec<CrashReport>) {
         if !state.fleet.report_crashes(reports.clone(), &state.clock, at) {
             let mut unsent = self.unsent.borrow_mut();
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Shows how many requests are known.
+    /// Updates the metrics of suspected and quarantined requests.
     fn update_metrics(&self, state: &TrafficState) {
         let log = self.log.borrow();
         state.metrics.suspected.set(log.suspect_count() as i64);
--- a/crates/flaxtide-entry/src/stop.rs
+++ b/crates/flaxtide-entry/src/stop.rs
@@ -1,4 +1,4 @@
-//! Signals: a planned stop, and a changed instance file.
+//! Signals: a planned stop, and a reload of the instance file.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -11,32 +11,32 @@
 use crate::config::EntryConfig;
 use crate::state::{ShutdownPhase, TrafficState};
 
-/// How long a stopping instance goes on as before, so that the balancer, which asks once a
-/// second and believes the second miss, has noticed.
+/// How long a stopping instance goes on serving as before. The load balancer checks readiness
+/// once a second and acts on the second failed check.
 const BALANCER_REACTION_TIME: Duration = Duration::from_millis(2300);
 
-/// A stream that starts later than this may not end before the process must.
+/// A stream that starts later than this after the signal may not end before the process must.
 const LAST_STREAM_START: Duration = Duration::from_millis(2800);
 
-/// A call that starts with less time than this before the process must end is refused.
+/// A request that starts less than this before the process must end is refused.
 pub(crate) const LAST_CALL_MARGIN: Duration = Duration::from_millis(2000);
 
-/// What is left of the time for a stop when the last requests are cut.
+/// The part of the time allowed for a stop that is left when the last requests are cut off.
 const STOP_MARGIN: Duration = Duration::from_millis(350);
 
-/// How often a stopping instance looks whether it is done.
+/// How often a stopping instance checks whether all requests have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a signal asks for.
+/// The action that a signal requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SignalEvent {
-    /// To stop.
+    /// Stop the instance.
     Stop,
-    /// To read the instance file anew.
+    /// Reload the instance file.
     Reload,
 }
 
-/// Waits for signals until nobody listens.
+/// Forwards signals until the receiver is dropped.
 pub(crate) fn watch_signals(mut signals: Signals, events: &Sender<SignalEvent>) {
     for signal in signals.forever() {
         let event =
@@ -47,16 +47,16 @@
     }
 }
 
-/// Registers for the signals of an instance.
+/// Registers the signal handlers of an instance.
 ///
 /// # Errors
 ///
-/// Returns the fault if they can't be had.
+/// Returns an error if the handlers can't be registered.
 pub(crate) fn register_signals() -> std::io::Result<Signals> {
     Signals::new([SIGTERM, SIGINT, SIGHUP])
 }
 
-/// Takes in signals; returns once the instance has stopped.
+/// Handles signals. Returns once the instance has stopped.
 pub(crate) async fn handle_signals(
     state: &Rc<TrafficState>,
     path: &Path,
@@ -68,14 +68,14 @@
     stop(state).await;
 }
 
-/// Reads the instance file anew, if it differs.
+/// Reloads the instance file, if it has changed.
 pub(crate) fn reload_config(state: &TrafficState, path: &Path, cause: &'static str) {
     match EntryConfig::read(path) {
         Ok(config) if config == **state.config.borrow() => {}
         Ok(config) => {
             *state.config.borrow_mut() = Rc::new(config);
             state.update_router_servers();
-            log::info!(cause; "instance file in force");
+            log::info!(cause; "instance file reloaded");
         }
         Err(fault) => {
             log::error!(cause, fault = fault.to_string(); "instance file rejected");
@@ -83,15 +83,15 @@
     }
 }
 
-/// Stops in order: not ready, then no kept connections, then nothing in flight.
+/// Stops gracefully: reports not ready, closes idle connections, then waits for open requests.
 async fn stop(state: &Rc<TrafficState>) {
     let start = state.now();
     let deadline = start + state.config().stop_within.saturating_sub(STOP_MARGIN);
-    log::info!(open = state.open_calls.get() as u64; "stopping: not ready any more");
+    log::info!(open = state.open_calls.get() as u64; "stopping: readiness withdrawn");
     state.set_phase(ShutdownPhase::Leaving);
     state.fleet.leave();
-    if let Some(board) = &state.duties {
-        board.stop();
+    if let Some(duties) = &state.duties {
+        duties.stop();
     }
     tokio::time::sleep(BALANCER_REACTION_TIME).await;
     state.set_phase(ShutdownPhase::Closing);
@@ -101,7 +101,8 @@
         while state.open_calls.get() > 0 && state.now() < deadline {
             tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
-        // Answers leave the sockets. What comes meanwhile is refused, and so isn't cut.
+        // Gives sockets time to send the last responses. Requests that arrive meanwhile are
+        // refused, so none is cut off.
         state.stop_deadline.set(Some(state.now()));
         tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         if state.open_calls.get() == 0 || state.now() >= deadline {
