--- a/crates/flaxtide-entry/src/config.rs
+++ b/crates/flaxtide-entry/src/config.rs
@@ -1,4 +1,4 @@
-//! The instance file of the traffic path.
+//! The instance file, which configures an entry instance.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
@@ -12,56 +12,56 @@
 
 use crate::error::EntryError;
 
-/// What an entry instance is told at its start, and again when the file changes.
+/// The configuration of an entry instance, read at its start and whenever the file changes.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryConfig {
     /// The instance's name.
     pub name: InstanceName,
-    /// The data centre in which it stands.
+    /// The data centre of the instance. Servers in the same one are local.
     pub data_centre: DataCentreName,
-    /// The region around it, for the log.
+    /// The region of the data centre; only logged.
     #[serde(default)]
     pub region: RegionName,
-    /// Its own address, from which it calls.
+    /// The instance's own address, used for outgoing calls.
     pub ip: IpAddr,
-    /// Where callers reach it.
+    /// The address on which callers are served.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// The address on which the load balancer checks readiness.
     pub ready: SocketAddr,
-    /// On which path the balancer asks.
+    /// The path of the readiness check.
     pub ready_path: String,
-    /// Where its peers reach it.
+    /// The address on which peers are served.
     pub fleet: SocketAddr,
-    /// Where it shows its metrics.
+    /// The address on which metrics are served.
     pub metrics: SocketAddr,
-    /// Instances that may be there.
+    /// Peers to contact at the start; they may not be running.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Where the platform's store is.
+    /// The address of the platform's store.
     pub platform: SocketAddr,
     /// How long a planned stop may take.
     #[serde(deserialize_with = "deserialize_span")]
     pub stop_within: Duration,
-    /// Within what time a leaving server may get no more work.
+    /// The time within which a leaving server must get no more requests.
     #[serde(deserialize_with = "deserialize_span")]
     pub leave_within: Duration,
-    /// Fleets of fewer instances read the list of servers each for itself.
+    /// With fewer instances than this, each reads the server list from the platform itself.
     #[serde(default = "usual_alone_below")]
     pub read_alone_below: usize,
-    /// The duties that one instance has for all; nothing where there are none.
+    /// The duties that one instance carries out for all; `None` if there are none.
     #[serde(default)]
     pub duties: Option<DutyConfig>,
-    /// How many repeats each request pays for, over all instances.
+    /// How many retries each request adds to the retry budget shared by all instances.
     pub retry_ratio: f64,
-    /// How many repeats in ten seconds are free, over all instances.
+    /// How many retries in ten seconds all instances may make regardless of that budget.
     pub retry_slack: f64,
-    /// What is turned on the router; usually nothing.
+    /// Overrides of the router's defaults; usually none.
     #[serde(default)]
     pub router: RouteOptions,
-    /// The bytes of memory that the process may take, in megabytes.
+    /// The memory that the process may use, in megabytes.
     pub memory_mb: u64,
-    /// How many descriptors the process may open.
+    /// The number of file descriptors that the process may open.
     pub descriptors: u64,
 }
 
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the fault with its file, line and remedy.
+    /// Returns an error with the file, the line and a remedy.
     pub fn read(path: &Path) -> Result<Self, EntryError> {
         let text = std::fs::read_to_string(path)
             .map_err(|cause| EntryError::ReadConfig { path: path.to_owned(), cause })?;
@@ -87,7 +87,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what is wrong, with the line.
+    /// Returns a message with the line of the error.
     pub fn parse(text: &str) -> Result<Self, String> {
         let config: Self = serde_saphyr::from_str(text)
             .map_err(|cause| message_line(&cause.to_string()))?;
@@ -99,64 +99,64 @@
             .as_ref()
             .is_some_and(|duties| duties.usage_window.is_zero())
         {
-            return Err("`usage_window` must be longer than nothing, such as `5s`".into());
+            return Err("`usage_window` must be longer than zero, such as `5s`".into());
         }
         Ok(config)
     }
 }
 
-/// The duties that one instance has for all.
+/// The duties that one instance carries out for all.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DutyConfig {
-    /// Where the platform takes reports and orders.
+    /// The address at which the platform takes reports and orders.
     pub address: SocketAddr,
-    /// What is to be done; names that aren't known are left to others.
+    /// The tasks to carry out. Unknown names are ignored.
     pub tasks: Vec<String>,
-    /// For how long holders have to be kept apart.
+    /// The lease time, which separates two holders of the duties.
     #[serde(deserialize_with = "deserialize_span", default = "usual_lease")]
     pub lease: Duration,
-    /// The length of a window of usage.
+    /// The length of a usage window.
     #[serde(deserialize_with = "deserialize_span", default = "usual_window")]
     pub usage_window: Duration,
-    /// Within what time after its end the usage of a window is due.
+    /// The time after the end of a usage window within which its report is due.
     #[serde(deserialize_with = "deserialize_span", default = "usual_within")]
     pub usage_within: Duration,
 }
 
 impl DutyConfig {
-    /// The task to report usage.
+    /// The name of the task that reports usage.
     pub const USAGE: &str = "usage_report";
-    /// The task to order backend servers.
+    /// The name of the task that orders backend servers.
     pub const SCALING: &str = "autoscale";
 
-    /// Returns whether a task is to be done.
+    /// Returns whether a task is to be carried out.
     #[must_use]
     pub fn has_task(&self, task: &str) -> bool {
         self.tasks.iter().any(|known| known == task)
     }
 }
 
-/// Returns for how long holders are kept apart if nobody says.
+/// Returns the default of `lease`.
 fn usual_lease() -> Duration {
     Duration::from_secs(3)
 }
 
-/// Returns the usual length of a window.
+/// Returns the default of `usage_window`.
 fn usual_window() -> Duration {
     Duration::from_secs(5)
 }
 
-/// Returns within what time usage is due if nobody says.
+/// Returns the default of `usage_within`.
 fn usual_within() -> Duration {
     Duration::from_secs(10)
 }
 
-/// Below this size a reader for all saves less of the platform's calls than its own calls,
-/// which are more frequent, cost: about 100 in a minute against 20 an instance.
+/// The default of `read_alone_below`. In smaller fleets, a shared reader costs the platform more
+/// calls than it saves: it makes about 100 calls a minute, an instance by itself 20.
 const DEFAULT_READ_ALONE_BELOW: usize = 17;
 
-/// Returns the usual size of fleets without readers.
+/// Returns the default of `read_alone_below`.
 fn usual_alone_below() -> usize {
     DEFAULT_READ_ALONE_BELOW
 }
--- a/crates/flaxtide-entry/src/lib.rs
+++ b/crates/flaxtide-entry/src/lib.rs
@@ -1,14 +1,16 @@
-//! The traffic path of an entry instance: callers in, backend servers out.
+//! The data path of an entry instance: forwards callers' requests to backend servers.
 //!
-//! One thread carries the traffic, on a runtime of its own, and owns the router; the other
-//! duties have a thread each, and bounded rings join them:
+//! One thread serves the requests on a single-threaded runtime and owns the router. Every other
+//! task has a thread of its own. The threads communicate over bounded queues:
 //!
-//! - `traffic`: listens to callers, decides, talks to servers ([`EntryInstance`]);
-//! - `rules` and `servers`: follow what the platform tells ([`PlatformFeed`]);
-//! - `fleet`: talks with peers;
-//! - `log`: writes the log lines that the others have put into a ring.
+//! - `traffic`: accepts callers, routes requests and talks to servers ([`EntryInstance`]);
+//! - `rules` and `servers`: follow the rules and the server list ([`PlatformFeed`]);
+//! - `fleet`: communicates with peers;
+//! - `duties`: carries out what one instance does for all, if configured;
+//! - `signal`: waits for signals;
+//! - `log`: writes log lines.
 //!
-//! What the platform's words mean is not known here: an adapter implements
+//! The crate doesn't know the headers and formats of the platform; an adapter implements
 //! [`WireDialect`] and [`PlatformFeed`].
 
 mod backoff;
--- a/crates/flaxtide-entry/src/logging.rs
+++ b/crates/flaxtide-entry/src/logging.rs
@@ -1,7 +1,7 @@
-//! Logs as JSON lines on standard output.
+//! Logs JSON lines to standard output.
 //!
-//! Whoever logs puts a line into a bounded ring and goes on; one thread writes. Lines that
-//! find the ring full are counted, and the count is logged.
+//! Log calls put lines into a bounded queue and don't block; one thread writes them. Lines that
+//! don't fit into the queue are dropped and counted, and the count is logged.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -14,17 +14,17 @@
 use log::LevelFilter;
 use log::kv::{self, Key, Value, VisitSource};
 
-/// How many lines the ring holds: a second of the busiest instance.
+/// The capacity of the queue in lines: one second of the busiest instance.
 const QUEUE_LINES: usize = 4096;
 
-/// How long the writer gathers lines, so that it wakes up seldom.
+/// How long the writer collects lines before it writes them, so that it wakes up rarely.
 const BATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// A pipe from the logger into the ring.
+/// Writes the lines of the logger into the queue.
 struct QueueWriter {
-    /// The ring.
+    /// The queue.
     lines: Sender<Vec<u8>>,
-    /// How many lines found it full.
+    /// The number of lines dropped because the queue was full.
     dropped: Arc<AtomicU64>,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Starts logging. The level comes from `FLAXTIDE_LOG`, and is `info` without it.
+/// Starts logging. `FLAXTIDE_LOG` sets the level; the default is `info`.
 ///
 /// ```
 /// flaxtide_entry::init_entry_logging();
@@ -53,11 +53,11 @@
     let counted = dropped.clone();
     let writer = thread::Builder::new().name("log".into());
     if let Err(cause) = writer.spawn(move || write_lines(&queue, &counted)) {
-        eprintln!("no log: its thread can't be started: {cause}");
+        eprintln!("logging is off: failed to start its thread: {cause}");
         return;
     }
     let mut builder = Builder::from_env(Env::new().filter_or("FLAXTIDE_LOG", "info"));
-    // A peer that doesn't answer in time is an everyday event, told by membership.
+    // Time-outs of calls to peers are routine, and membership handles them.
     builder.filter_module("tarpc", LevelFilter::Off);
     builder.target(Target::Pipe(Box::new(QueueWriter { lines, dropped })));
     builder.format(|out, record| {
@@ -66,16 +66,16 @@
         line.push_str(&unix_millis().to_string());
         push_field(&mut line, "level", record.level().as_str());
         push_field(&mut line, "event", &record.args().to_string());
-        // A value that can't be shown is left out; the line is still of use.
+        // A value that can't be formatted is left out; the rest of the line is still useful.
         let _ = record.key_values().visit(&mut FieldVisitor(&mut line));
         line.push_str("}\n");
         out.write_all(line.as_bytes())
     });
-    // Tests may start it more than once in a process.
+    // Fails if a test has already started logging in the same process.
     let _ = builder.try_init();
 }
 
-/// Writes the lines of a ring to standard output until the ring is closed.
+/// Writes the lines of the queue to standard output until the queue is closed.
 fn write_lines(queue: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
     let mut batch = Vec::new();
     while let Ok(line) = queue.recv() {
@@ -89,24 +89,24 @@
             );
             batch.extend(line.into_bytes());
         }
-        // Nobody is left to be told if standard output is gone.
+        // Without standard output, the error can't be reported anywhere.
         let _ = io::stdout().write_all(&batch);
         batch.clear();
     }
 }
 
-/// Waits until lines that were logged so far have been written.
+/// Waits until the lines logged so far have been written.
 pub(crate) fn flush_log() {
     thread::sleep(BATCH_DELAY + BATCH_DELAY / 2);
 }
 
-/// Returns the milliseconds since 1970, for people: nothing is decided by it.
+/// Returns the Unix time in milliseconds. It is shown in log lines only.
 fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     since.as_millis() as u64
 }
 
-/// Adds a field with a text to a line of JSON.
+/// Appends a text field to a JSON line.
 fn push_field(line: &mut String, key: &str, value: &str) {
     line.push_str(",\"");
     line.push_str(key);
@@ -117,7 +117,7 @@
     }
 }
 
-/// Adds the fields of a record to a line of JSON.
+/// Appends the fields of a log record to a JSON line.
 struct FieldVisitor<'a>(&'a mut String);
 
 impl<'kvs> VisitSource<'kvs> for FieldVisitor<'_> {
--- a/crates/flaxtide-entry/src/metrics.rs
+++ b/crates/flaxtide-entry/src/metrics.rs
@@ -5,72 +5,72 @@
     Opts, Registry, TextEncoder,
 };
 
-/// The upper ends of the buckets of latencies, in seconds: around the targets of classes.
+/// The upper bounds of the latency buckets in seconds, dense around the targets of classes.
 const LATENCY_BUCKETS: [f64; 11] =
     [0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0];
 
 /// The metrics of an instance.
 pub(crate) struct EntryMetrics {
-    /// Where they are registered.
+    /// The registry of all metrics.
     registry: Registry,
-    /// Ended requests by how they ended.
+    /// Ended requests, by outcome.
     pub(crate) ends: IntCounterVec,
-    /// Whole answers that missed their target, by what was late.
+    /// Complete responses that missed their target, by cause.
     pub(crate) late: IntCounterVec,
-    /// Requests sent to servers, by why the server was chosen.
+    /// Requests sent to servers, by the reason for the choice of the server.
     pub(crate) dispatches: IntCounterVec,
     /// Faults of servers, by kind.
     pub(crate) faults: IntCounterVec,
-    /// Connections to servers, by whether they were new.
+    /// Connections used for requests, by whether they were new.
     pub(crate) connections: IntCounterVec,
     /// Calls to the platform, by topic and result.
     pub(crate) platform_calls: IntCounterVec,
-    /// Dependencies, 1 while they answer.
+    /// Whether each dependency answers: 1 or 0.
     pub(crate) dependencies: IntGaugeVec,
-    /// Requests in the instance.
+    /// Requests in progress.
     pub(crate) open_calls: IntGauge,
     /// The version of the rules in force.
     pub(crate) rules_version: IntGauge,
-    /// Versions of the rules that are in memory.
+    /// Versions of the rules in memory.
     pub(crate) rules_kept: IntGauge,
-    /// Copies of the rules exchanged with peers, by whether they were received or given.
+    /// Copies of the rules exchanged with peers, by whether they were received or sent.
     pub(crate) rules_copies: IntCounterVec,
     /// Bytes exchanged with peers, by direction.
     pub(crate) peer_bytes: IntGaugeVec,
     /// Servers that may be used.
     pub(crate) servers: IntGauge,
-    /// Servers that started again under the name that they had.
+    /// Servers that restarted under the same name.
     pub(crate) servers_started_again: IntCounter,
-    /// Jumps of time.
+    /// Clock jumps.
     pub(crate) time_jumps: IntCounter,
-    /// The era of the platform's store, by what was read of it last.
+    /// The era of the platform's store as of the last read.
     pub(crate) store_era: IntGauge,
-    /// Rows of servers that weren't understood.
+    /// Rows of servers that couldn't be parsed.
     pub(crate) rows_ignored: IntCounter,
-    /// Servers that ask for less, by what they ask for.
+    /// Servers that push back, by whether they state a rate or ask for backoff.
     pub(crate) pushback: IntGaugeVec,
-    /// Answers that state a rate which isn't understood.
+    /// Responses whose stated rate couldn't be parsed.
     pub(crate) statements_ignored: IntCounter,
-    /// Servers that ended under a request of this instance.
+    /// Servers that exited while they ran a request of this instance.
     pub(crate) crashes: IntCounter,
-    /// Requests that ran on servers that ended.
+    /// Requests suspected of crashing servers.
     pub(crate) suspected: IntGauge,
-    /// Requests that are sent to no server, as servers end under them.
+    /// Quarantined requests, which are sent to no server.
     pub(crate) quarantined: IntGauge,
-    /// The fencing number under which this instance holds the duties; 0 if it doesn't.
+    /// The fencing token under which this instance holds the duties; 0 if it doesn't.
     pub(crate) duty_fence: IntGauge,
-    /// Instances seen alive.
+    /// Live instances, as this one sees them.
     pub(crate) instances: IntGauge,
-    /// Seconds to the first event of a stream, or to an answer.
+    /// Seconds to the first event of a stream, or to a whole response.
     pub(crate) latency: Histogram,
 }
 
-/// One of what a gauge counts, from its making to its end.
+/// Counts one item in a gauge until it is dropped.
 #[derive(Debug)]
 pub(crate) struct GaugeGuard(IntGauge);
 
 impl GaugeGuard {
-    /// Counts one more.
+    /// Increments the gauge.
     pub(crate) fn new(gauge: &IntGauge) -> Self {
         gauge.inc();
         Self(gauge.clone())
@@ -84,7 +84,7 @@
 }
 
 impl EntryMetrics {
-    /// Registers all metrics.
+    /// Creates and registers all metrics.
     pub(crate) fn new() -> Self {
         let latency = HistogramOpts::new(
             "flaxtide_entry_latency_seconds",
@@ -141,7 +141,7 @@
         metrics
     }
 
-    /// Registers every metric.
+    /// Adds every metric to the registry.
     fn register(&self) {
         let collectors: [Box<dyn prometheus::core::Collector>; 25] = [
             Box::new(self.ends.clone()),
@@ -177,36 +177,36 @@
         }
     }
 
-    /// Writes all metrics in the text format of Prometheus.
+    /// Encodes all metrics in the text format of Prometheus.
     pub(crate) fn render(&self) -> Vec<u8> {
         let mut text = vec![];
         let families = self.registry.gather();
         if let Err(cause) = TextEncoder::new().encode(&families, &mut text) {
-            log::warn!(cause = cause.to_string(); "metrics can't be written");
+            log::warn!(cause = cause.to_string(); "failed to encode metrics");
         }
         text
     }
 }
 
-/// Makes a counter.
+/// Creates a counter.
 fn counter(name: &str, help: &str) -> IntCounter {
     let name = format!("flaxtide_entry_{name}_total");
     IntCounter::new(name, help).expect("the name of a metric is valid")
 }
 
-/// Makes a counter with labels.
+/// Creates a counter with labels.
 fn counters(name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
     let opts = Opts::new(format!("flaxtide_entry_{name}_total"), help);
     IntCounterVec::new(opts, labels).expect("the name of a metric is valid")
 }
 
-/// Makes a gauge.
+/// Creates a gauge.
 fn gauge(name: &str, help: &str) -> IntGauge {
     let name = format!("flaxtide_entry_{name}");
     IntGauge::new(name, help).expect("the name of a metric is valid")
 }
 
-/// Makes a gauge with labels.
+/// Creates a gauge with labels.
 fn gauges(name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
     let opts = Opts::new(format!("flaxtide_entry_{name}"), help);
     IntGaugeVec::new(opts, labels).expect("the name of a metric is valid")
