--- a/crates/flaxtide-entry/tests/directory.rs
+++ b/crates/flaxtide-entry/tests/directory.rs
@@ -1,13 +1,13 @@
-//! Until when servers are used whose rows are missing.
+//! How long servers stay in use after their row has disappeared.
 
 use std::time::Duration;
 
 use flaxtide_entry::{ServerDirectory, ServerEntry};
 
-/// Within what time a server that leaves must get no more work.
+/// The time within which a leaving server must get no more requests.
 const LEAVE_WITHIN: Duration = Duration::from_secs(3);
 
-/// Returns a time.
+/// Returns a duration of milliseconds.
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
@@ -15,11 +15,11 @@
 /// Returns a directory with ten servers.
 fn directory() -> ServerDirectory {
     let mut directory = ServerDirectory::new(LEAVE_WITHIN);
-    for place in 0..10 {
+    for idx in 0..10 {
         let entry = ServerEntry {
-            name: format!("i-{place}"),
+            name: format!("i-{idx}"),
             service: "pool".into(),
-            address: ([10, 0, 0, place], 80).into(),
+            address: ([10, 0, 0, idx], 80).into(),
             data_centre: "north".into(),
             slots: 8,
             leaving: false,
@@ -31,9 +31,14 @@
     directory
 }
 
-/// Lets time pass in ticks while the platform is out from `from` to `to`, as an instance notes it
-/// for which others read. Returns when a server was gone.
-fn gone_at(directory: &mut ServerDirectory, from: u64, to: u64) -> Option<u64> {
+/// Simulates ticks of 100 ms with an outage of the platform between `from` and `to`, which is
+/// recorded at each tick, as on an instance that reads the list from peers. Returns when a
+/// server was removed.
+fn removed_after_outage(
+    directory: &mut ServerDirectory,
+    from: u64,
+    to: u64,
+) -> Option<u64> {
     for now in (from..from + 20_000).step_by(100) {
         if now < to {
             directory.record_outage(ms(now));
@@ -45,52 +50,51 @@
     None
 }
 
-/// Seen: a server's row went 0.9 s before the store was out, and the server got work for as long
-/// as the outage lasted, 4.2 s after it had said that it leaves. Cause: the outage was noted again
-/// and again, and each time all missing rows were judged as if they had gone during it. Proof:
-/// the instance's log, and this.
+/// A row disappeared 0.9 s before an outage began, but its server got requests for the whole
+/// outage, up to 4.2 s after it had announced that it was leaving: each record of the outage
+/// treated all missing rows as having disappeared during it.
 #[test]
-fn a_row_that_went_before_an_outage_is_gone_during_it() {
+fn a_server_whose_row_disappeared_before_an_outage_is_removed_during_it() {
     let mut directory = directory();
     directory.remove("i-0", ms(17_200));
-    let gone = gone_at(&mut directory, 18_100, 25_000).unwrap();
-    assert!(gone <= 17_200 + 3_000, "gone at {gone}");
+    let removed_at = removed_after_outage(&mut directory, 18_100, 25_000).unwrap();
+    assert!(removed_at <= 17_200 + 3_000, "removed at {removed_at}");
 }
 
-/// The same in a second outage that follows a first one.
+/// The same, in a second outage after an earlier one.
 #[test]
-fn a_row_that_went_between_two_outages_is_gone_in_the_second() {
+fn a_server_whose_row_disappeared_between_two_outages_is_removed_in_the_second() {
     let mut directory = directory();
-    assert_eq!(gone_at(&mut directory, 1_000, 4_000), None);
+    assert_eq!(removed_after_outage(&mut directory, 1_000, 4_000), None);
     directory.remove("i-0", ms(30_000));
-    let gone = gone_at(&mut directory, 30_900, 40_000).unwrap();
-    assert!(gone <= 30_000 + 3_000, "gone at {gone}");
+    let removed_at = removed_after_outage(&mut directory, 30_900, 40_000).unwrap();
+    assert!(removed_at <= 30_000 + 3_000, "removed at {removed_at}");
 }
 
 #[test]
-fn a_row_that_goes_in_an_outage_is_used_until_after_it() {
+fn a_server_whose_row_disappears_in_an_outage_stays_in_use_until_after_it() {
     let mut directory = directory();
     directory.record_outage(ms(10_000));
     directory.remove("i-0", ms(10_500));
-    let gone = gone_at(&mut directory, 10_600, 18_000).unwrap();
-    assert!(gone >= 18_000 + 2_000, "gone at {gone}");
+    let removed_at = removed_after_outage(&mut directory, 10_600, 18_000).unwrap();
+    assert!(removed_at >= 18_000 + 2_000, "removed at {removed_at}");
 }
 
-/// Suspected in a day on which a request reached an engine 171 ms too late: readers were restarted
-/// one after the other, so the list was looked at late, and the row that was found missing was
-/// still given the time of one that has just gone.
+/// While readers are restarted one after the other, the list is read late. If a row that is then
+/// found missing gets the grace time of one that has just disappeared, its server stays in use for
+/// too long: the suspected cause of a request that reached an engine 171 ms too late.
 #[test]
-fn a_row_that_is_found_missing_late_is_used_no_longer_for_that() {
+fn a_server_whose_row_is_found_missing_late_gets_no_longer_grace() {
     for unseen in (0..=2500).step_by(100) {
         let mut directory = directory();
-        let learnt = 20_000 + unseen;
-        directory.remove_unseen("i-0", ms(unseen), ms(learnt));
-        let gone = (learnt..learnt + 5_000)
+        let noticed_at = 20_000 + unseen;
+        directory.remove_unseen("i-0", ms(unseen), ms(noticed_at));
+        let removed_at = (noticed_at..noticed_at + 5_000)
             .find(|now| !directory.expire(ms(*now)).is_empty())
             .unwrap();
         assert!(
-            gone <= learnt.max(20_000 + 2_600),
-            "unseen for {unseen} ms, gone at {gone}"
+            removed_at <= noticed_at.max(20_000 + 2_600),
+            "unseen for {unseen} ms, removed at {removed_at}"
         );
     }
 }
--- a/crates/flaxtide-entry/tests/pauses.rs
+++ b/crates/flaxtide-entry/tests/pauses.rs
@@ -1,11 +1,11 @@
-//! When peers that had nothing to tell are asked again.
+//! Backoff for peers that couldn't answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use flaxtide_entry::PeerBackoff;
 
-/// The first pause.
+/// The first backoff.
 const FIRST: Duration = Duration::from_millis(400);
 
 /// Returns the address of a peer.
@@ -13,8 +13,8 @@
     ([10, 0, 0, number], 7000).into()
 }
 
-/// Returns how long a peer may not be asked.
-fn pause(backoff: &PeerBackoff, peer: SocketAddr, now: Duration) -> Duration {
+/// Returns how long it takes until a peer may be asked.
+fn remaining_backoff(backoff: &PeerBackoff, peer: SocketAddr, now: Duration) -> Duration {
     let spans = (0..).map(Duration::from_millis);
     spans
         .take(10_000)
@@ -23,40 +23,46 @@
 }
 
 #[test]
-fn pauses_of_a_peer_that_answers_grow_and_end() {
+fn backoff_of_an_unable_peer_doubles_up_to_its_limit() {
     let mut backoff = PeerBackoff::new(FIRST);
     let mut now = Duration::ZERO;
     for expected in [400, 800, 1600, 2000, 2000] {
         backoff.record_unable(peer(1), now);
-        assert_eq!(pause(&backoff, peer(1), now), Duration::from_millis(expected));
+        assert_eq!(
+            remaining_backoff(&backoff, peer(1), now),
+            Duration::from_millis(expected)
+        );
         now += Duration::from_secs(3);
     }
     assert!(backoff.may_ask(peer(2), now));
 }
 
 #[test]
-fn a_peer_without_an_answer_is_left_alone_for_longest() {
+fn an_unreachable_peer_gets_the_longest_backoff() {
     let mut backoff = PeerBackoff::new(FIRST);
     backoff.record_unreachable(peer(1), Duration::ZERO);
-    assert_eq!(pause(&backoff, peer(1), Duration::ZERO), Duration::from_secs(2));
+    assert_eq!(
+        remaining_backoff(&backoff, peer(1), Duration::ZERO),
+        Duration::from_secs(2)
+    );
     assert!(!backoff.any_unable());
 }
 
-/// The next time that nobody tells may be another trouble, hours later.
+/// The next failure of all peers may have another cause, hours later.
 #[test]
-fn once_a_peer_has_told_nothing_is_left_of_what_others_could_not() {
+fn a_success_resets_the_backoff_of_all_unable_peers() {
     let mut backoff = PeerBackoff::new(FIRST);
     backoff.record_unable(peer(1), Duration::ZERO);
     backoff.record_unable(peer(2), Duration::ZERO);
     backoff.record_success(peer(1));
-    assert!(!backoff.any_unable(), "the platform isn't in trouble");
+    assert!(!backoff.any_unable(), "there is no sign of an outage");
     let later = Duration::from_secs(3600);
     backoff.record_unable(peer(2), later);
-    assert_eq!(pause(&backoff, peer(2), later), FIRST);
+    assert_eq!(remaining_backoff(&backoff, peer(2), later), FIRST);
 }
 
 #[test]
-fn peers_that_are_not_asked_any_more_do_not_count() {
+fn peers_that_are_no_longer_asked_do_not_count() {
     let mut backoff = PeerBackoff::new(FIRST);
     backoff.record_unable(peer(1), Duration::ZERO);
     backoff.record_unreachable(peer(2), Duration::ZERO);
@@ -65,11 +71,11 @@
     assert!(!backoff.may_ask(peer(2), Duration::ZERO));
 }
 
-/// Suspected in a day on which a request reached a server 171 ms too late: readers were restarted one
-/// after the other and answered that they couldn't tell, so the platform was taken to be in
-/// trouble, and left alone for up to 3 s.
+/// Readers that are restarted one after the other are unable to answer. If that is taken for an
+/// outage, the platform isn't called for up to 3 s: the suspected cause of a request that reached
+/// a server 171 ms too late.
 #[test]
-fn a_reader_that_has_just_been_drawn_or_started_shows_no_trouble_of_the_platform() {
+fn a_newly_selected_or_restarted_reader_does_not_suggest_an_outage() {
     let mut backoff = PeerBackoff::new(FIRST);
     let start = Duration::from_secs(100);
     for now in (0..3000)
