--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -261,7 +261,7 @@
                 Some(Ok(start)) => return AttemptOutcome::Started(start),
                 Some(Err(fault)) => return AttemptOutcome::Fault(fault),
                 None if wait < time_left && !self.time_left().is_zero() => {
-                    if self.may_break_off(false) {
+                    if self.may_abort_silent(false) {
                         return AttemptOutcome::Fault(RouteFault::Silent);
                     }
                 }
@@ -274,7 +274,7 @@
     }
 
     /// Returns whether the request may be taken from a server that is silent.
-    pub(crate) fn may_break_off(&self, resumable: bool) -> bool {
+    pub(crate) fn may_abort_silent(&self, resumable: bool) -> bool {
         self.state.with_router(|core, now| {
             core.may_abort_silent(self.request_id, resumable, now)
         })
--- a/crates/flaxtide-entry/src/relay.rs
+++ b/crates/flaxtide-entry/src/relay.rs
@@ -116,7 +116,7 @@
                 Some(Ok(None)) => return Ok(None),
                 Some(Err(fault)) => return Err(AttemptOutcome::Fault(fault)),
                 None if wait < left && !self.call.time_left().is_zero() => {
-                    if self.call.may_break_off(resumable) {
+                    if self.call.may_abort_silent(resumable) {
                         return Err(AttemptOutcome::Fault(RouteFault::Silent));
                     }
                 }
