--- a/crates/flaxtide-entry/src/listen.rs
+++ b/crates/flaxtide-entry/src/listen.rs
@@ -1,4 +1,4 @@
-//! Connections of callers: accepted, watched while idle, closed in order.
+//! Connections from callers: accepts them, times them out and closes them gracefully.
 
 use std::cell::Cell;
 use std::io;
@@ -16,45 +16,45 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-use crate::call::serve;
-use crate::reply::{CallerResponse, whole};
-use crate::state::{LifePhase, TrafficState};
-use crate::upstream::watch_peer;
+use crate::call::serve_request;
+use crate::reply::{CallerResponse, full_body};
+use crate::state::{ShutdownPhase, TrafficState};
+use crate::upstream::enable_keepalive;
 
 /// How many connections may wait to be accepted.
 const BACKLOG: u32 = 1024;
 
-/// How long a listener that can't accept waits, such as while descriptors are short.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The pause after a failed accept, for example when file descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Descriptors that are kept for everything but callers: servers, peers, the platform.
-const KEPT_DESCRIPTORS: u64 = 1200;
+/// File descriptors reserved for servers, peers and the platform.
+const RESERVED_DESCRIPTORS: u64 = 1200;
 
-/// The least buffer that the HTTP library takes for a head.
-const LEAST_HEAD_BUFFER: usize = 8192;
+/// The smallest head buffer that hyper accepts.
+const MIN_HEAD_BUFFER_BYTES: usize = 8192;
 
-/// What has happened on a connection.
+/// The activity on a connection.
 #[derive(Debug, Default)]
-struct LinkActivity {
-    /// When bytes last went either way.
-    moved: Cell<Duration>,
-    /// Since when bytes of a head have come that isn't whole.
-    head_since: Cell<Option<Duration>>,
-    /// How many requests are being answered.
-    requests: Cell<u32>,
+struct ConnectionActivity {
+    /// When bytes were last read or written.
+    last_io_at: Cell<Duration>,
+    /// When the first bytes of an incomplete head arrived.
+    head_started_at: Cell<Option<Duration>>,
+    /// The number of requests in progress.
+    open_requests: Cell<u32>,
 }
 
-/// A connection that records what happens on it.
-struct WatchedStream {
+/// A connection that records its activity.
+struct TrackedStream {
     /// The connection.
     stream: TcpStream,
-    /// What has happened.
-    activity: Rc<LinkActivity>,
-    /// Tells the time.
+    /// Its activity.
+    activity: Rc<ConnectionActivity>,
+    /// Provides the clock.
     state: Rc<TrafficState>,
 }
 
-impl AsyncRead for WatchedStream {
+impl AsyncRead for TrackedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -64,24 +64,24 @@
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
             let now = self.state.now();
-            self.activity.moved.set(now);
-            if self.activity.requests.get() == 0
-                && self.activity.head_since.get().is_none()
+            self.activity.last_io_at.set(now);
+            if self.activity.open_requests.get() == 0
+                && self.activity.head_started_at.get().is_none()
             {
-                self.activity.head_since.set(Some(now));
+                self.activity.head_started_at.set(Some(now));
             }
         }
         polled
     }
 }
 
-impl AsyncWrite for WatchedStream {
+impl AsyncWrite for TrackedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.activity.moved.set(self.state.now());
+        self.activity.last_io_at.set(self.state.now());
         Pin::new(&mut self.stream).poll_write(context, bytes)
     }
 
@@ -90,7 +90,7 @@
         context: &mut Context<'_>,
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.activity.moved.set(self.state.now());
+        self.activity.last_io_at.set(self.state.now());
         Pin::new(&mut self.stream).poll_write_vectored(context, parts)
     }
 
@@ -113,77 +113,81 @@
     }
 }
 
-/// A request that is being answered on a connection.
-struct RequestMark(Rc<LinkActivity>);
+/// Counts a request on a connection as open until it is dropped.
+struct RequestGuard(Rc<ConnectionActivity>);
 
-impl RequestMark {
-    /// Records that a request's head is whole.
-    fn new(activity: &Rc<LinkActivity>) -> Self {
-        activity.head_since.set(None);
-        activity.requests.set(activity.requests.get() + 1);
+impl RequestGuard {
+    /// Records that the head of a request is complete.
+    fn new(activity: &Rc<ConnectionActivity>) -> Self {
+        activity.head_started_at.set(None);
+        activity.open_requests.set(activity.open_requests.get() + 1);
         Self(activity.clone())
     }
 }
 
-impl Drop for RequestMark {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.requests.set(self.0.requests.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
 
-/// Opens a listener.
+/// Binds a listener to an address.
 ///
 /// # Errors
 ///
-/// Returns the fault if the address can't be had.
-pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+/// Returns an error if the address isn't available.
+pub(crate) fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
-/// Accepts callers until the process ends.
+/// Accepts connections from callers until the process ends.
 pub(crate) async fn accept_callers(state: Rc<TrafficState>, listener: TcpListener) {
-    let open = Rc::new(Cell::new(0u64));
+    let open_connections = Rc::new(Cell::new(0u64));
     loop {
         let Some(stream) = accept(&listener).await else { continue };
-        let most = state.config().descriptors.saturating_sub(KEPT_DESCRIPTORS).max(64);
-        if open.get() >= most {
-            log::warn!(open = open.get(), most; "caller turned away: descriptors are short");
+        let most = state
+            .config()
+            .descriptors
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(64);
+        if open_connections.get() >= most {
+            log::warn!(open = open_connections.get(), most; "connection rejected: too few file descriptors");
             continue;
         }
-        open.set(open.get() + 1);
-        let (state, open) = (state.clone(), open.clone());
+        open_connections.set(open_connections.get() + 1);
+        let (state, open_connections) = (state.clone(), open_connections.clone());
         tokio::task::spawn_local(async move {
-            serve_caller(state, stream).await;
-            open.set(open.get() - 1);
+            handle_connection(state, stream).await;
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
 
-/// Accepts one connection.
+/// Accepts one connection. Returns `None` after a pause if that fails.
 async fn accept(listener: &TcpListener) -> Option<TcpStream> {
     match listener.accept().await {
         Ok((stream, _)) => Some(stream),
         Err(cause) => {
-            log::warn!(cause = cause.to_string(); "connection not accepted");
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            log::warn!(cause = cause.to_string(); "failed to accept a connection");
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             None
         }
     }
 }
 
-/// Serves one connection of a caller until it ends.
-async fn serve_caller(state: Rc<TrafficState>, stream: TcpStream) {
-    let prepared = stream.set_nodelay(true).and_then(|()| watch_peer(&stream));
-    if let Err(cause) = prepared {
-        log::debug!(cause = cause.to_string(); "caller's connection can't be prepared");
+/// Serves one connection from a caller until it ends.
+async fn handle_connection(state: Rc<TrafficState>, stream: TcpStream) {
+    let configured = stream.set_nodelay(true).and_then(|()| enable_keepalive(&stream));
+    if let Err(cause) = configured {
+        log::debug!(cause = cause.to_string(); "failed to configure a caller's connection");
         return;
     }
-    let activity = Rc::new(LinkActivity::default());
-    activity.moved.set(state.now());
-    let watched = WatchedStream {
+    let activity = Rc::new(ConnectionActivity::default());
+    activity.last_io_at.set(state.now());
+    let tracked = TrackedStream {
         stream,
         activity: activity.clone(),
         state: state.clone(),
@@ -191,76 +195,79 @@
     let service = {
         let (state, activity) = (state.clone(), activity.clone());
         service_fn(move |request: Request<Incoming>| {
-            let (state, mark) = (state.clone(), RequestMark::new(&activity));
+            let (state, guard) = (state.clone(), RequestGuard::new(&activity));
             async move {
-                let answer = serve(state, request).await;
-                drop(mark);
-                Ok::<_, std::convert::Infallible>(answer)
+                let response = serve_request(state, request).await;
+                drop(guard);
+                Ok::<_, std::convert::Infallible>(response)
             }
         })
     };
     let limits = state.limits();
     let connection = http1::Builder::new()
         .keep_alive(true)
-        .max_buf_size(limits.header_bytes.max(LEAST_HEAD_BUFFER))
-        .serve_connection(TokioIo::new(watched), service);
+        .max_buf_size(limits.header_bytes.max(MIN_HEAD_BUFFER_BYTES))
+        .serve_connection(TokioIo::new(tracked), service);
     tokio::pin!(connection);
     loop {
-        let check = tokio::time::sleep(limits.header_timeout);
+        let timer = tokio::time::sleep(limits.header_timeout);
         tokio::select! {
-            // A caller that breaks off, or sends what isn't HTTP, has ended its connection.
+            // On an error, such as invalid HTTP, the connection is closed too.
             _ = connection.as_mut() => return,
             () = state.phase_changed.notified() => {}
-            () = check => {}
+            () = timer => {}
         }
-        if state.phase() >= LifePhase::Closing {
+        if state.phase() >= ShutdownPhase::Closing {
             connection.as_mut().graceful_shutdown();
         }
         let now = state.now();
         let limits = state.limits();
-        let slow = activity.head_since.get();
-        if slow.is_some_and(|since| now >= since + limits.header_timeout) {
+        let head_started_at = activity.head_started_at.get();
+        if head_started_at.is_some_and(|since| now >= since + limits.header_timeout) {
             return;
         }
-        let idle = activity.requests.get() == 0 && activity.head_since.get().is_none();
-        if idle && now >= activity.moved.get() + limits.idle_timeout {
+        let idle =
+            activity.open_requests.get() == 0 && activity.head_started_at.get().is_none();
+        if idle && now >= activity.last_io_at.get() + limits.idle_timeout {
             connection.as_mut().graceful_shutdown();
         }
     }
 }
 
-/// Answers the balancer, which asks whether the instance is ready, and whoever reads the
-/// metrics.
-pub(crate) async fn accept_probes(state: Rc<TrafficState>, listener: TcpListener) {
+/// Serves the load balancer's readiness checks and the metrics.
+pub(crate) async fn serve_probes(state: Rc<TrafficState>, listener: TcpListener) {
     loop {
         let Some(stream) = accept(&listener).await else { continue };
         let state = state.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request: Request<Incoming>| {
-                let answer = probe(&state, request.uri().path());
-                async move { Ok::<_, std::convert::Infallible>(answer) }
+                let response = probe_response(&state, request.uri().path());
+                async move { Ok::<_, std::convert::Infallible>(response) }
             });
             let connection =
                 http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // Whoever asks again opens another connection.
+            // The client opens another connection if this one fails.
             let _ = connection.await;
         });
     }
 }
 
-/// Answers one probe.
-fn probe(state: &TrafficState, path: &str) -> CallerResponse {
+/// Responds to a readiness check or a request for the metrics.
+fn probe_response(state: &TrafficState, path: &str) -> CallerResponse {
     if path == state.config().ready_path {
-        let status =
-            if state.ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        let mut answer = Response::new(whole(bytes::Bytes::new()));
-        *answer.status_mut() = status;
-        return answer;
+        let status = if state.is_ready() {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        };
+        let mut response = Response::new(full_body(bytes::Bytes::new()));
+        *response.status_mut() = status;
+        return response;
     }
     if path == "/metrics" {
-        return Response::new(whole(state.metrics.render().into()));
+        return Response::new(full_body(state.metrics.render().into()));
     }
-    let mut answer = Response::new(whole(bytes::Bytes::new()));
-    *answer.status_mut() = StatusCode::NOT_FOUND;
-    answer
+    let mut response = Response::new(full_body(bytes::Bytes::new()));
+    *response.status_mut() = StatusCode::NOT_FOUND;
+    response
 }
--- a/crates/flaxtide-entry/src/state.rs
+++ b/crates/flaxtide-entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread knows, and the router that it owns.
+//! The state of the traffic thread, including the router.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,84 +23,84 @@
 use crate::duty::SharedDuties;
 use crate::fleet::FleetLink;
 use crate::metrics::{EntryMetrics, GaugeGuard};
-use crate::names::NameTable;
+use crate::names::IdTable;
 use crate::pushback::PushbackExchange;
 use crate::quarantine::CallQuarantine;
 use crate::routes::RouteTable;
 use crate::source::ServerListSource;
-use crate::stop::LAST_CALLS;
-use crate::upstream::ServerLinks;
+use crate::stop::LAST_CALL_MARGIN;
+use crate::upstream::ServerConnections;
 
-/// How many requests a plain server works on at once if nobody says.
-const SLOTS_OF_PLAIN_SERVICE: u32 = 6;
+/// How many requests a plain server runs at once if neither its service nor its row says.
+const DEFAULT_PLAIN_SERVER_SLOTS: u32 = 6;
 
-/// How far a stop has come.
+/// The phase of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum LifePhase {
-    /// It takes requests.
+pub(crate) enum ShutdownPhase {
+    /// The instance takes requests.
     Serving,
-    /// It isn't ready, but the balancer may not have noticed.
+    /// The instance reports that it isn't ready, but the load balancer may still send requests.
     Leaving,
-    /// It closes connections once their requests are answered.
+    /// The instance closes each connection after its current request.
     Closing,
 }
 
-/// What the traffic thread knows.
+/// The state shared by all tasks of the traffic thread.
 pub(crate) struct TrafficState {
-    /// The instance file.
+    /// The instance file in force.
     pub(crate) config: RefCell<Rc<EntryConfig>>,
-    /// The clock.
+    /// The clock of the traffic thread, which tests may move.
     pub(crate) clock: MilliClock,
-    /// The words of requests and answers.
+    /// Translates the headers of requests and responses.
     pub(crate) dialect: Arc<dyn WireDialect>,
-    /// The metrics.
+    /// The metrics of the instance.
     pub(crate) metrics: Arc<EntryMetrics>,
-    /// The open connections to servers.
-    pub(crate) links: ServerLinks,
-    /// The ring to the fleet thread.
+    /// The idle connections to servers.
+    pub(crate) connections: ServerConnections,
+    /// The queue to the fleet thread.
     pub(crate) fleet: FleetLink,
-    /// From whom this instance gets what few read from the platform.
+    /// Chooses the peer or the platform from which the server list is read.
     pub(crate) source: Arc<ServerListSource>,
     /// The requests that crash servers.
     pub(crate) quarantine: CallQuarantine,
-    /// What servers say of themselves.
+    /// What servers state about their limits, and its exchange with peers.
     pub(crate) pushback: PushbackExchange,
-    /// What is shared for the duties that one instance has for all, if there are any.
+    /// The state shared with the duties thread; `None` if the instance has no duties.
     pub(crate) duties: Option<Arc<SharedDuties>>,
-    /// The rules in force.
+    /// The rules in force; `None` until the first have arrived.
     table: RefCell<Option<Rc<RouteTable>>>,
     /// The servers that may be used.
     pub(crate) directory: RefCell<ServerDirectory>,
-    /// The newest version of the rules that peers have told of.
+    /// The newest version of the rules that peers have announced.
     pub(crate) newest_rules: Cell<SettingsVersion>,
-    /// Whether the platform's list of servers has been read.
+    /// Whether the server list has been read at least once.
     pub(crate) servers_listed: Cell<bool>,
-    /// The router.
+    /// The router, which decides where and when requests are sent.
     router: RefCell<RouteCore>,
-    /// Who waits for the router's decision.
+    /// The requests that wait for a decision of the router.
     waiters: RefCell<HashMap<RequestId, oneshot::Sender<RouteAction>>>,
-    /// Numbers for names.
-    names: RefCell<NameTable>,
-    /// The number of the next request.
+    /// The numeric IDs of services and servers.
+    ids: RefCell<IdTable>,
+    /// The ID of the next request.
     next_request: Cell<RequestId>,
-    /// The source of randomness for weights.
-    pub(crate) random: RefCell<SmallRng>,
-    /// How far a stop has come.
-    phase: Cell<LifePhase>,
-    /// Until when it isn't ready after a jump of time.
-    pub(crate) rejoined_at: Cell<Duration>,
-    /// Wakes those that wait when time has jumped.
-    pub(crate) jumped: Notify,
+    /// Draws the service of a request by weight.
+    pub(crate) rng: RefCell<SmallRng>,
+    /// The phase of a planned stop; `Serving` before one.
+    phase: Cell<ShutdownPhase>,
+    /// After a clock jump, the time before which the instance isn't ready.
+    pub(crate) not_ready_until: Cell<Duration>,
+    /// Wakes timers when the clock has jumped.
+    pub(crate) clock_jumped: Notify,
     /// Wakes connections when the phase changes.
     pub(crate) phase_changed: Notify,
-    /// How many requests are being answered.
-    pub(crate) open: Cell<usize>,
-    /// When the process ends at the latest, once that is near.
-    pub(crate) end_by: Cell<Option<Duration>>,
+    /// The number of requests in progress.
+    pub(crate) open_calls: Cell<usize>,
+    /// When the process must end. Set in the late phase of a stop.
+    pub(crate) stop_deadline: Cell<Option<Duration>>,
 }
 
 impl TrafficState {
-    /// Starts with nothing known.
+    /// Creates the state of an instance that knows neither rules nor servers.
     pub(crate) fn new(
         config: EntryConfig,
         clock: MilliClock,
@@ -125,7 +125,7 @@
             clock,
             dialect,
             metrics,
-            links: ServerLinks::default(),
+            connections: ServerConnections::default(),
             fleet,
             source,
             quarantine,
@@ -137,24 +137,24 @@
             servers_listed: Cell::new(false),
             router: RefCell::new(core),
             waiters: RefCell::default(),
-            names: RefCell::default(),
+            ids: RefCell::default(),
             next_request: Cell::new(1),
-            random: RefCell::new(SmallRng::seed_from_u64(seed)),
-            phase: Cell::new(LifePhase::Serving),
-            rejoined_at: Cell::new(Duration::ZERO),
-            jumped: Notify::new(),
+            rng: RefCell::new(SmallRng::seed_from_u64(seed)),
+            phase: Cell::new(ShutdownPhase::Serving),
+            not_ready_until: Cell::new(Duration::ZERO),
+            clock_jumped: Notify::new(),
             phase_changed: Notify::new(),
-            open: Cell::new(0),
-            end_by: Cell::new(None),
+            open_calls: Cell::new(0),
+            stop_deadline: Cell::new(None),
         }
     }
 
-    /// Returns the time.
+    /// Returns the time on the clock of the traffic thread.
     pub(crate) fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Returns the instance file.
+    /// Returns the instance file in force.
     pub(crate) fn config(&self) -> Rc<EntryConfig> {
         self.config.borrow().clone()
     }
@@ -164,7 +164,7 @@
         self.table.borrow().clone()
     }
 
-    /// Returns what callers may send.
+    /// Returns the limits on callers' connections and requests; defaults without rules.
     pub(crate) fn limits(&self) -> CallerLimits {
         let table = self.table.borrow();
         table
@@ -172,77 +172,84 @@
             .map_or_else(CallerLimits::default, |table| table.limits)
     }
 
-    /// Returns how far a stop has come.
-    pub(crate) fn phase(&self) -> LifePhase {
+    /// Returns the phase of a planned stop.
+    pub(crate) fn phase(&self) -> ShutdownPhase {
         self.phase.get()
     }
 
-    /// Goes on with a stop.
-    pub(crate) fn enter(&self, phase: LifePhase) {
+    /// Enters the next phase of a stop.
+    pub(crate) fn set_phase(&self, phase: ShutdownPhase) {
         self.phase.set(phase);
         self.phase_changed.notify_waiters();
     }
 
-    /// Tells whether the balancer may send callers.
-    pub(crate) fn ready(&self) -> bool {
-        self.phase.get() == LifePhase::Serving
+    /// Returns whether the load balancer may send requests.
+    pub(crate) fn is_ready(&self) -> bool {
+        self.phase.get() == ShutdownPhase::Serving
             && self.table.borrow().is_some()
             && self.servers_listed.get()
-            && self.now() >= self.rejoined_at.get()
+            && self.now() >= self.not_ready_until.get()
             && self.quarantine.is_synced(self.now())
     }
 
-    /// Tells whether a request that comes now may not end before the process must.
-    pub(crate) fn ends_too_soon(&self, streams: bool) -> bool {
-        let Some(end) = self.end_by.get() else { return false };
-        streams || self.now() + LAST_CALLS > end
+    /// Returns whether a request that starts now might not end before the process must.
+    pub(crate) fn is_too_late_to_start(&self, streams: bool) -> bool {
+        let Some(end) = self.stop_deadline.get() else { return false };
+        streams || self.now() + LAST_CALL_MARGIN > end
     }
 
-    /// Returns the number of a new request.
-    pub(crate) fn number(&self) -> RequestId {
+    /// Returns the ID for a new request.
+    pub(crate) fn next_request_id(&self) -> RequestId {
         let request = self.next_request.get();
         self.next_request.set(request + 1);
         request
     }
 
-    /// Returns the number of a service.
-    pub(crate) fn pool(&self, service: &str) -> PoolId {
-        self.names.borrow_mut().pool(service)
+    /// Returns the ID of a service.
+    pub(crate) fn pool_id(&self, service: &str) -> PoolId {
+        self.ids.borrow_mut().pool_id(service)
     }
 
-    /// Returns the number of a server.
-    pub(crate) fn server_number(&self, entry: &ServerEntry) -> ServerId {
-        self.names.borrow_mut().server(entry)
+    /// Returns the ID of the incarnation of a server that an entry describes.
+    pub(crate) fn server_id(&self, entry: &ServerEntry) -> ServerId {
+        self.ids.borrow_mut().server_id(entry)
     }
 
     /// Returns the name of a server.
     pub(crate) fn server_name(&self, server: ServerId) -> Option<ServerName> {
-        self.names.borrow().start(server).map(|start| start.name.clone())
+        self.ids
+            .borrow()
+            .incarnation(server)
+            .map(|incarnation| incarnation.name.clone())
     }
 
-    /// Returns what stands for a server between instances.
+    /// Returns the key of a server's incarnation in messages between instances.
     pub(crate) fn server_key(&self, server: ServerId) -> Option<FleetKey> {
-        self.names.borrow().start(server).map(|start| start.key)
+        self.ids
+            .borrow()
+            .incarnation(server)
+            .map(|incarnation| incarnation.key)
     }
 
-    /// Returns where a server is reached.
+    /// Returns the address of a server, if it is listed.
     pub(crate) fn server_address(&self, server: ServerId) -> Option<SocketAddr> {
         let name = self.server_name(server)?;
         let directory = self.directory.borrow();
         directory.get(&name).map(|listed| listed.entry.address)
     }
 
-    /// Records that a start of a server has said that it is leaving. Returns whether that is news.
+    /// Records that a server has announced that it is leaving. Returns whether that is new. Has
+    /// no effect if another incarnation of the server is listed.
     pub(crate) fn mark_leaving(&self, server: ServerId) -> bool {
         let Some(name) = self.listed_name(server) else { return false };
-        let news = self.directory.borrow_mut().mark_leaving(&name);
-        if news {
+        let changed = self.directory.borrow_mut().mark_leaving(&name);
+        if changed {
             self.update_router_servers();
         }
-        news
+        changed
     }
 
-    /// Returns whether a start of a server is known to be leaving.
+    /// Returns whether an incarnation of a server is known to be leaving.
     pub(crate) fn is_leaving(&self, server: ServerId) -> bool {
         let Some(name) = self.listed_name(server) else { return false };
         self.directory
@@ -251,50 +258,50 @@
             .is_some_and(|listed| listed.entry.leaving)
     }
 
-    /// Returns the name of a start of a server if it is the one that is listed.
+    /// Returns the name of a server if this is the incarnation that is listed.
     fn listed_name(&self, server: ServerId) -> Option<ServerName> {
         let name = self.server_name(server)?;
         let directory = self.directory.borrow();
         let listed = directory.get(&name)?;
-        (self.server_number(&listed.entry) == server).then_some(name)
+        (self.server_id(&listed.entry) == server).then_some(name)
     }
 
-    /// Returns the server that a key stands for.
+    /// Returns the server that a key from a peer denotes.
     pub(crate) fn server_with_key(&self, key: FleetKey) -> Option<ServerId> {
-        self.names.borrow().with_key(key)
+        self.ids.borrow().server_with_key(key)
     }
 
-    /// Returns the version of the rules in force; 0 without any.
+    /// Returns the version of the rules in force, or 0 if there are none.
     pub(crate) fn rules_version(&self) -> SettingsVersion {
         self.table.borrow().as_ref().map_or(0, |table| table.version)
     }
 
-    /// Tells whether newer rules than those in force are known to exist.
-    pub(crate) fn behind(&self) -> bool {
+    /// Returns whether newer rules than those in force are known to exist.
+    pub(crate) fn has_outdated_rules(&self) -> bool {
         self.newest_rules.get() > self.rules_version()
     }
 
-    /// Tells whether rules of a version would be newer than those in force.
+    /// Returns whether rules of a version would replace those in force.
     pub(crate) fn needs_rules(&self, version: SettingsVersion) -> bool {
         self.table.borrow().is_none() || version > self.rules_version()
     }
 
-    /// Puts rules in force, unless newer ones are. Returns whether it did.
+    /// Puts rules in force unless newer ones are. Returns whether it did.
     pub(crate) fn install_rules(&self, rules: EntryRules) -> bool {
         if !self.needs_rules(rules.version) {
             return false;
         }
         self.metrics.rules_version.set(rules.version as i64);
-        let kept = GaugeGuard::new(&self.metrics.rules_kept);
-        *self.table.borrow_mut() = Some(Rc::new(RouteTable::new(rules, kept)));
+        let gauge_guard = GaugeGuard::new(&self.metrics.rules_kept);
+        *self.table.borrow_mut() = Some(Rc::new(RouteTable::new(rules, gauge_guard)));
         self.update_router_servers();
         true
     }
 
-    /// Tells the router which servers each service has.
+    /// Passes the servers of each service to the router.
     pub(crate) fn update_router_servers(&self) {
         let Some(table) = self.table() else { return };
-        let home = self.config().data_centre.clone();
+        let local_data_centre = self.config().data_centre.clone();
         for service in &table.services {
             let engine = service.engine;
             let directory = self.directory.borrow();
@@ -302,58 +309,59 @@
                 let entry = &listed.entry;
                 let slots = engine.map_or(entry.slots, |engine| engine.slots);
                 RoutedServer {
-                    server: self.server_number(entry),
+                    server: self.server_id(entry),
                     name_hash: xxh3_64(entry.name.as_bytes()),
-                    slots: if slots == 0 { SLOTS_OF_PLAIN_SERVICE } else { slots },
+                    slots: if slots == 0 { DEFAULT_PLAIN_SERVER_SLOTS } else { slots },
                     engine: engine.map(|engine| EngineShape {
                         memory_tokens: engine.memory_tokens,
                         fetch_tokens_per_ms: engine.fetch_tokens_per_ms,
                     }),
                     data_centre: fleet_key(&entry.data_centre),
-                    local: entry.data_centre == home,
+                    local: entry.data_centre == local_data_centre,
                     leaving: entry.leaving,
                     lapsed: listed.lapsed(),
                 }
             });
             let servers: Vec<RoutedServer> = servers.collect();
             drop(directory);
-            let pool = self.pool(&service.name);
+            let pool = self.pool_id(&service.name);
             self.run_router(|core, now| core.set_servers(pool, &servers, now));
         }
         self.metrics.servers.set(self.directory.borrow().len() as i64);
-        self.pushback.place(self);
+        self.pushback.apply_pending(self);
     }
 
-    /// Has the router decide, and tells those who wait what it has decided.
+    /// Runs the router on an event and delivers its decisions to the requests that wait for
+    /// them.
     pub(crate) fn run_router(
         &self,
-        ask: impl FnOnce(&mut RouteCore, Duration) -> Vec<RouteAction>,
+        event: impl FnOnce(&mut RouteCore, Duration) -> Vec<RouteAction>,
     ) {
         let now = self.now();
-        let actions = ask(&mut self.router.borrow_mut(), now);
+        let actions = event(&mut self.router.borrow_mut(), now);
         for action in actions {
             let request = match &action {
                 RouteAction::Dispatch { request, .. }
                 | RouteAction::Refuse { request, .. } => *request,
             };
             let waiter = self.waiters.borrow_mut().remove(&request);
-            // A caller who left meanwhile has told the router, so nobody is missed.
+            // A caller who has disconnected has already been reported to the router.
             if let Some(waiter) = waiter {
                 let _ = waiter.send(action);
             }
         }
     }
 
-    /// Asks the router something that decides nothing.
-    pub(crate) fn with_router<Answer>(
+    /// Queries or updates the router where no decision can follow.
+    pub(crate) fn with_router<Output>(
         &self,
-        ask: impl FnOnce(&mut RouteCore, Duration) -> Answer,
-    ) -> Answer {
+        query: impl FnOnce(&mut RouteCore, Duration) -> Output,
+    ) -> Output {
         let now = self.now();
-        ask(&mut self.router.borrow_mut(), now)
+        query(&mut self.router.borrow_mut(), now)
     }
 
-    /// Waits for the router's next decision about a request.
+    /// Returns a receiver for the router's next decision about a request.
     pub(crate) fn await_decision(
         &self,
         request: RequestId,
@@ -363,8 +371,8 @@
         decision
     }
 
-    /// Forgets a request that waits for a decision.
-    pub(crate) fn forget(&self, request: RequestId) {
+    /// Removes the registration of a request that waits for a decision.
+    pub(crate) fn remove_waiter(&self, request: RequestId) {
         self.waiters.borrow_mut().remove(&request);
     }
 }
