--- a/crates/flaxtide-entry/src/contract/duty.rs
+++ b/crates/flaxtide-entry/src/contract/duty.rs
@@ -37,7 +37,7 @@
     /// Any [`FeedError`]; after [`FeedError::NoAnswer`] it may be carried out yet.
     fn report_usage(
         &self,
-        pass: &FencingToken,
+        token: &FencingToken,
         report: &UsageReport,
     ) -> Result<DutyAnswer, FeedError>;
 
@@ -49,7 +49,7 @@
     /// orders.
     fn order_servers(
         &self,
-        pass: &FencingToken,
+        token: &FencingToken,
         service: &str,
         order: &ServerOrder,
     ) -> Result<DutyAnswer, FeedError>;
--- a/crates/flaxtide-entry/src/duty/call_usage.rs
+++ b/crates/flaxtide-entry/src/duty/call_usage.rs
@@ -11,7 +11,7 @@
 /// A request, as far as it is counted. Dropping it records that it has ended.
 pub(crate) struct CallUsage {
     /// Where it is counted.
-    board: Arc<SharedDuties>,
+    duties: Arc<SharedDuties>,
     /// The service.
     service: FleetKey,
     /// The organisation, if it has one.
@@ -23,14 +23,14 @@
 impl CallUsage {
     /// Records that a request has come.
     pub(crate) fn new(
-        board: &Arc<SharedDuties>,
+        duties: &Arc<SharedDuties>,
         service: &str,
         organisation: Option<&str>,
     ) -> Self {
         let service = fleet_key(service);
-        board.change_open(service, true);
+        duties.record_open_change(service, true);
         Self {
-            board: board.clone(),
+            duties: duties.clone(),
             service,
             organisation: organisation.map(fleet_key),
             counted: Cell::new(false),
@@ -42,13 +42,13 @@
         if let Some(organisation) = self.organisation
             && !self.counted.replace(true)
         {
-            self.board.count(organisation, ago);
+            self.duties.count(organisation, ago);
         }
     }
 }
 
 impl Drop for CallUsage {
     fn drop(&mut self) {
-        self.board.change_open(self.service, false);
+        self.duties.record_open_change(self.service, false);
     }
 }
--- a/crates/flaxtide-entry/src/duty/orders.rs
+++ b/crates/flaxtide-entry/src/duty/orders.rs
@@ -9,7 +9,7 @@
 use super::shared::{ScaledService, SharedDuties};
 
 /// How often demand is looked at.
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
+const PLAN_PERIOD: Duration = Duration::from_millis(500);
 
 /// An order for a service.
 #[derive(Debug, Clone)]
@@ -26,41 +26,41 @@
     /// The scalers, by service.
     scalers: BTreeMap<String, ServerScaler>,
     /// When demand was last looked at.
-    looked: Option<Duration>,
+    planned_at: Option<Duration>,
 }
 
 impl OrderDuty {
     /// Takes the duty over: what stands counts, and not what was thought before.
     pub(super) fn begin(&mut self) {
         self.scalers.clear();
-        self.looked = None;
+        self.planned_at = None;
     }
 
     /// Returns the orders that are due.
     pub(super) fn due(
         &mut self,
-        board: &SharedDuties,
+        duties: &SharedDuties,
         now: Duration,
     ) -> Vec<ServiceOrder> {
-        if self.looked.is_some_and(|at| now < at + LOOK_PERIOD) {
+        if self.planned_at.is_some_and(|at| now < at + PLAN_PERIOD) {
             return vec![];
         }
-        self.looked = Some(now);
-        let services = board.view().services;
+        self.planned_at = Some(now);
+        let services = duties.view().services;
         services
             .iter()
-            .flat_map(|service| self.plan(board, service, now))
+            .flat_map(|service| self.plan(duties, service, now))
             .collect()
     }
 
     /// Returns the orders that are due for a service.
     fn plan(
         &mut self,
-        board: &SharedDuties,
+        duties: &SharedDuties,
         service: &ScaledService,
         now: Duration,
     ) -> Vec<ServiceOrder> {
-        let Some(open) = board.open_requests(fleet_key(&service.name)) else {
+        let Some(open) = duties.open_requests(fleet_key(&service.name)) else {
             return vec![];
         };
         let scaler = self
@@ -85,7 +85,7 @@
     }
 
     /// Records what came of an order.
-    pub(super) fn record(
+    pub(super) fn record_outcome(
         &mut self,
         order: &ServiceOrder,
         outcome: OrderOutcome,
--- a/crates/flaxtide-entry/src/duty/reports.rs
+++ b/crates/flaxtide-entry/src/duty/reports.rs
@@ -13,16 +13,16 @@
 
 /// The part of the time within which a report is due after which a window is settled though
 /// not everyone has told.
-const SETTLE_PART: f64 = 0.7;
+const INCOMPLETE_SETTLE_FRACTION: f64 = 0.7;
 
 /// The part after which a new holder doesn't wait for instances to find it any more.
-const LATEST_PART: f64 = 0.93;
+const FORCED_SETTLE_FRACTION: f64 = 0.93;
 
 /// How long a new holder waits for instances to find it.
-const GATHERING: Duration = Duration::from_millis(3500);
+const DISCOVERY_WAIT: Duration = Duration::from_millis(3500);
 
 /// How long the windows of a holder that nobody follows are kept.
-const WINDOWS_KEPT: u64 = 8;
+const KEPT_WINDOWS: u64 = 8;
 
 /// How soon a report is sent again that wasn't taken.
 const RETRY_PERIOD: Duration = Duration::from_millis(400);
@@ -33,49 +33,53 @@
     /// The length of a window.
     window: Duration,
     /// Within what time after its end a window is to be reported.
-    within: Duration,
+    due_within: Duration,
     /// The last report that is settled, as the row says.
     settled: Option<UsageReport>,
     /// Whether the platform has acknowledged it.
     pub(super) acknowledged: bool,
     /// What the next write of the row is to settle.
-    next: Option<UsageReport>,
+    next_report: Option<UsageReport>,
     /// No window before this one is reported.
-    first: WindowNumber,
+    owed_from: WindowNumber,
     /// What the row last said of windows that aren't settled.
     drafts: BTreeMap<WindowNumber, UsageCounts>,
     /// Since when this instance holds the duties.
-    since: Duration,
+    held_since: Duration,
     /// When a report may be sent again.
     retry_at: Duration,
 }
 
 impl ReportDuty {
     /// Starts with nothing known.
-    pub(super) fn new(window: Duration, within: Duration) -> Self {
+    pub(super) fn new(window: Duration, due_within: Duration) -> Self {
         Self {
             window,
-            within,
+            due_within,
             settled: None,
             acknowledged: true,
-            next: None,
-            first: 0,
+            next_report: None,
+            owed_from: 0,
             drafts: BTreeMap::new(),
-            since: Duration::ZERO,
+            held_since: Duration::ZERO,
             retry_at: Duration::ZERO,
         }
     }
 
     /// Records what the row says.
-    pub(super) fn take_row(&mut self, row: &DutyRow) {
+    pub(super) fn record_row(&mut self, row: &DutyRow) {
         let same = self.settled == row.settled;
         self.acknowledged = row.acknowledged || (same && self.acknowledged);
         self.settled.clone_from(&row.settled);
         self.drafts.clone_from(&row.drafts);
-        self.first = self.first.max(row.owed_from);
+        self.owed_from = self.owed_from.max(row.owed_from);
         let settled = self.settled.as_ref().map(|report| report.window);
-        if self.next.as_ref().is_some_and(|next| settled >= Some(next.window)) {
-            self.next = None;
+        if self
+            .next_report
+            .as_ref()
+            .is_some_and(|next| settled >= Some(next.window))
+        {
+            self.next_report = None;
         }
     }
 
@@ -84,24 +88,24 @@
     /// been reported isn't again.
     pub(super) fn begin(
         &mut self,
-        board: &SharedDuties,
-        renewed_store: bool,
+        duties: &SharedDuties,
+        store_restored: bool,
         now: Duration,
     ) {
-        self.since = now;
-        let current = window_of(board.wall_time(), self.window);
-        if renewed_store || self.first == 0 {
-            self.first = self.first.max(current);
+        self.held_since = now;
+        let current = window_of(duties.wall_time(), self.window);
+        if store_restored || self.owed_from == 0 {
+            self.owed_from = self.owed_from.max(current);
         }
-        board.begin_holding(self.drafts.clone(), self.next_window(board));
+        duties.begin_holding(self.drafts.clone(), self.next_window(duties));
     }
 
     /// Writes what is settled into a row.
-    pub(super) fn fill(&self, row: &mut DutyRow, board: &SharedDuties, holds: bool) {
-        row.settled = self.next.clone().or_else(|| self.settled.clone());
-        row.acknowledged = self.acknowledged && self.next.is_none();
-        row.owed_from = self.first;
-        row.drafts = if holds { board.drafts() } else { self.drafts.clone() };
+    pub(super) fn fill(&self, row: &mut DutyRow, duties: &SharedDuties, holds: bool) {
+        row.settled = self.next_report.clone().or_else(|| self.settled.clone());
+        row.acknowledged = self.acknowledged && self.next_report.is_none();
+        row.owed_from = self.owed_from;
+        row.drafts = if holds { duties.drafts() } else { self.drafts.clone() };
     }
 
     /// Returns the report that is to be sent now.
@@ -111,47 +115,48 @@
     }
 
     /// Puts off a report that wasn't taken.
-    pub(super) fn put_off(&mut self, now: Duration) {
+    pub(super) fn postpone(&mut self, now: Duration) {
         self.retry_at = now + RETRY_PERIOD;
     }
 
     /// Prepares the next report, once its window is over and told. Returns whether the row is to
     /// be written for it.
-    pub(super) fn settle_next(&mut self, board: &SharedDuties, now: Duration) -> bool {
-        if !self.acknowledged || self.next.is_some() {
+    pub(super) fn settle_next(&mut self, duties: &SharedDuties, now: Duration) -> bool {
+        if !self.acknowledged || self.next_report.is_some() {
             return false;
         }
-        let window = self.next_window(board);
-        let over = board.wall_time().checked_sub(window_end(window, self.window));
-        let Some(over) = over else { return false };
-        let gathered = now >= self.since + GATHERING;
-        let latest = over >= self.within.mul_f64(LATEST_PART);
-        if !latest && (over < SETTLE_AFTER || !gathered) {
+        let window = self.next_window(duties);
+        let elapsed = duties.wall_time().checked_sub(window_end(window, self.window));
+        let Some(elapsed) = elapsed else { return false };
+        let discovery_over = now >= self.held_since + DISCOVERY_WAIT;
+        let is_forced = elapsed >= self.due_within.mul_f64(FORCED_SETTLE_FRACTION);
+        if !is_forced && (elapsed < SETTLE_AFTER || !discovery_over) {
             return false;
         }
-        let late = latest || over >= self.within.mul_f64(SETTLE_PART);
-        let (total, complete) = board.window_total(window);
-        if !late && !complete {
+        let may_be_incomplete =
+            is_forced || elapsed >= self.due_within.mul_f64(INCOMPLETE_SETTLE_FRACTION);
+        let (total, complete) = duties.window_total(window);
+        if !may_be_incomplete && !complete {
             return false;
         }
-        let names = board.view().organisations;
-        let named = total.counts.iter().filter_map(|(organisation, count)| {
+        let names = duties.view().organisations;
+        let by_name = total.counts.iter().filter_map(|(organisation, count)| {
             Some((names.get(organisation)?.clone(), *count))
         });
-        let counts: BTreeMap<String, u32> = named.collect();
+        let counts: BTreeMap<String, u32> = by_name.collect();
         log::info!(
             window, requests = counts.values().sum::<u32>(), estimated = total.estimated,
-            instances = total.sources, missing = total.missing, over_ms = over.as_millis() as u64;
+            instances = total.sources, missing = total.missing, over_ms = elapsed.as_millis() as u64;
             "usage settled"
         );
-        self.next = Some(UsageReport { window, counts });
+        self.next_report = Some(UsageReport { window, counts });
         true
     }
 
     /// Returns the window that is to be reported next.
-    fn next_window(&self, board: &SharedDuties) -> WindowNumber {
-        let current = window_of(board.wall_time(), self.window);
+    fn next_window(&self, duties: &SharedDuties) -> WindowNumber {
+        let current = window_of(duties.wall_time(), self.window);
         let next = self.settled.as_ref().map_or(0, |report| report.window + 1);
-        next.max(self.first).max(current.saturating_sub(WINDOWS_KEPT))
+        next.max(self.owed_from).max(current.saturating_sub(KEPT_WINDOWS))
     }
 }
--- a/crates/flaxtide-entry/src/duty/shared.rs
+++ b/crates/flaxtide-entry/src/duty/shared.rs
@@ -13,7 +13,7 @@
 };
 
 /// For how long the last word of an instance on its open requests counts.
-const OPEN_LIFE: Duration = Duration::from_secs(5);
+const OPEN_COUNT_LIFE: Duration = Duration::from_secs(5);
 
 /// A service whose servers may be ordered.
 #[derive(Debug, Clone, PartialEq)]
@@ -60,18 +60,18 @@
     /// Its requests that run or wait, by service.
     open: BTreeMap<FleetKey, u32>,
     /// Whether it stands for the duties.
-    stands: bool,
+    is_candidate: bool,
     /// Whether it is stopping.
     stopping: bool,
     /// What peers have told, while it holds the duties.
-    heard: Option<HeardUsage>,
+    peers: Option<PeerUsage>,
     /// What the traffic thread knows.
     view: DutyView,
 }
 
 /// What peers have told a holder.
 #[derive(Debug)]
-struct HeardUsage {
+struct PeerUsage {
     /// The counts.
     tally: UsageTally,
     /// The open requests of each instance, and when it told.
@@ -88,9 +88,9 @@
             wall,
             ledger: UsageLedger::default(),
             open: BTreeMap::new(),
-            stands: false,
+            is_candidate: false,
             stopping: false,
-            heard: None,
+            peers: None,
             view: DutyView::default(),
         });
         Self { clock, window, state }
@@ -114,20 +114,20 @@
     }
 
     /// Records that a request for a service has come or ended.
-    pub(crate) fn change_open(&self, service: FleetKey, more: bool) {
+    pub(crate) fn record_open_change(&self, service: FleetKey, opened: bool) {
         let mut state = self.lock();
         let open = state.open.entry(service).or_default();
-        *open = if more { *open + 1 } else { open.saturating_sub(1) };
+        *open = if opened { *open + 1 } else { open.saturating_sub(1) };
     }
 
     /// Sets whether this instance stands for the duties.
-    pub(crate) fn set_stands(&self, stands: bool) {
-        self.lock().stands = stands;
+    pub(crate) fn set_candidate(&self, is_candidate: bool) {
+        self.lock().is_candidate = is_candidate;
     }
 
     /// Returns whether it does.
-    pub(crate) fn stands(&self) -> bool {
-        self.lock().stands
+    pub(crate) fn is_candidate(&self) -> bool {
+        self.lock().is_candidate
     }
 
     /// Records that the instance is stopping.
@@ -141,9 +141,9 @@
     }
 
     /// Returns whether a view is worth making: this instance holds the duties, or may soon.
-    pub(crate) fn wants_view(&self) -> bool {
+    pub(crate) fn needs_view(&self) -> bool {
         let state = self.lock();
-        state.stands || state.heard.is_some()
+        state.is_candidate || state.peers.is_some()
     }
 
     /// Shows what the traffic thread knows.
@@ -164,30 +164,36 @@
     ) {
         let mut tally = UsageTally::default();
         tally.inherit(drafts, open_from);
-        self.lock().heard = Some(HeardUsage { tally, open: BTreeMap::new() });
+        self.lock().peers = Some(PeerUsage { tally, open: BTreeMap::new() });
     }
 
     /// Stops to take what peers tell. Returns whether it had.
     pub(crate) fn end_holding(&self) -> bool {
-        self.lock().heard.take().is_some()
+        self.lock().peers.take().is_some()
     }
 
     /// Returns the sum of a window, and whether everyone has told all of it.
     pub(crate) fn window_total(&self, window: WindowNumber) -> (WindowTotal, bool) {
         let now = self.clock.now();
         let state = self.lock();
-        let Some(heard) = &state.heard else { return (WindowTotal::default(), false) };
-        let total = heard.tally.total(window, self.window, now);
-        let told = heard.open.values().filter(|(at, _)| now < *at + OPEN_LIFE).count();
-        let all = told as u32 >= state.view.live;
-        (total, all && heard.tally.is_complete(window, self.window, now))
+        let Some(peers) = &state.peers else {
+            return (WindowTotal::default(), false);
+        };
+        let total = peers.tally.total(window, self.window, now);
+        let reporting = peers
+            .open
+            .values()
+            .filter(|(at, _)| now < *at + OPEN_COUNT_LIFE)
+            .count();
+        let all_reported = reporting as u32 >= state.view.live;
+        (total, all_reported && peers.tally.is_complete(window, self.window, now))
     }
 
     /// Forgets windows up to one.
     pub(crate) fn close_window(&self, window: WindowNumber) {
         let now = self.clock.now();
-        if let Some(heard) = &mut self.lock().heard {
-            heard.tally.close(window, now);
+        if let Some(peers) = &mut self.lock().peers {
+            peers.tally.close(window, now);
         }
     }
 
@@ -195,9 +201,9 @@
     pub(crate) fn drafts(&self) -> BTreeMap<WindowNumber, UsageCounts> {
         let state = self.lock();
         state
-            .heard
+            .peers
             .as_ref()
-            .map(|heard| heard.tally.drafts())
+            .map(|peers| peers.tally.drafts())
             .unwrap_or_default()
     }
 
@@ -206,16 +212,16 @@
     pub(crate) fn open_requests(&self, service: FleetKey) -> Option<u32> {
         let now = self.clock.now();
         let state = self.lock();
-        let heard = state.heard.as_ref()?;
-        let fresh = heard.open.values().filter(|(at, _)| now < *at + OPEN_LIFE);
-        let mut any = false;
+        let peers = state.peers.as_ref()?;
+        let recent = peers.open.values().filter(|(at, _)| now < *at + OPEN_COUNT_LIFE);
+        let mut any_recent = false;
         let mut sum = 0;
-        for (_, open) in fresh {
-            any = true;
+        for (_, open) in recent {
+            any_recent = true;
             let of_service = open.iter().filter(|(key, _)| *key == service);
             sum += of_service.map(|(_, count)| count).sum::<u32>();
         }
-        any.then_some(sum)
+        any_recent.then_some(sum)
     }
 
     /// Locks the state. A panic elsewhere doesn't spoil it.
@@ -244,14 +250,14 @@
         let now = self.clock.now();
         let mut state = self.lock();
         let current = window_of(state.wall.now(), self.window);
-        let Some(heard) = &mut state.heard else { return false };
+        let Some(peers) = &mut state.peers else { return false };
         let name = fleet_key(&notice.from.name);
         if notice.leaving {
-            heard.open.remove(&name);
+            peers.open.remove(&name);
         } else {
-            heard.open.insert(name, (now, notice.open));
+            peers.open.insert(name, (now, notice.open));
         }
-        heard.tally.hear(
+        peers.tally.hear(
             UsageSource { name, epoch: notice.epoch },
             fleet_key(&notice.from.data_centre),
             Duration::from_millis(notice.told_until_ms),
@@ -259,7 +265,7 @@
             notice.windows,
             now,
         );
-        heard.tally.expire(current, now);
+        peers.tally.expire(current, now);
         true
     }
 }
--- a/crates/flaxtide-entry/src/duty/thread.rs
+++ b/crates/flaxtide-entry/src/duty/thread.rs
@@ -30,10 +30,10 @@
 const LEASE_MARGIN: Duration = Duration::from_secs(1);
 
 /// A lease is renewed so many times within its term.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_TERM: u32 = 3;
 
 /// Fencing numbers of a later era of the store are higher than all of those before.
-const ERA_BITS: u32 = 32;
+const FENCE_ERA_SHIFT: u32 = 32;
 
 /// What the thread needs.
 pub(crate) struct DutyThread {
@@ -44,7 +44,7 @@
     /// The platform.
     platform: Arc<dyn DutyPlatform>,
     /// What the threads share.
-    board: Arc<SharedDuties>,
+    duties: Arc<SharedDuties>,
     /// The ring to the fleet thread.
     link: FleetLink,
     /// The metrics.
@@ -62,7 +62,7 @@
     /// When the platform may be called again about the lease.
     retry_at: Duration,
     /// The number under which the duties are held.
-    held: Option<u64>,
+    held_fence: Option<u64>,
     /// Reports of usage.
     reports: ReportDuty,
     /// Orders of servers.
@@ -75,7 +75,7 @@
         entry: &EntryConfig,
         config: DutyConfig,
         platform: Arc<dyn DutyPlatform>,
-        board: Arc<SharedDuties>,
+        duties: Arc<SharedDuties>,
         link: FleetLink,
         metrics: Arc<EntryMetrics>,
     ) -> Self {
@@ -83,7 +83,7 @@
         let term = config.lease + LEASE_MARGIN;
         let timing = LeaseTiming {
             term,
-            poll_period: term / RENEWALS,
+            poll_period: term / RENEWALS_PER_TERM,
             ..LeaseTiming::default()
         };
         let holder = format!("{} {:08x}", entry.name, rand::random::<u32>());
@@ -91,7 +91,7 @@
             name: entry.name.clone(),
             address: entry.fleet,
             platform,
-            board,
+            duties,
             link,
             metrics,
             watch: LeaseWatch::new(holder, timing, clock.now()),
@@ -99,7 +99,7 @@
             era: 0,
             row_era: 0,
             retry_at: Duration::ZERO,
-            held: None,
+            held_fence: None,
             reports: ReportDuty::new(config.usage_window, config.usage_within),
             orders: OrderDuty::default(),
             config,
@@ -110,31 +110,31 @@
     pub(crate) fn run(mut self) {
         loop {
             thread::sleep(POLL_PERIOD);
-            if self.board.is_stopping() {
+            if self.duties.is_stopping() {
                 self.watch.release();
             }
-            self.turn();
+            self.run_once();
         }
     }
 
     /// Does what is due.
-    fn turn(&mut self) {
-        if self.held.is_none() && !self.board.stands() {
+    fn run_once(&mut self) {
+        if self.held_fence.is_none() && !self.duties.is_candidate() {
             return;
         }
         self.keep_lease();
         let fence = self.watch.fence(self.clock.now(), true);
-        self.note_holding(fence);
+        self.update_holding(fence);
         if fence.is_none() {
             return;
         }
         if self.config.does(DutyConfig::USAGE) {
-            self.report();
+            self.send_reports();
             // A platform that doesn't answer takes the time in which the lease is to be renewed.
             self.keep_lease();
         }
         if self.config.does(DutyConfig::SCALING) {
-            self.order();
+            self.send_orders();
         }
     }
 
@@ -144,18 +144,18 @@
         if now < self.retry_at {
             return;
         }
-        if self.watch.step(now) == LeaseStep::Look && !self.look(now) {
+        if self.watch.step(now) == LeaseStep::Look && !self.read_lease(now) {
             self.retry_at = self.clock.now() + RETRY_PERIOD;
             return;
         }
         // What is decided is decided for the moment of the look.
         if let LeaseStep::Write { expected, row } = self.watch.step(now) {
-            self.write(expected, &row, now);
+            self.write_lease(expected, &row, now);
         }
     }
 
     /// Reads the row. Returns whether that succeeded.
-    fn look(&mut self, now: Duration) -> bool {
+    fn read_lease(&mut self, now: Duration) -> bool {
         let read = match self.platform.read_row() {
             Ok(read) => read,
             Err(fault) => {
@@ -166,18 +166,23 @@
         };
         self.count("lease", "read");
         self.era = self.era.max(read.era);
-        self.watch.raise_floor(self.era << ERA_BITS);
+        self.watch.raise_floor(self.era << FENCE_ERA_SHIFT);
         let lease = read.row.as_ref().map(|(row, version)| (row.lease.clone(), *version));
         if let Some((row, _)) = &read.row {
             self.row_era = row.era;
-            self.reports.take_row(row);
+            self.reports.record_row(row);
         }
         self.watch.saw(lease, now);
         true
     }
 
     /// Writes the row.
-    fn write(&mut self, expected: Option<u64>, lease: &LeaseRow, asked: Duration) {
+    fn write_lease(
+        &mut self,
+        expected: Option<u64>,
+        lease: &LeaseRow,
+        asked_at: Duration,
+    ) {
         let mut row = DutyRow {
             lease: lease.clone(),
             address: self.address,
@@ -187,7 +192,7 @@
             owed_from: 0,
             drafts: Default::default(),
         };
-        self.reports.fill(&mut row, &self.board, self.held.is_some());
+        self.reports.fill(&mut row, &self.duties, self.held_fence.is_some());
         let written = self.platform.write_row(expected, &row);
         let version = match written {
             Ok(version) => version,
@@ -198,9 +203,9 @@
             }
         };
         self.count("lease", if version.is_some() { "written" } else { "failed" });
-        self.watch.wrote(lease, version, asked);
+        self.watch.wrote(lease, version, asked_at);
         if version.is_some() {
-            self.reports.take_row(&row);
+            self.reports.record_row(&row);
         }
         if version.is_some() && lease.released {
             log::info!(fence = lease.fence; "duties given up");
@@ -208,24 +213,24 @@
     }
 
     /// Notes whether the duties are held, and under which number.
-    fn note_holding(&mut self, fence: Option<u64>) {
+    fn update_holding(&mut self, fence: Option<u64>) {
         if fence.is_none() && self.watch.is_renumbering(self.clock.now()) {
             return;
         }
-        if fence == self.held {
+        if fence == self.held_fence {
             return;
         }
-        let (before, now) = (self.held, self.clock.now());
-        self.held = fence;
+        let (before, now) = (self.held_fence, self.clock.now());
+        self.held_fence = fence;
         self.metrics.duty_fence.set(fence.unwrap_or_default() as i64);
         let Some(fence) = fence else {
-            self.board.end_holding();
+            self.duties.end_holding();
             log::warn!(fence = before.unwrap_or_default(); "duties lost");
             return;
         };
         if before.is_none() {
-            let renewed = self.row_era < self.era;
-            self.reports.begin(&self.board, renewed, now);
+            let store_restored = self.row_era < self.era;
+            self.reports.begin(&self.duties, store_restored, now);
             self.orders.begin();
         }
         let holder = DutyHolder { fence, address: self.address };
@@ -234,13 +239,13 @@
     }
 
     /// Sends the report that is settled, or settles the next one.
-    fn report(&mut self) {
+    fn send_reports(&mut self) {
         let now = self.clock.now();
         if let Some(report) = self.reports.due(now) {
             self.send_report(&report);
             return;
         }
-        if self.reports.settle_next(&self.board, now) {
+        if self.reports.settle_next(&self.duties, now) {
             self.watch.renew();
             self.keep_lease();
             if let Some(report) = self.reports.due(self.clock.now()) {
@@ -251,29 +256,29 @@
 
     /// Sends a report.
     fn send_report(&mut self, report: &UsageReport) {
-        let Some(pass) = self.pass() else { return };
-        let sent = self.platform.report_usage(&pass, report);
+        let Some(token) = self.fencing_token() else { return };
+        let sent = self.platform.report_usage(&token, report);
         let now = self.clock.now();
         log::info!(
-            window = report.window, fence = pass.fence, outcome = outcome_text(&sent);
+            window = report.window, fence = token.fence, outcome = outcome_text(&sent);
             "usage reported"
         );
         self.count("usage", outcome_text(&sent).as_str());
         match sent {
             Ok(DutyAnswer::Taken) => {
                 self.reports.acknowledged = true;
-                self.board.close_window(report.window);
+                self.duties.close_window(report.window);
             }
             Ok(DutyAnswer::Refused) => self.watch.lose(),
             // A report that is carried out late says the same.
-            Ok(DutyAnswer::Busy) | Err(_) => self.reports.put_off(now),
+            Ok(DutyAnswer::Busy) | Err(_) => self.reports.postpone(now),
         }
     }
 
     /// Gives the orders that are due.
-    fn order(&mut self) {
+    fn send_orders(&mut self) {
         let now = self.clock.now();
-        for order in self.orders.due(&self.board, now) {
+        for order in self.orders.due(&self.duties, now) {
             if !self.send_order(&order) {
                 return;
             }
@@ -282,12 +287,12 @@
 
     /// Gives an order. Returns whether others may follow.
     fn send_order(&mut self, order: &ServiceOrder) -> bool {
-        let Some(pass) = self.pass() else { return false };
-        let sent = self.platform.order_servers(&pass, &order.service, &order.order);
+        let Some(token) = self.fencing_token() else { return false };
+        let sent = self.platform.order_servers(&token, &order.service, &order.order);
         let now = self.clock.now();
         log::info!(
             service = order.service, data_centre = order.order.data_centre,
-            spot = order.order.spot, count = order.order.count, fence = pass.fence,
+            spot = order.order.spot, count = order.order.count, fence = token.fence,
             outcome = outcome_text(&sent);
             "servers ordered"
         );
@@ -301,7 +306,7 @@
             }
             Err(_) => OrderOutcome::Unknown,
         };
-        self.orders.record(order, outcome, now);
+        self.orders.record_outcome(order, outcome, now);
         match outcome {
             OrderOutcome::Taken => true,
             OrderOutcome::Unavailable => {
@@ -318,7 +323,7 @@
     }
 
     /// Returns with what a call may be made now.
-    fn pass(&self) -> Option<FencingToken> {
+    fn fencing_token(&self) -> Option<FencingToken> {
         let fence = self.watch.fence(self.clock.now(), true)?;
         Some(FencingToken { holder: self.name.clone(), fence })
     }
--- a/crates/flaxtide-entry/src/duty/view.rs
+++ b/crates/flaxtide-entry/src/duty/view.rs
@@ -10,8 +10,8 @@
 use crate::state::TrafficState;
 
 /// Shows the thread of the duties what a holder has to know, if this instance may be one.
-pub(crate) fn update_duty_view(state: &TrafficState, board: &SharedDuties) {
-    if !board.wants_view() {
+pub(crate) fn update_duty_view(state: &TrafficState, duties: &SharedDuties) {
+    if !duties.needs_view() {
         return;
     }
     let Some(table) = state.table() else { return };
@@ -21,10 +21,10 @@
             name: service.name.clone(),
             rules: service.scaling.clone()?,
             slots: service.engine.map_or(1, |engine| engine.slots),
-            stocks: stocks_of(state, &service.name),
+            stocks: count_stocks(state, &service.name),
         })
     });
-    board.set_view(DutyView {
+    duties.set_view(DutyView {
         organisations: names.map(|name| (fleet_key(name), name.to_owned())).collect(),
         services: services.collect(),
         live: u32::try_from(state.metrics.instances.get()).unwrap_or_default(),
@@ -32,7 +32,7 @@
 }
 
 /// Counts the servers of a service that serve and aren't leaving.
-fn stocks_of(
+fn count_stocks(
     state: &TrafficState,
     service: &str,
 ) -> BTreeMap<DataCentreName, ServerStock> {
--- a/crates/flaxtide-entry/src/feed.rs
+++ b/crates/flaxtide-entry/src/feed.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc::Receiver;
 
 use crate::contract::{FeedBatch, FeedRow, FeedTopic, PlatformFeed};
-use crate::fleet::{take_peer_loads, take_peer_reads, take_peer_unresponsive};
+use crate::fleet::{apply_peer_loads, apply_peer_reads, apply_peer_unresponsive};
 use crate::shared_rules::{RulesCopy, SharedRules};
 use crate::state::TrafficState;
 
@@ -24,7 +24,7 @@
         /// The rows.
         batch: FeedBatch,
         /// Whether these are all rows of the topic.
-        whole: bool,
+        is_snapshot: bool,
         /// For how long before them nothing was known of changes.
         unseen: Duration,
     },
@@ -71,12 +71,17 @@
                 for text in batch.rows.into_iter().filter_map(|row| row.text) {
                     // A store that lost its history has the same rules read again.
                     if !shared.holds(&text) {
-                        take_rules(&state, &*feed, &shared, text.into(), "platform");
+                        apply_rules(&state, &*feed, &shared, text.into(), "platform");
                     }
                 }
             }
-            FeedEvent::Batch { topic: FeedTopic::Servers, batch, whole, unseen } => {
-                take_servers(&state, &*feed, batch, whole, unseen);
+            FeedEvent::Batch {
+                topic: FeedTopic::Servers,
+                batch,
+                is_snapshot,
+                unseen,
+            } => {
+                apply_servers(&state, &*feed, batch, is_snapshot, unseen);
             }
             FeedEvent::Lost | FeedEvent::Regained => {
                 state.directory.borrow_mut().trouble(now);
@@ -84,13 +89,13 @@
             // Rules that are in force already aren't decoded again.
             FeedEvent::PeerRules(copy) if !state.needs(copy.version) => {}
             FeedEvent::PeerRules(copy) => {
-                take_peer_rules(&state, &*feed, &shared, copy);
+                apply_peer_rules(&state, &*feed, &shared, copy);
             }
-            FeedEvent::PeerLoads(peer, loads) => take_peer_loads(&state, &peer, &loads),
+            FeedEvent::PeerLoads(peer, loads) => apply_peer_loads(&state, &peer, &loads),
             FeedEvent::PeerUnresponsive(servers) => {
-                take_peer_unresponsive(&state, &servers);
+                apply_peer_unresponsive(&state, &servers);
             }
-            FeedEvent::PeerReads(reads) => take_peer_reads(&state, &reads),
+            FeedEvent::PeerReads(reads) => apply_peer_reads(&state, &reads),
             FeedEvent::Crashes(reports) => state.quarantine.hear(&state, &reports),
             FeedEvent::Pushback(reports) => state.pushback.hear_peers(&state, &reports),
             FeedEvent::Fleet { live, newest_rules, knows_crashes, group } => {
@@ -109,14 +114,14 @@
 }
 
 /// Puts rules in force that a peer sent, if they are what it says.
-fn take_peer_rules(
+fn apply_peer_rules(
     state: &TrafficState,
     feed: &dyn PlatformFeed,
     shared: &SharedRules,
     copy: RulesCopy,
 ) {
     let told = copy.version;
-    let version = take_rules(state, feed, shared, copy.text, "peer");
+    let version = apply_rules(state, feed, shared, copy.text, "peer");
     if version != Some(told) {
         log::error!(told, version:?; "rules of a peer are not what it says");
         state.fleet.reject_rules(told);
@@ -124,7 +129,7 @@
 }
 
 /// Puts rules in force, unless newer ones are. Returns their version, if they are understood.
-fn take_rules(
+fn apply_rules(
     state: &TrafficState,
     feed: &dyn PlatformFeed,
     shared: &SharedRules,
@@ -149,11 +154,11 @@
 }
 
 /// Handles rows of servers.
-fn take_servers(
+fn apply_servers(
     state: &TrafficState,
     feed: &dyn PlatformFeed,
     batch: FeedBatch,
-    whole: bool,
+    is_snapshot: bool,
     unseen: Duration,
 ) {
     let now = state.now();
@@ -161,9 +166,9 @@
     state.directory.borrow_mut().enter_era(store_era(batch.version));
     let names: Vec<ServerName> = batch.rows.iter().map(|row| row.name.clone()).collect();
     for row in batch.rows {
-        changed |= take_server(state, feed, row, unseen, now);
+        changed |= apply_server(state, feed, row, unseen, now);
     }
-    if whole {
+    if is_snapshot {
         changed |= state.directory.borrow_mut().keep_only(&names, unseen, now);
     }
     let first = !state.listed.replace(true);
@@ -173,7 +178,7 @@
 }
 
 /// Handles the row of one server. Returns whether it changes anything.
-fn take_server(
+fn apply_server(
     state: &TrafficState,
     feed: &dyn PlatformFeed,
     row: FeedRow,
@@ -213,6 +218,6 @@
 /// Shortens a text that anybody may have written, for the log.
 fn shorten(text: &str) -> String {
     /// How many characters are enough to find the row.
-    const LONGEST: usize = 200;
-    text.chars().take(LONGEST).collect()
+    const MAX_CHARS: usize = 200;
+    text.chars().take(MAX_CHARS).collect()
 }
--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -29,13 +29,13 @@
 use crate::state::TrafficState;
 
 /// The length of the ring to the fleet thread.
-const FLEET_RING: usize = 64;
+const FLEET_QUEUE_LEN: usize = 64;
 
 /// How often peers' news are prepared: with each look of the traffic thread.
-const TELL_PERIOD: Duration = Duration::from_millis(100);
+const PUBLISH_PERIOD: Duration = Duration::from_millis(100);
 
 /// How many prompt tokens one unit of a load stands for.
-const TOKENS_PER_UNIT: u32 = 16;
+const TOKENS_PER_LOAD_UNIT: u32 = 16;
 
 /// Up to how many instances tell each other everything, whatever their data centres: so many
 /// heartbeats fit the 17 KB/s of control at their longest period.
@@ -51,8 +51,8 @@
 impl FleetLink {
     /// Makes a ring. The receiver is the fleet thread's.
     pub(crate) fn new() -> (Self, Receiver<FleetEvent>) {
-        let (events, ring) = bounded(FLEET_RING);
-        (Self { events }, ring)
+        let (events, queue) = bounded(FLEET_QUEUE_LEN);
+        (Self { events }, queue)
     }
 
     /// Tells peers of a new version of the rules.
@@ -103,11 +103,11 @@
         &self,
         report: PushbackReport,
         clock: &MilliClock,
-        heard: Duration,
+        heard_at: Duration,
     ) -> bool {
         let clock = clock.clone();
         self.update(move |node, now| {
-            let age = clock.now().saturating_sub(heard).as_millis();
+            let age = clock.now().saturating_sub(heard_at).as_millis();
             let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
             node.record_pushback(&[PushbackReport { age_ms, ..report }], now);
         })
@@ -150,23 +150,23 @@
         data_centre: config.data_centre.clone(),
         address: config.fleet,
     };
-    let (heard, adopted) = (events.clone(), events.clone());
-    let given = shared.clone();
+    let (notice_events, rules_events) = (events.clone(), events.clone());
+    let shared_rules = shared.clone();
     let received = metrics.rules_copies.with_label_values(&["received"]);
-    let gave = metrics.rules_copies.with_label_values(&["given"]);
+    let given = metrics.rules_copies.with_label_values(&["given"]);
     let seeds = config.seeds.clone();
     let opened = FleetThread::listen(
         config.fleet,
         MilliClock::real(),
-        move |news| hear(&heard, news),
+        move |notices| forward_notices(&notice_events, notices),
         move |copy| {
             received.inc();
             let copy = RulesCopy { version: copy.version, text: copy.tree };
-            hand_over(adopted.clone(), FeedEvent::PeerRules(copy));
+            forward_reliably(rules_events.clone(), FeedEvent::PeerRules(copy));
         },
         move |version| {
-            let copy = given.newer_than(version)?;
-            gave.inc();
+            let copy = shared_rules.newer_than(version)?;
+            given.inc();
             Some(SettingsCopy { version: copy.version, tree: copy.text })
         },
         |_| {
@@ -188,24 +188,24 @@
 }
 
 /// Passes on what peers have told.
-fn hear(events: &mpsc::Sender<FeedEvent>, news: Vec<FleetNotice>) {
-    for news in news {
-        match news {
+fn forward_notices(events: &mpsc::Sender<FeedEvent>, notices: Vec<FleetNotice>) {
+    for notice in notices {
+        match notice {
             FleetNotice::PeerLoads(peer, loads) => {
-                tell(events, FeedEvent::PeerLoads(peer, loads));
+                forward(events, FeedEvent::PeerLoads(peer, loads));
             }
             FleetNotice::GroupLoads(data_centre, loads) => {
-                tell(events, FeedEvent::PeerLoads(data_centre, loads));
+                forward(events, FeedEvent::PeerLoads(data_centre, loads));
             }
             FleetNotice::PeerUnresponsive(servers) => {
-                tell(events, FeedEvent::PeerUnresponsive(servers));
+                forward(events, FeedEvent::PeerUnresponsive(servers));
             }
-            FleetNotice::PeerReads(reads) => tell(events, FeedEvent::PeerReads(reads)),
+            FleetNotice::PeerReads(reads) => forward(events, FeedEvent::PeerReads(reads)),
             FleetNotice::Crashes(reports) => {
-                hand_over(events.clone(), FeedEvent::Crashes(reports));
+                forward_reliably(events.clone(), FeedEvent::Crashes(reports));
             }
             FleetNotice::Pushback(reports) => {
-                hand_over(events.clone(), FeedEvent::Pushback(reports));
+                forward_reliably(events.clone(), FeedEvent::Pushback(reports));
             }
             // Slots and rates aren't shared out here: every instance may use every server.
             // The fleet thread fetches newer rules by itself.
@@ -219,7 +219,7 @@
 
 /// Hands the traffic thread what peers say only once, such as rules or crashes. It waits for a
 /// place in the ring.
-fn hand_over(events: mpsc::Sender<FeedEvent>, event: FeedEvent) {
+fn forward_reliably(events: mpsc::Sender<FeedEvent>, event: FeedEvent) {
     tokio::spawn(async move {
         // The traffic thread ends only with the process.
         let _ = events.send(event).await;
@@ -228,7 +228,7 @@
 
 /// Puts an event into the ring to the traffic thread. A full ring loses it; peers say the
 /// same again within a period.
-fn tell(events: &mpsc::Sender<FeedEvent>, event: FeedEvent) {
+fn forward(events: &mpsc::Sender<FeedEvent>, event: FeedEvent) {
     if events.try_send(event).is_err() {
         log::warn!("traffic thread is behind, a peer's word is lost");
     }
@@ -274,24 +274,24 @@
     events: &mpsc::Sender<FeedEvent>,
 ) {
     let loads = state.ask(|core, now| core.own_loads(now));
-    let loads = loads.iter().filter_map(|load| own_load(state, load)).collect();
+    let loads = loads.iter().filter_map(|load| to_own_load(state, load)).collect();
     let notes = state.ask(|core, now| core.own_reads(now));
     let reads: Vec<(Duration, PartRead)> =
-        notes.iter().filter_map(|note| part_read(state, note)).collect();
+        notes.iter().filter_map(|note| to_part_read(state, note)).collect();
     let silent = state.ask(|core, now| core.silent_servers(now));
     let silent: Vec<FleetKey> =
         silent.iter().filter_map(|server| state.server_key(*server)).collect();
     let events = events.clone();
     let source = state.source.clone();
     let version = state.rules_version();
-    source.note_rules(version, state.newest_rules.get());
+    source.record_rules(version, state.newest_rules.get());
     let duties = state.duties.clone();
     let alone_below = state.config().read_alone_below;
     link.update(move |node, now| {
         // Told again each time, as the ring may have been full when the rules came.
         node.set_version(version);
         // Each beat tells what has been read since the one before it.
-        let recent = node.period() + TELL_PERIOD * 2;
+        let recent = node.period() + PUBLISH_PERIOD * 2;
         let reads = reads.iter().filter(|(age, _)| *age < recent).map(|(_, read)| *read);
         let reads = reads.collect();
         node.set_demand(
@@ -308,9 +308,9 @@
         if source.set_plan(plan) {
             log::info!(reader:? = reader, standby; "list reader");
         }
-        node.set_told_by_peers(source.told_lately());
-        if let Some(board) = duties {
-            board.set_stands(node.stands_for_duties(now));
+        node.set_told_by_peers(source.reader_answered_lately());
+        if let Some(duties) = duties {
+            duties.set_candidate(node.stands_for_duties(now));
         }
         let live = node.fleet_size(now);
         let newest_rules = node.newest_known(now);
@@ -327,20 +327,20 @@
 }
 
 /// Spells what a server has read as peers are told, with its age.
-fn part_read(state: &TrafficState, note: &ReadNote) -> Option<(Duration, PartRead)> {
+fn to_part_read(state: &TrafficState, note: &ReadNote) -> Option<(Duration, PartRead)> {
     let server = state.server_key(note.server)?;
     Some((note.age, PartRead { server, part: note.part }))
 }
 
 /// Handles that a peer has found servers unresponsive.
-pub(crate) fn take_peer_unresponsive(state: &TrafficState, servers: &[FleetKey]) {
+pub(crate) fn apply_peer_unresponsive(state: &TrafficState, servers: &[FleetKey]) {
     let known: Vec<ServerId> =
         servers.iter().filter_map(|key| state.server_with_key(*key)).collect();
     state.ask(|core, now| core.hear_rumours(&known, now));
 }
 
 /// Takes in what servers have read for a peer.
-pub(crate) fn take_peer_reads(state: &TrafficState, reads: &[PartRead]) {
+pub(crate) fn apply_peer_reads(state: &TrafficState, reads: &[PartRead]) {
     let known = reads.iter().filter_map(|read| {
         let server = state.server_with_key(read.server)?;
         Some((server, read.part))
@@ -350,19 +350,19 @@
 }
 
 /// Spells a load as peers are told.
-fn own_load(state: &TrafficState, load: &ServerLoad) -> Option<OwnLoad> {
+fn to_own_load(state: &TrafficState, load: &ServerLoad) -> Option<OwnLoad> {
     Some(OwnLoad {
         server: state.server_key(load.server)?,
         short: u8::try_from(load.short).unwrap_or(u8::MAX),
         long: u8::try_from(load.long).unwrap_or(u8::MAX),
-        unread: load
-            .unread
-            .map(|tokens| u16::try_from(tokens / TOKENS_PER_UNIT).unwrap_or(u16::MAX)),
+        unread: load.unread.map(|tokens| {
+            u16::try_from(tokens / TOKENS_PER_LOAD_UNIT).unwrap_or(u16::MAX)
+        }),
     })
 }
 
 /// Takes in what a peer has at servers.
-pub(crate) fn take_peer_loads(
+pub(crate) fn apply_peer_loads(
     state: &TrafficState,
     peer: &InstanceName,
     loads: &[OwnLoad],
@@ -374,7 +374,7 @@
             server,
             short: u32::from(load.short),
             long: u32::from(load.long),
-            unread: load.unread.map(|units| u32::from(units) * TOKENS_PER_UNIT),
+            unread: load.unread.map(|units| u32::from(units) * TOKENS_PER_LOAD_UNIT),
         })
     });
     let known: Vec<PeerLoad> = known.collect();
--- a/crates/flaxtide-entry/src/follow.rs
+++ b/crates/flaxtide-entry/src/follow.rs
@@ -12,32 +12,32 @@
 
 /// How long a call waits for changes soon after a failed one. A store that has just come
 /// back may not tell those who wait of everything that changes.
-const CAUTIOUS_WAIT: Duration = Duration::from_millis(1000);
+const SHORT_WAIT: Duration = Duration::from_millis(1000);
 
 /// For how long after a failed call calls wait no longer than that.
-const CAUTION: Duration = Duration::from_secs(10);
+const SHORT_WAIT_SPAN: Duration = Duration::from_secs(10);
 
 /// How long the first pause after a failed call is.
 const FIRST_PAUSE: Duration = Duration::from_millis(150);
 
 /// The longest such pause. A configuration must be in force within seconds of the
 /// platform's return.
-const LONGEST_PAUSE: Duration = Duration::from_millis(600);
+const MAX_PAUSE: Duration = Duration::from_millis(600);
 
 /// After so long without an answer of the platform or of peers the platform counts as out: rows may
 /// lapse then. Servers renew theirs each 1.2 s, and three times in a row must be missed.
-const OUT_AFTER: Duration = Duration::from_secs(2);
+const OUTAGE_AFTER: Duration = Duration::from_secs(2);
 
 /// Within what part of the time for leaving servers a standby calls the platform once no peer
 /// tells,
-const STANDBY_PART: f64 = 0.05;
+const STANDBY_FRACTION: f64 = 0.05;
 
 /// and all others, if nobody who reads is there: what they know must not grow old.
-const ALONE_PART: f64 = 0.1;
+const NO_READER_FRACTION: f64 = 0.1;
 
 /// Within what time the others call it if those who read are there and can't tell: then the
 /// platform is in trouble.
-const TROUBLED_START: Duration = Duration::from_secs(3);
+const READERS_FAILING_WINDOW: Duration = Duration::from_secs(3);
 
 /// Returns within what time an instance for which peers read calls the platform itself, once
 /// none of them tells. A leaving server may get no more work after `leave_within`.
@@ -57,17 +57,17 @@
     leave_within: Duration,
 ) -> Duration {
     match (standby, readers_answer) {
-        (true, _) => leave_within.mul_f64(STANDBY_PART),
-        (false, false) => leave_within.mul_f64(ALONE_PART),
-        (false, true) => TROUBLED_START,
+        (true, _) => leave_within.mul_f64(STANDBY_FRACTION),
+        (false, false) => leave_within.mul_f64(NO_READER_FRACTION),
+        (false, true) => READERS_FAILING_WINDOW,
     }
 }
 
 /// The pause after the first failed call of such an instance; it doubles with each.
-const BACKOFF_FIRST: Duration = Duration::from_secs(4);
+const FIRST_BACKOFF: Duration = Duration::from_secs(4);
 
 /// The longest such pause. Its readers tell it sooner that the platform is back.
-const BACKOFF_LONGEST: Duration = Duration::from_secs(8);
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
 /// When an instance for which peers read calls the platform itself, while no peer tells.
 ///
@@ -79,17 +79,17 @@
 /// use flaxtide_entry::CallBackoff;
 /// let mut backoff = CallBackoff::default();
 /// let window = Duration::from_secs(3);
-/// let rest = backoff.rest(window, 0.5, Duration::ZERO);
-/// assert_eq!(rest, Some(Duration::from_millis(1500)));
-/// assert_eq!(backoff.rest(window, 0.5, Duration::from_secs(2)), None);
-/// backoff.fail(0.5, Duration::from_secs(2));
-/// let rest = backoff.rest(window, 0.5, Duration::from_secs(2));
-/// assert_eq!(rest, Some(Duration::from_secs(4)));
+/// let delay = backoff.delay(window, 0.5, Duration::ZERO);
+/// assert_eq!(delay, Some(Duration::from_millis(1500)));
+/// assert_eq!(backoff.delay(window, 0.5, Duration::from_secs(2)), None);
+/// backoff.record_failure(0.5, Duration::from_secs(2));
+/// let delay = backoff.delay(window, 0.5, Duration::from_secs(2));
+/// assert_eq!(delay, Some(Duration::from_secs(4)));
 /// ```
 #[derive(Debug, Default)]
 pub struct CallBackoff {
     /// When the next call may be made, once no peer tells.
-    next: Option<Duration>,
+    next_call: Option<Duration>,
     /// The pause after the next failed call.
     pause: Option<Duration>,
 }
@@ -97,26 +97,26 @@
 impl CallBackoff {
     /// Returns how long the platform isn't called; nothing if it may be called now. The first
     /// call falls within a window; `draw` lies between 0 and 1.
-    pub fn rest(
+    pub fn delay(
         &mut self,
         window: Duration,
-        draw: f64,
+        random: f64,
         now: Duration,
     ) -> Option<Duration> {
-        let next = *self.next.get_or_insert(now + window.mul_f64(draw));
-        (now < next).then(|| next - now)
+        let next_call = *self.next_call.get_or_insert(now + window.mul_f64(random));
+        (now < next_call).then(|| next_call - now)
     }
 
     /// Records that a call has failed.
-    pub fn fail(&mut self, draw: f64, now: Duration) {
-        let pause = self.pause.unwrap_or(BACKOFF_FIRST);
-        self.next = Some(now + pause.mul_f64(0.5 + draw));
-        self.pause = Some((pause * 2).min(BACKOFF_LONGEST));
+    pub fn record_failure(&mut self, random: f64, now: Duration) {
+        let pause = self.pause.unwrap_or(FIRST_BACKOFF);
+        self.next_call = Some(now + pause.mul_f64(0.5 + random));
+        self.pause = Some((pause * 2).min(MAX_BACKOFF));
     }
 
     /// Records that the platform has answered: it may be called again, until a peer tells.
-    pub fn succeed(&mut self, now: Duration) {
-        *self = Self { next: Some(now), pause: None };
+    pub fn record_success(&mut self, now: Duration) {
+        *self = Self { next_call: Some(now), pause: None };
     }
 
     /// Records that a peer tells.
@@ -131,9 +131,9 @@
 /// use std::time::Duration;
 /// use flaxtide_entry::{FeedError, FollowState};
 /// let mut state = FollowState::default();
-/// state.take_version(7);
+/// state.record_answer(7);
 /// assert_eq!(state.after(), Some(7));
-/// let fault = state.take_fault(&FeedError::Refused { status: 503 }, Duration::ZERO);
+/// let fault = state.record_fault(&FeedError::Refused { status: 503 }, Duration::ZERO);
 /// assert!(fault.lost);
 /// assert_eq!(fault.pause, Duration::from_millis(150));
 /// ```
@@ -145,9 +145,9 @@
     pause: Option<Duration>,
     /// The last pause after a history that was gone, until changes are told again. A store
     /// that keeps none would have everything read from it without an end.
-    gone: Option<Duration>,
+    reread_pause: Option<Duration>,
     /// Until when calls don't wait long.
-    cautious_until: Duration,
+    short_waits_until: Duration,
     /// Up to when all changes are known.
     known_until: Option<Duration>,
 }
@@ -156,7 +156,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowAnswer {
     /// Whether it had everything, rather than changes.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// Whether it was the first after failed calls.
     pub regained: bool,
 }
@@ -179,27 +179,27 @@
 
     /// Returns how long a call may wait for changes.
     #[must_use]
-    pub fn longest_wait(&self, now: Duration) -> Duration {
+    pub fn max_wait(&self, now: Duration) -> Duration {
         match self.pause {
             // The first answer after a failure is all that counts.
             Some(_) => Duration::ZERO,
-            None if now < self.cautious_until => CAUTIOUS_WAIT,
+            None if now < self.short_waits_until => SHORT_WAIT,
             None => FOLLOW_WAIT,
         }
     }
 
     /// Takes in an answer up to a version.
-    pub fn take_version(&mut self, version: StoreVersion) -> FollowAnswer {
-        let whole = self.after.replace(version).is_none();
-        if !whole {
-            self.gone = None;
+    pub fn record_answer(&mut self, version: StoreVersion) -> FollowAnswer {
+        let is_snapshot = self.after.replace(version).is_none();
+        if !is_snapshot {
+            self.reread_pause = None;
         }
-        FollowAnswer { whole, regained: self.pause.take().is_some() }
+        FollowAnswer { is_snapshot, regained: self.pause.take().is_some() }
     }
 
     /// Records that an answer tells of all changes up to a time. Returns for how long before `now`
     /// nothing was known of changes.
-    pub fn cover(&mut self, until: Duration, now: Duration) -> Duration {
+    pub fn record_coverage(&mut self, until: Duration, now: Duration) -> Duration {
         let known = self
             .known_until
             .replace(self.known_until.map_or(until, |at| at.max(until)));
@@ -210,38 +210,40 @@
     /// platform is out. Single failed calls, and peers that can't tell, are no outage: the platform
     /// may turn some away and serve others.
     #[must_use]
-    pub fn is_out(&self, now: Duration) -> bool {
-        self.known_until.is_none_or(|at| now >= at + OUT_AFTER)
+    pub fn is_outage(&self, now: Duration) -> bool {
+        self.known_until.is_none_or(|at| now >= at + OUTAGE_AFTER)
     }
 
     /// Records that peers which should tell don't: the platform may be in trouble, and a call that
     /// waits long for it is one that a store which comes back never answers.
-    pub fn doubt(&mut self, now: Duration) {
-        self.cautious_until = self.cautious_until.max(now + CAUTION);
+    pub fn shorten_waits(&mut self, now: Duration) {
+        self.short_waits_until = self.short_waits_until.max(now + SHORT_WAIT_SPAN);
     }
 
     /// Takes in that a call has failed.
-    pub fn take_fault(&mut self, fault: &FeedError, now: Duration) -> FollowFault {
-        self.cautious_until = now + CAUTION;
+    pub fn record_fault(&mut self, fault: &FeedError, now: Duration) -> FollowFault {
+        self.short_waits_until = now + SHORT_WAIT_SPAN;
         if *fault == FeedError::HistoryGone {
-            return FollowFault { lost: false, pause: self.start_anew() };
+            return FollowFault { lost: false, pause: self.restart() };
         }
         let lost = self.pause.is_none();
-        let pause = longer(self.pause);
+        let pause = next_pause(self.pause);
         self.pause = Some(pause);
         FollowFault { lost, pause }
     }
 
     /// Wants everything. Returns how long nobody calls before.
-    fn start_anew(&mut self) -> Duration {
+    fn restart(&mut self) -> Duration {
         self.after = None;
-        let pause = self.gone.map_or(Duration::ZERO, |last| longer(Some(last)));
-        self.gone = Some(pause);
+        let pause = self
+            .reread_pause
+            .map_or(Duration::ZERO, |last| next_pause(Some(last)));
+        self.reread_pause = Some(pause);
         pause
     }
 }
 
 /// Returns the pause that follows another.
-fn longer(last: Option<Duration>) -> Duration {
-    last.map_or(FIRST_PAUSE, |last| (last * 2).clamp(FIRST_PAUSE, LONGEST_PAUSE))
+fn next_pause(last: Option<Duration>) -> Duration {
+    last.map_or(FIRST_PAUSE, |last| (last * 2).clamp(FIRST_PAUSE, MAX_PAUSE))
 }
--- a/crates/flaxtide-entry/src/follower.rs
+++ b/crates/flaxtide-entry/src/follower.rs
@@ -18,24 +18,24 @@
 use crate::source::ServerListSource;
 
 /// How often an instance looks whether peers still hand rules on.
-const PEERS_PERIOD: Duration = Duration::from_millis(500);
+const PEER_CHECK_PERIOD: Duration = Duration::from_millis(500);
 
 /// How often peers are asked by an instance that leaves the platform in peace.
-const REST_PERIOD: Duration = Duration::from_millis(100);
+const PEER_RETRY_PERIOD: Duration = Duration::from_millis(100);
 
 /// How often an instance that has just started looks whether it knows who reads.
-const SETTLING_PERIOD: Duration = Duration::from_millis(100);
+const PLAN_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
 /// A call that took longer than this has waited for changes: the platform answers others within a
 /// few milliseconds, and those that wait as soon as there is a change.
-const WAITED: Duration = Duration::from_millis(100);
+const LONG_POLL_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// What peers tell of a topic.
-enum PeerWord {
+enum PeerUpdate {
     /// These rows have changed.
     Rows(FeedBatch),
     /// Changes come another way.
-    Elsewhere,
+    Pushed,
 }
 
 /// What follows one topic.
@@ -60,40 +60,45 @@
 impl TopicFollower {
     /// Returns what peers tell of the topic; nothing if this instance is to call the
     /// platform.
-    fn told_by_peers(&self, after: Option<StoreVersion>) -> Option<PeerWord> {
+    fn poll_peers(&self, after: Option<StoreVersion>) -> Option<PeerUpdate> {
         let after = after?;
         let Some((list, link)) = self.list.as_ref() else {
             // Peers hand newer rules on by themselves, as long as their readers go on.
-            let hands_on = self.source.told_lately() && !self.source.is_behind();
-            return hands_on.then_some(PeerWord::Elsewhere);
+            let pushed =
+                self.source.reader_answered_lately() && !self.source.rules_overdue();
+            return pushed.then_some(PeerUpdate::Pushed);
         };
-        let changes = self.source.ask(link, after)?;
-        list.forget();
+        let changes = self.source.fetch_changes(link, after)?;
+        list.clear_log();
         self.count("peer");
         let row =
             |row: RowCopy| FeedRow { name: row.name, text: row.text, version: None };
-        Some(PeerWord::Rows(FeedBatch {
+        Some(PeerUpdate::Rows(FeedBatch {
             version: changes.version.max(after),
             rows: changes.rows.into_iter().map(row).collect(),
         }))
     }
 
     /// Returns how long this instance leaves the platform in peace, though no peer tells.
-    fn rest(&self, backoff: &mut CallBackoff, now: Duration) -> Option<Duration> {
-        let behind = self.topic == FeedTopic::Rules && self.source.is_behind();
-        if !self.source.follows_peers() || behind {
+    fn platform_delay(
+        &self,
+        backoff: &mut CallBackoff,
+        now: Duration,
+    ) -> Option<Duration> {
+        let overdue = self.topic == FeedTopic::Rules && self.source.rules_overdue();
+        if !self.source.reads_from_peers() || overdue {
             return None;
         }
-        backoff.rest(self.source.start_window(), rand::random(), now)
+        backoff.delay(self.source.call_window(), rand::random(), now)
     }
 
     /// Calls the platform, and waits for changes no longer than `most`.
-    fn call(
+    fn fetch(
         &self,
         after: Option<StoreVersion>,
-        most: Duration,
+        max_wait: Duration,
     ) -> Result<FeedBatch, FeedError> {
-        let wait = self.timing().0.min(most);
+        let wait = self.timing().0.min(max_wait);
         let read = match after {
             None => self.feed.read(self.topic),
             Some(version) => self.feed.follow(self.topic, version, wait),
@@ -116,8 +121,12 @@
 
     /// Returns up to when an answer of the platform tells of changes, if its call was made at
     /// `called`. One that had to wait tells of what has just changed.
-    fn covered(called: Duration, answered: Duration) -> Duration {
-        if answered > called + WAITED { answered - WAITED } else { called }
+    fn covered_until(called: Duration, answered: Duration) -> Duration {
+        if answered > called + LONG_POLL_THRESHOLD {
+            answered - LONG_POLL_THRESHOLD
+        } else {
+            called
+        }
     }
 
     /// Calls the platform and handles its answer, then pauses. Returns whether somebody
@@ -128,75 +137,85 @@
         backoff: &mut CallBackoff,
         clock: &MilliClock,
     ) -> bool {
-        let most = state.longest_wait(clock.now());
-        let rest = self.timing().1;
+        let max_wait = state.max_wait(clock.now());
+        let pause = self.timing().1;
         let called = clock.now();
-        match self.call(state.after(), most) {
+        match self.fetch(state.after(), max_wait) {
             Ok(batch) => {
                 let now = clock.now();
-                backoff.succeed(now);
-                let was_out = state.is_out(now);
-                let unseen = state.cover(Self::covered(called, now), now);
+                backoff.record_success(now);
+                let was_outage = state.is_outage(now);
+                let unseen = state.record_coverage(Self::covered_until(called, now), now);
                 let waited = now.saturating_sub(called);
-                let unseen = if waited > WAITED { unseen.min(WAITED) } else { unseen };
-                let listened = self.take_batch(state, batch, unseen, was_out);
-                thread::sleep(rest);
-                listened
+                let unseen = if waited > LONG_POLL_THRESHOLD {
+                    unseen.min(LONG_POLL_THRESHOLD)
+                } else {
+                    unseen
+                };
+                let delivered = self.handle_batch(state, batch, unseen, was_outage);
+                thread::sleep(pause);
+                delivered
             }
             Err(fault) => {
                 if fault != FeedError::HistoryGone {
-                    backoff.fail(rand::random(), clock.now());
+                    backoff.record_failure(rand::random(), clock.now());
                 }
-                self.take_fault(state, &fault, clock.now())
+                self.handle_fault(state, &fault, clock.now())
             }
         }
     }
 
     /// Handles an answer. Returns whether somebody listens.
-    fn take_batch(
+    fn handle_batch(
         &self,
         state: &mut FollowState,
         batch: FeedBatch,
         unseen: Duration,
-        was_out: bool,
+        was_outage: bool,
     ) -> bool {
-        let FollowAnswer { whole, regained } = state.take_version(batch.version);
+        let FollowAnswer { is_snapshot, regained } = state.record_answer(batch.version);
         self.metrics.store_era.set(store_era(batch.version) as i64);
         if regained {
             log_dependency(self.topic, true, None, &self.metrics);
         }
-        if regained && was_out && !self.tell_outage(FeedEvent::Regained) {
+        if regained && was_outage && !self.send_outage(FeedEvent::Regained) {
             return false;
         }
-        let news = whole || !batch.rows.is_empty();
-        !news || self.tell(FeedEvent::Batch { topic: self.topic, batch, whole, unseen })
+        let news = is_snapshot || !batch.rows.is_empty();
+        !news
+            || self.send_event(FeedEvent::Batch {
+                topic: self.topic,
+                batch,
+                is_snapshot,
+                unseen,
+            })
     }
 
     /// Handles a failed call, and pauses. Returns whether somebody listens.
-    fn take_fault(
+    fn handle_fault(
         &self,
         state: &mut FollowState,
         fault: &FeedError,
         now: Duration,
     ) -> bool {
-        let FollowFault { lost, pause } = state.take_fault(fault, now);
+        let FollowFault { lost, pause } = state.record_fault(fault, now);
         log_fault(self.topic, fault, pause);
         if lost {
             log_dependency(self.topic, false, Some(fault), &self.metrics);
         }
-        let listened = !state.is_out(now) || self.tell_outage(FeedEvent::Lost);
+        let delivered = !state.is_outage(now) || self.send_outage(FeedEvent::Lost);
         thread::sleep(pause);
-        listened
+        delivered
     }
 
     /// Tells the traffic thread of an outage, if this follows the list of servers: what peers hand
     /// on of other topics says nothing of how fresh the list is. Returns whether it listens.
-    fn tell_outage(&self, event: FeedEvent) -> bool {
-        self.topic != FeedTopic::Servers || self.tell(event)
+    fn send_outage(&self, event: FeedEvent) -> bool {
+        self.topic != FeedTopic::Servers || self.send_event(event)
     }
 
     /// Tells the traffic thread. Returns whether it listens.
-    fn tell(&self, event: FeedEvent) -> bool {
+    fn send_event(&self, event: FeedEvent) -> bool {
         self.events.blocking_send(event).is_ok()
     }
 
@@ -217,34 +236,34 @@
     let mut backoff = CallBackoff::default();
     loop {
         let asked = clock.now();
-        let listened = match follower.told_by_peers(state.after()) {
-            Some(PeerWord::Rows(batch)) => {
+        let delivered = match follower.poll_peers(state.after()) {
+            Some(PeerUpdate::Rows(batch)) => {
                 backoff.reset();
-                let was_out = state.is_out(asked);
-                let covered = follower.source.covered(asked);
-                let unseen = state.cover(covered, clock.now());
-                follower.take_batch(&mut state, batch, unseen, was_out)
+                let was_outage = state.is_outage(asked);
+                let covered_until = follower.source.covered_until(asked);
+                let unseen = state.record_coverage(covered_until, clock.now());
+                follower.handle_batch(&mut state, batch, unseen, was_outage)
             }
-            Some(PeerWord::Elsewhere) => {
+            Some(PeerUpdate::Pushed) => {
                 backoff.reset();
-                thread::sleep(PEERS_PERIOD);
+                thread::sleep(PEER_CHECK_PERIOD);
                 true
             }
-            None if state.after().is_some() && follower.source.is_settling() => {
-                thread::sleep(SETTLING_PERIOD);
+            None if state.after().is_some() && follower.source.awaits_plan() => {
+                thread::sleep(PLAN_CHECK_PERIOD);
                 true
             }
-            None => match follower.rest(&mut backoff, clock.now()) {
-                Some(rest) => {
-                    state.doubt(clock.now());
-                    thread::sleep(rest.min(REST_PERIOD));
+            None => match follower.platform_delay(&mut backoff, clock.now()) {
+                Some(delay) => {
+                    state.shorten_waits(clock.now());
+                    thread::sleep(delay.min(PEER_RETRY_PERIOD));
                     // Rows that lapse meanwhile may do so since the platform is out.
-                    !state.is_out(clock.now()) || follower.tell_outage(FeedEvent::Lost)
+                    !state.is_outage(clock.now()) || follower.send_outage(FeedEvent::Lost)
                 }
                 None => follower.call_platform(&mut state, &mut backoff, &clock),
             },
         };
-        if !listened {
+        if !delivered {
             return;
         }
     }
--- a/crates/flaxtide-entry/src/lag.rs
+++ b/crates/flaxtide-entry/src/lag.rs
@@ -11,9 +11,9 @@
 /// use std::time::Duration;
 /// use flaxtide_entry::RulesLag;
 /// let mut lag = RulesLag::default();
-/// lag.note(7, 8, Duration::from_secs(1));
+/// lag.record(7, 8, Duration::from_secs(1));
 /// assert_eq!(lag.get(Duration::from_secs(3)), Some(Duration::from_secs(2)));
-/// lag.note(8, 8, Duration::from_secs(3));
+/// lag.record(8, 8, Duration::from_secs(3));
 /// assert_eq!(lag.get(Duration::from_secs(3)), None);
 /// ```
 #[derive(Debug, Default)]
@@ -24,7 +24,7 @@
 
 impl RulesLag {
     /// Records which version is in force, and which is the newest that is known.
-    pub fn note(
+    pub fn record(
         &mut self,
         in_force: SettingsVersion,
         newest: SettingsVersion,
--- a/crates/flaxtide-entry/src/reader.rs
+++ b/crates/flaxtide-entry/src/reader.rs
@@ -12,28 +12,28 @@
 use crate::contract::{FeedBatch, FeedRow};
 
 /// How many parts of batches of rows a reader keeps for peers that are behind.
-const KEPT_PARTS: usize = 128;
+const KEPT_CHUNKS: usize = 128;
 
 /// How many bytes of rows an answer to a peer has at most, unless one change alone has
 /// more. An answer has a limit of time for the whole, and one that comes too late is asked
 /// for again from its start: on a narrow link, a long one might never come to its end.
-const ANSWER_BYTES: usize = 32 * 1024;
+const MAX_ANSWER_BYTES: usize = 32 * 1024;
 
 /// How old a reader's last answer of the platform may be for its word to count, as a part of
 /// the time within which a leaving server gets no more work. All parts together leave room
 /// for a row that has gone to be missed (`directory.rs`).
-pub(crate) const FRESH_PART: f64 = 0.25;
+pub(crate) const MAX_AGE_FRACTION: f64 = 0.25;
 
 /// How long a reader's call to the platform waits for changes, and the pause after it, as
 /// parts of that time; together they stay below [`FRESH_PART`]. The pause is the longer part:
 /// while servers are replaced, rows change all the time and no call waits.
-const READER_WAIT_PART: f64 = 0.07;
+const READER_WAIT_FRACTION: f64 = 0.07;
 /// The pause.
-const READER_PACE_PART: f64 = 0.15;
+const READER_PAUSE_FRACTION: f64 = 0.15;
 
 /// How long a call of an instance waits for changes for which peers should read: they are
 /// asked again after it.
-const UNTOLD_WAIT: Duration = Duration::from_secs(2);
+const FALLBACK_WAIT: Duration = Duration::from_secs(2);
 
 /// What this instance has read from the platform lately, and who is to read.
 ///
@@ -70,14 +70,14 @@
     /// stands between them may have seen what isn't told.
     gaps: Vec<(StoreVersion, StoreVersion)>,
     /// The parts of the batches, oldest first.
-    parts: VecDeque<LogPart>,
+    chunks: VecDeque<LogChunk>,
     /// When the platform last answered this instance.
-    confirmed: Option<Duration>,
+    confirmed_at: Option<Duration>,
 }
 
 /// Rows that are told together.
 #[derive(Debug)]
-struct LogPart {
+struct LogChunk {
     /// Up to which version all rows are told, with the parts before.
     version: StoreVersion,
     /// The rows.
@@ -103,15 +103,15 @@
     pub fn record(&self, batch: &FeedBatch, after: Option<StoreVersion>) {
         let now = self.clock.now();
         let mut state = self.lock();
-        state.confirmed = Some(now);
+        state.confirmed_at = Some(now);
         match after {
             None => state.record_all(batch),
             Some(after) => state.record_changes(batch, after),
         }
         state.version = batch.version;
-        while state.parts.len() > KEPT_PARTS {
-            let Some(part) = state.parts.pop_front() else { break };
-            state.base = part.version;
+        while state.chunks.len() > KEPT_CHUNKS {
+            let Some(chunk) = state.chunks.pop_front() else { break };
+            state.base = chunk.version;
         }
         let base = state.base;
         state.gaps.retain(|(_, to)| *to > base);
@@ -123,7 +123,7 @@
 
     /// Records that rows came from elsewhere: what was read before them is of no use to
     /// peers any more.
-    pub(crate) fn forget(&self) {
+    pub(crate) fn clear_log(&self) {
         *self.lock() = LogState::default();
     }
 
@@ -132,15 +132,15 @@
     pub(crate) fn reader_timing(
         &self,
         reader: ListReader,
-        usual_pace: Duration,
+        usual_pause: Duration,
     ) -> Option<(Duration, Duration)> {
-        let part = |part| self.leave_within.mul_f64(part);
+        let chunk = |chunk| self.leave_within.mul_f64(chunk);
         match reader {
             ListReader::Alone => None,
             ListReader::ForPeers => {
-                Some((part(READER_WAIT_PART), part(READER_PACE_PART)))
+                Some((chunk(READER_WAIT_FRACTION), chunk(READER_PAUSE_FRACTION)))
             }
-            ListReader::Peer(_) => Some((UNTOLD_WAIT, usual_pace)),
+            ListReader::Peer(_) => Some((FALLBACK_WAIT, usual_pause)),
         }
     }
 
@@ -154,10 +154,10 @@
     fn changes_after(&self, version: u64) -> Option<RowChanges> {
         let now = self.clock.now();
         let state = self.lock();
-        let fresh = self.leave_within.mul_f64(FRESH_PART);
-        let confirmed = state.confirmed?;
+        let max_age = self.leave_within.mul_f64(MAX_AGE_FRACTION);
+        let confirmed_at = state.confirmed_at?;
         let unknown = version < state.base || version > state.version;
-        if now > confirmed + fresh || unknown || state.is_in_gap(version) {
+        if now > confirmed_at + max_age || unknown || state.is_in_gap(version) {
             return None;
         }
         Some(state.answer(version))
@@ -173,16 +173,16 @@
     /// that they needn't read everything themselves when the store has forgotten its history or
     /// has come back from a copy.
     fn record_all(&mut self, batch: &FeedBatch) {
-        let named = batch.rows.iter();
-        let rows: BTreeMap<String, String> = named
+        let listed = batch.rows.iter();
+        let rows: BTreeMap<String, String> = listed
             .filter_map(|row| Some((row.name.clone(), row.text.clone()?)))
             .collect();
         match self.rows.take() {
             Some(before) if batch.version > self.version => {
-                let rows = difference(&before, &rows);
+                let rows = diff_rows(&before, &rows);
                 let changes = FeedBatch { rows, version: batch.version };
                 self.gaps.push((self.version, batch.version));
-                self.parts.extend(split(&changes, self.version));
+                self.chunks.extend(split_batch(&changes, self.version));
             }
             _ => self.start_at(batch.version),
         }
@@ -196,7 +196,7 @@
             self.start_at(after);
             self.rows = None;
         }
-        self.parts.extend(split(batch, after));
+        self.chunks.extend(split_batch(batch, after));
         let Some(rows) = &mut self.rows else { return };
         for row in &batch.rows {
             match &row.text {
@@ -208,7 +208,7 @@
 
     /// Keeps changes after a version only.
     fn start_at(&mut self, base: StoreVersion) {
-        self.parts.clear();
+        self.chunks.clear();
         self.gaps.clear();
         self.base = base;
     }
@@ -221,24 +221,24 @@
     /// Returns the oldest rows after a version that fit an answer. Its version is that of
     /// the last of them, so that whoever asks goes on from there.
     fn answer(&self, after: StoreVersion) -> RowChanges {
-        let mut news = RowChanges { version: self.version, rows: vec![] };
+        let mut changes = RowChanges { version: self.version, rows: vec![] };
         let mut bytes = 0;
         let mut last = after;
-        for part in self.parts.iter().filter(|part| part.version > after) {
-            bytes += part.bytes;
-            if !news.rows.is_empty() && bytes > ANSWER_BYTES {
-                news.version = last;
+        for chunk in self.chunks.iter().filter(|chunk| chunk.version > after) {
+            bytes += chunk.bytes;
+            if !changes.rows.is_empty() && bytes > MAX_ANSWER_BYTES {
+                changes.version = last;
                 break;
             }
-            news.rows.extend(part.rows.iter().map(copy));
-            last = part.version;
+            changes.rows.extend(chunk.rows.iter().map(copy_row));
+            last = chunk.version;
         }
-        news
+        changes
     }
 }
 
 /// Returns what has changed from some rows to others.
-fn difference(
+fn diff_rows(
     before: &BTreeMap<String, String>,
     now: &BTreeMap<String, String>,
 ) -> Vec<FeedRow> {
@@ -247,15 +247,16 @@
         text: text.cloned(),
         version: None,
     };
-    let gone = before.keys().filter(|name| !now.contains_key(*name));
-    let gone = gone.map(|name| row(name, None));
+    let removed = before.keys().filter(|name| !now.contains_key(*name));
+    let removed = removed.map(|name| row(name, None));
     let changed = now.iter().filter(|(name, text)| before.get(*name) != Some(*text));
-    gone.chain(changed.map(|(name, text)| row(name, Some(text))))
+    removed
+        .chain(changed.map(|(name, text)| row(name, Some(text))))
         .collect()
 }
 
 /// Copies a row for a peer.
-fn copy(row: &FeedRow) -> RowCopy {
+fn copy_row(row: &FeedRow) -> RowCopy {
     RowCopy { name: row.name.clone(), text: row.text.clone() }
 }
 
@@ -265,29 +266,30 @@
 }
 
 /// Splits the changes after a version into parts that fit an answer.
-fn split(batch: &FeedBatch, after: StoreVersion) -> Vec<LogPart> {
-    let mut parts: Vec<LogPart> = vec![];
+fn split_batch(batch: &FeedBatch, after: StoreVersion) -> Vec<LogChunk> {
+    let mut chunks: Vec<LogChunk> = vec![];
     // Whoever has a part goes on after its version, maybe elsewhere: a part may end only
     // where all rows that are left changed later.
     let versions = row_versions(batch, after);
-    for (place, row) in batch.rows.iter().enumerate() {
-        let version = versions.as_ref().map_or(batch.version, |known| known[place]);
+    for (idx, row) in batch.rows.iter().enumerate() {
+        let version = versions.as_ref().map_or(batch.version, |known| known[idx]);
         let bytes = row_bytes(row);
-        match parts.last_mut() {
-            Some(part)
-                if part.version == version || part.bytes + bytes <= ANSWER_BYTES =>
+        match chunks.last_mut() {
+            Some(chunk)
+                if chunk.version == version
+                    || chunk.bytes + bytes <= MAX_ANSWER_BYTES =>
             {
-                part.version = version;
-                part.bytes += bytes;
-                part.rows.push(row.clone());
+                chunk.version = version;
+                chunk.bytes += bytes;
+                chunk.rows.push(row.clone());
             }
-            _ => parts.push(LogPart { version, rows: vec![row.clone()], bytes }),
+            _ => chunks.push(LogChunk { version, rows: vec![row.clone()], bytes }),
         }
     }
-    if let Some(part) = parts.last_mut() {
-        part.version = batch.version;
+    if let Some(chunk) = chunks.last_mut() {
+        chunk.version = batch.version;
     }
-    parts
+    chunks
 }
 
 /// Returns the versions at which the rows of a batch changed; nothing unless all are known
--- a/crates/flaxtide-entry/src/relay.rs
+++ b/crates/flaxtide-entry/src/relay.rs
@@ -18,7 +18,7 @@
 
 /// A server that is silent for this long in the midst of a stream that another one can go
 /// on with is left. Callers wait two seconds at least.
-const STALLED: Duration = Duration::from_millis(1000);
+const STALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// A stream that is passed on.
 pub(crate) struct StreamRelay {
@@ -29,11 +29,11 @@
     /// The server's answer.
     source: Option<AnswerSource>,
     /// What has come of an event that isn't whole.
-    events: EventCutter,
+    splitter: EventSplitter,
     /// What came before the first poll.
-    first: Option<Bytes>,
+    first_bytes: Option<Bytes>,
     /// When the last bytes came.
-    last_piece: Duration,
+    last_received: Duration,
     /// Whether the end has been passed on.
     ended: bool,
 }
@@ -44,16 +44,16 @@
         call: OpenCall,
         request: CallerRequest,
         source: AnswerSource,
-        first: Bytes,
+        first_bytes: Bytes,
     ) -> Self {
-        let last_piece = call.state.now();
+        let last_received = call.state.now();
         Self {
             call,
             request,
             source: Some(source),
-            events: EventCutter::default(),
-            first: Some(first),
-            last_piece,
+            splitter: EventSplitter::default(),
+            first_bytes: Some(first_bytes),
+            last_received,
             ended: false,
         }
     }
@@ -66,30 +66,30 @@
     /// Returns the next whole events; nothing at the end.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
         loop {
-            let bytes = match self.first.take() {
+            let bytes = match self.first_bytes.take() {
                 Some(bytes) => Ok(Some(bytes)),
                 None => self.receive().await,
             };
             match bytes {
                 Ok(Some(bytes)) => {
-                    self.record_piece();
-                    let whole = self.events.push(&bytes);
+                    self.record_pause();
+                    let whole = self.splitter.push(&bytes);
                     if !whole.is_empty() {
                         return Ok(Some(whole));
                     }
                 }
                 Ok(None) => return Ok(self.finish()),
                 Err(TryEnd::Fault(fault)) => self.resume(fault).await?,
-                Err(_) => return Err(self.cut("timed_out")),
+                Err(_) => return Err(self.abort("timed_out")),
             }
         }
     }
 
     /// Notes how long nothing came before these bytes.
-    fn record_piece(&mut self) {
+    fn record_pause(&mut self) {
         let now = self.call.state.now();
-        let pause = now.saturating_sub(self.last_piece);
-        self.last_piece = now;
+        let pause = now.saturating_sub(self.last_received);
+        self.last_received = now;
         let longest = self.call.longest_pause.get().max(pause);
         self.call.longest_pause.set(longest);
     }
@@ -103,7 +103,7 @@
         let state = self.call.state.clone();
         loop {
             let left = self.call.left();
-            let wait = if resumable { left.min(STALLED) } else { left };
+            let wait = if resumable { left.min(STALL_TIMEOUT) } else { left };
             let until = state.now() + wait;
             match state.wait_until(until, source.next(&state)).await {
                 Some(Ok(Some(bytes))) => {
@@ -134,14 +134,14 @@
         self.call.note_late();
         self.call.end("streamed", 200);
         self.ended = true;
-        let rest = self.events.take_rest();
-        (!rest.is_empty()).then_some(rest)
+        let partial = self.splitter.take_partial();
+        (!partial.is_empty()).then_some(partial)
     }
 
     /// Has another server go on after the last whole event.
     async fn resume(&mut self, fault: RouteFault) -> io::Result<()> {
         self.source = None;
-        self.events.drop_rest();
+        self.splitter.clear_partial();
         let state = self.call.state.clone();
         let mut fault = fault;
         loop {
@@ -149,13 +149,13 @@
             let resumable = self.resumable();
             let verdict = self.call.fail(&self.request, fault, resumable).await;
             if verdict == RetryVerdict::End {
-                return Err(self.cut("stream_broken"));
+                return Err(self.abort("stream_broken"));
             }
             let decided = state.wait_until(self.call.deadline, decision).await;
             let Some(Ok(RouteAction::Dispatch { choice, patience, .. })) = decided else {
-                return Err(self.cut("stream_broken"));
+                return Err(self.abort("stream_broken"));
             };
-            let last = self.events.last_event;
+            let last = self.splitter.last_event;
             match self.call.try_server(&self.request, &choice, patience, last).await {
                 TryEnd::Started(start) if start.status.is_success() => {
                     self.source = Some(start.body);
@@ -163,14 +163,14 @@
                 }
                 TryEnd::Started(_) => fault = RouteFault::Failed,
                 TryEnd::Fault(next) => fault = next,
-                TryEnd::TimeOver => return Err(self.cut("timed_out")),
-                TryEnd::Quarantined => return Err(self.cut("stream_broken")),
+                TryEnd::TimeOver => return Err(self.abort("timed_out")),
+                TryEnd::Quarantined => return Err(self.abort("stream_broken")),
             }
         }
     }
 
     /// Breaks the stream off, so that it doesn't look complete.
-    fn cut(&mut self, end: &'static str) -> io::Error {
+    fn abort(&mut self, end: &'static str) -> io::Error {
         self.source = None;
         self.ended = true;
         self.call.end(end, 200);
@@ -196,45 +196,45 @@
 
 /// Cuts a stream into whole events.
 #[derive(Debug, Default)]
-struct EventCutter {
+struct EventSplitter {
     /// What has come of an event that isn't whole.
-    rest: BytesMut,
+    partial: BytesMut,
     /// The number of the last whole event.
     last_event: Option<u64>,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Takes in bytes. Returns the events that are whole now.
     fn push(&mut self, bytes: &[u8]) -> Bytes {
-        self.rest.extend_from_slice(bytes);
-        let Some(end) = last_boundary(&self.rest) else { return Bytes::new() };
-        let whole = self.rest.split_to(end).freeze();
-        if let Some(number) = last_number(&whole) {
-            self.last_event = Some(number);
+        self.partial.extend_from_slice(bytes);
+        let Some(end) = last_event_end(&self.partial) else { return Bytes::new() };
+        let whole = self.partial.split_to(end).freeze();
+        if let Some(id) = last_event_id(&whole) {
+            self.last_event = Some(id);
         }
         whole
     }
 
     /// Drops what isn't whole.
-    fn drop_rest(&mut self) {
-        self.rest.clear();
+    fn clear_partial(&mut self) {
+        self.partial.clear();
     }
 
     /// Returns what isn't whole.
-    fn take_rest(&mut self) -> Bytes {
-        std::mem::take(&mut self.rest).freeze()
+    fn take_partial(&mut self) -> Bytes {
+        std::mem::take(&mut self.partial).freeze()
     }
 }
 
 /// Returns where the last whole event ends.
-fn last_boundary(bytes: &[u8]) -> Option<usize> {
-    let place = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
-    Some(place + 2)
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
+    let idx = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
+    Some(idx + 2)
 }
 
 /// Returns the number of the last event.
-fn last_number(events: &[u8]) -> Option<u64> {
+fn last_event_id(events: &[u8]) -> Option<u64> {
     let lines = events.split(|byte| *byte == b'\n').rev();
-    let number = lines.filter_map(|line| line.strip_prefix(b"id:")).next()?;
-    std::str::from_utf8(number).ok()?.trim().parse().ok()
+    let id = lines.filter_map(|line| line.strip_prefix(b"id:")).next()?;
+    std::str::from_utf8(id).ok()?.trim().parse().ok()
 }
--- a/crates/flaxtide-entry/src/source.rs
+++ b/crates/flaxtide-entry/src/source.rs
@@ -13,31 +13,31 @@
 use crate::follow::first_call_window;
 use crate::lag::RulesLag;
 use crate::pauses::PeerPauses;
-use crate::reader::FRESH_PART;
+use crate::reader::MAX_AGE_FRACTION;
 
 /// How long a question to a reader waits for changes, as a part of the time within which a
 /// leaving server gets no more work.
-const QUESTION_PART: f64 = 0.15;
+const QUESTION_WAIT_FRACTION: f64 = 0.15;
 
 /// How much longer its answer may take, as a part of that time.
-const MARGIN_PART: f64 = 0.1;
+const ANSWER_MARGIN_FRACTION: f64 = 0.1;
 
 /// For how long a peer that has answered that it can't tell isn't asked, as a part of that time;
 /// twice as long each further time. A standby can tell as soon as it has called the platform.
-const UNABLE_PART: f64 = 0.1;
+const UNABLE_PAUSE_FRACTION: f64 = 0.1;
 
 /// For how long a peer's word means that readers reach the platform, as a part of that time:
 /// two questions' worth.
-const TOLD_PART: f64 = 0.5;
+const READER_ALIVE_FRACTION: f64 = 0.5;
 
 /// Within what time peers hand newer rules on, once they have told of them. Later, an instance
 /// reads them from the platform: it has to have them in force within seconds.
-const HANDED_ON_WITHIN: Duration = Duration::from_millis(1000);
+const RULES_PUSH_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// How long an instance that has just read everything waits to hear who reads for it, before it
 /// waits for changes itself: peers are met within three rounds of heartbeats. It saves the
 /// platform two calls for each instance that starts.
-const SETTLING: Duration = Duration::from_secs(3);
+const STARTUP_WAIT: Duration = Duration::from_secs(3);
 
 /// From whom this instance gets a list.
 pub(crate) struct ServerListSource {
@@ -46,7 +46,7 @@
     /// Within what time a leaving server may get no more work.
     leave_within: Duration,
     /// Until when it isn't known who reads.
-    settled_at: Duration,
+    startup_until: Duration,
     /// Who is to be asked.
     state: Mutex<SourceState>,
 }
@@ -59,7 +59,7 @@
     /// Peers that had nothing to tell.
     pauses: PeerPauses,
     /// When a peer last told.
-    told: Option<Duration>,
+    last_answer: Option<Duration>,
     /// How long peers have known newer rules than those in force.
     lag: RulesLag,
 }
@@ -69,15 +69,15 @@
     /// `leave_within`; `has_peers` says whether there may be peers.
     pub(crate) fn new(leave_within: Duration, has_peers: bool) -> Self {
         let clock = MilliClock::real();
-        let settling = if has_peers { SETTLING } else { Duration::ZERO };
+        let startup_wait = if has_peers { STARTUP_WAIT } else { Duration::ZERO };
         let state = SourceState {
             plan: ListPlan::default(),
-            pauses: PeerPauses::new(leave_within.mul_f64(UNABLE_PART)),
-            told: None,
+            pauses: PeerPauses::new(leave_within.mul_f64(UNABLE_PAUSE_FRACTION)),
+            last_answer: None,
             lag: RulesLag::default(),
         };
         Self {
-            settled_at: clock.now() + settling,
+            startup_until: clock.now() + startup_wait,
             clock,
             leave_within,
             state: Mutex::new(state),
@@ -102,64 +102,69 @@
     }
 
     /// Returns whether peers read for this instance.
-    pub(crate) fn follows_peers(&self) -> bool {
+    pub(crate) fn reads_from_peers(&self) -> bool {
         matches!(self.reader(), ListReader::Peer(_))
     }
 
     /// Returns whether it isn't known yet who reads.
-    pub(crate) fn is_settling(&self) -> bool {
-        self.reader() == ListReader::Alone && self.clock.now() < self.settled_at
+    pub(crate) fn awaits_plan(&self) -> bool {
+        self.reader() == ListReader::Alone && self.clock.now() < self.startup_until
     }
 
     /// Returns whether a peer that reads has told this instance lately.
-    pub(crate) fn told_lately(&self) -> bool {
-        let told = self.lock().told;
-        let life = self.leave_within.mul_f64(TOLD_PART);
-        self.follows_peers() && told.is_some_and(|at| self.clock.now() < at + life)
+    pub(crate) fn reader_answered_lately(&self) -> bool {
+        let last_answer = self.lock().last_answer;
+        let life = self.leave_within.mul_f64(READER_ALIVE_FRACTION);
+        self.reads_from_peers()
+            && last_answer.is_some_and(|at| self.clock.now() < at + life)
     }
 
     /// Records which rules are in force, and which are the newest that peers have told of.
-    pub(crate) fn note_rules(&self, in_force: SettingsVersion, newest: SettingsVersion) {
+    pub(crate) fn record_rules(
+        &self,
+        in_force: SettingsVersion,
+        newest: SettingsVersion,
+    ) {
         let now = self.clock.now();
-        self.lock().lag.note(in_force, newest, now);
+        self.lock().lag.record(in_force, newest, now);
     }
 
     /// Returns whether newer rules have been known for so long that peers can't be waited
     /// for.
-    pub(crate) fn is_behind(&self) -> bool {
+    pub(crate) fn rules_overdue(&self) -> bool {
         let lag = self.lock().lag.get(self.clock.now());
-        lag.is_some_and(|lag| lag >= HANDED_ON_WITHIN)
+        lag.is_some_and(|lag| lag >= RULES_PUSH_TIMEOUT)
     }
 
     /// Returns up to when a peer that was asked at a time tells of changes at least.
-    pub(crate) fn covered(&self, asked: Duration) -> Duration {
-        asked.saturating_sub(self.leave_within.mul_f64(FRESH_PART))
+    pub(crate) fn covered_until(&self, asked: Duration) -> Duration {
+        asked.saturating_sub(self.leave_within.mul_f64(MAX_AGE_FRACTION))
     }
 
     /// Returns within what time this instance calls the platform itself, once no peer tells.
-    pub(crate) fn start_window(&self) -> Duration {
+    pub(crate) fn call_window(&self) -> Duration {
         let now = self.clock.now();
         let state = self.lock();
-        let troubled = state.pauses.show_trouble(now);
-        first_call_window(state.plan.standby, troubled, self.leave_within)
+        let readers_failing = state.pauses.show_trouble(now);
+        first_call_window(state.plan.standby, readers_failing, self.leave_within)
     }
 
     /// Asks peers for the changes after a version: the first in order, which waits for some,
     /// and if it doesn't tell all others at once. Returns nothing if nobody tells.
-    pub(crate) fn ask(
+    pub(crate) fn fetch_changes(
         &self,
         link: &FleetLink,
         after: StoreVersion,
     ) -> Option<RowChanges> {
-        let peers = self.askable();
+        let peers = self.available_peers();
         let (first, others) = peers.split_first()?;
-        let wait = self.leave_within.mul_f64(QUESTION_PART);
+        let wait = self.leave_within.mul_f64(QUESTION_WAIT_FRACTION);
         self.ask_peers(link, &[*first], after, wait)
             .or_else(|| self.ask_peers(link, others, after, Duration::ZERO))
     }
 
     /// Returns the peers that may be asked now, in order.
-    fn askable(&self) -> Vec<SocketAddr> {
+    fn available_peers(&self) -> Vec<SocketAddr> {
         let now = self.clock.now();
         let state = self.lock();
         let mut peers = peers_of(&state.plan);
@@ -175,51 +180,51 @@
         after: StoreVersion,
         wait: Duration,
     ) -> Option<RowChanges> {
-        let margin = self.leave_within.mul_f64(MARGIN_PART);
-        let (tell, told) = bounded(peers.len().max(1));
+        let margin = self.leave_within.mul_f64(ANSWER_MARGIN_FRACTION);
+        let (sender, receiver) = bounded(peers.len().max(1));
         for peer in peers.iter().copied() {
-            let tell = tell.clone();
+            let sender = sender.clone();
             let answer = Box::new(move |answer: RowAnswer| {
                 // The thread that asked may have stopped waiting.
-                let _ = tell.try_send((peer, answer));
+                let _ = sender.try_send((peer, answer));
             });
             link.ask_rows(RowQuestion { peer, after, wait, margin, answer });
         }
-        drop(tell);
-        let until = self.clock.now() + wait + margin;
+        drop(sender);
+        let deadline = self.clock.now() + wait + margin;
         let mut unanswered = peers.to_vec();
-        while let Ok((peer, answer)) = told.recv_timeout(self.until(until)) {
+        while let Ok((peer, answer)) = receiver.recv_timeout(self.time_until(deadline)) {
             unanswered.retain(|other| *other != peer);
             match answer {
                 RowAnswer::Told(changes) => {
-                    self.record_told(peer);
+                    self.record_answer(peer);
                     return Some(changes);
                 }
-                RowAnswer::Unable => self.record_pause(peer, true),
-                RowAnswer::Unreachable => self.record_pause(peer, false),
+                RowAnswer::Unable => self.record_no_rows(peer, true),
+                RowAnswer::Unreachable => self.record_no_rows(peer, false),
             }
         }
         for peer in unanswered {
-            self.record_pause(peer, false);
+            self.record_no_rows(peer, false);
         }
         None
     }
 
     /// Returns how long it is until a time.
-    fn until(&self, time: Duration) -> Duration {
+    fn time_until(&self, time: Duration) -> Duration {
         time.saturating_sub(self.clock.now())
     }
 
     /// Records that a peer has told.
-    fn record_told(&self, peer: SocketAddr) {
+    fn record_answer(&self, peer: SocketAddr) {
         let now = self.clock.now();
         let mut state = self.lock();
-        state.told = Some(now);
+        state.last_answer = Some(now);
         state.pauses.record_told(peer);
     }
 
     /// Records that a peer had nothing to tell, and whether it has answered at all.
-    fn record_pause(&self, peer: SocketAddr, answers: bool) {
+    fn record_no_rows(&self, peer: SocketAddr, answers: bool) {
         log::info!(peer = peer.to_string(), answers; "peer has no list to tell");
         let now = self.clock.now();
         let pauses = &mut self.lock().pauses;
--- a/crates/flaxtide-entry/tests/follow.rs
+++ b/crates/flaxtide-entry/tests/follow.rs
@@ -16,9 +16,9 @@
 fn pauses(state: &mut FollowState, fault: &FeedError, times: u64) -> Vec<u128> {
     let one = |version| {
         if state.after().is_none() {
-            assert!(state.take_version(version).whole);
+            assert!(state.record_answer(version).is_snapshot);
         }
-        let fault = state.take_fault(fault, Duration::ZERO);
+        let fault = state.record_fault(fault, Duration::ZERO);
         fault.pause.as_millis()
     };
     (0..times).map(one).collect()
@@ -28,8 +28,8 @@
 fn failed_calls_pause_longer_each_time() {
     let mut state = FollowState::default();
     assert_eq!(pauses(&mut state, &REFUSED, 5), [150, 300, 600, 600, 600]);
-    let answer = state.take_version(9);
-    assert_eq!(answer, FollowAnswer { whole: false, regained: true });
+    let answer = state.record_answer(9);
+    assert_eq!(answer, FollowAnswer { is_snapshot: false, regained: true });
     assert_eq!(pauses(&mut state, &REFUSED, 2), [150, 300]);
 }
 
@@ -37,41 +37,41 @@
 fn only_the_first_failed_call_loses_the_platform() {
     let mut state = FollowState::default();
     let lost = |fault: FollowFault| fault.lost;
-    assert!(lost(state.take_fault(&REFUSED, Duration::ZERO)));
-    assert!(!lost(state.take_fault(&REFUSED, Duration::ZERO)));
-    assert!(state.take_version(1).regained);
-    assert!(!state.take_version(2).regained);
-    assert!(!lost(state.take_fault(&FeedError::HistoryGone, Duration::ZERO)));
-    assert!(lost(state.take_fault(&REFUSED, Duration::ZERO)));
+    assert!(lost(state.record_fault(&REFUSED, Duration::ZERO)));
+    assert!(!lost(state.record_fault(&REFUSED, Duration::ZERO)));
+    assert!(state.record_answer(1).regained);
+    assert!(!state.record_answer(2).regained);
+    assert!(!lost(state.record_fault(&FeedError::HistoryGone, Duration::ZERO)));
+    assert!(lost(state.record_fault(&REFUSED, Duration::ZERO)));
 }
 
 #[test]
 fn calls_wait_little_for_a_time_after_a_failed_one() {
     let seconds = Duration::from_secs;
     let mut state = FollowState::default();
-    assert_eq!(state.longest_wait(seconds(0)), seconds(25));
-    state.take_fault(&REFUSED, seconds(5));
-    assert_eq!(state.longest_wait(seconds(60)), seconds(0));
-    state.take_version(1);
-    assert_eq!(state.longest_wait(seconds(14)), seconds(1));
-    assert_eq!(state.longest_wait(seconds(15)), seconds(25));
+    assert_eq!(state.max_wait(seconds(0)), seconds(25));
+    state.record_fault(&REFUSED, seconds(5));
+    assert_eq!(state.max_wait(seconds(60)), seconds(0));
+    state.record_answer(1);
+    assert_eq!(state.max_wait(seconds(14)), seconds(1));
+    assert_eq!(state.max_wait(seconds(15)), seconds(25));
 }
 
 #[test]
 fn calls_wait_little_for_a_time_after_peers_had_nothing_to_tell() {
     let seconds = Duration::from_secs;
     let mut state = FollowState::default();
-    state.take_version(1);
-    state.doubt(seconds(5));
-    assert_eq!(state.longest_wait(seconds(14)), seconds(1));
-    assert_eq!(state.longest_wait(seconds(15)), seconds(25));
+    state.record_answer(1);
+    state.shorten_waits(seconds(5));
+    assert_eq!(state.max_wait(seconds(14)), seconds(1));
+    assert_eq!(state.max_wait(seconds(15)), seconds(25));
 }
 
 #[test]
 fn a_history_that_is_gone_once_is_read_anew_at_once() {
     let mut state = FollowState::default();
-    state.take_version(7);
-    let fault = state.take_fault(&FeedError::HistoryGone, Duration::ZERO);
+    state.record_answer(7);
+    let fault = state.record_fault(&FeedError::HistoryGone, Duration::ZERO);
     assert_eq!(fault, FollowFault { lost: false, pause: Duration::ZERO });
     assert_eq!(state.after(), None);
 }
@@ -82,12 +82,12 @@
     let gone = FeedError::HistoryGone;
     assert_eq!(pauses(&mut state, &gone, 6), [0, 150, 300, 600, 600, 600]);
     // Reading everything doesn't say that following goes well, nor does a refusal.
-    state.take_version(1);
-    state.take_fault(&REFUSED, Duration::ZERO);
+    state.record_answer(1);
+    state.record_fault(&REFUSED, Duration::ZERO);
     assert_eq!(pauses(&mut state, &gone, 1), [600]);
     // An answer to a follow does.
-    state.take_version(1);
-    state.take_version(2);
+    state.record_answer(1);
+    state.record_answer(2);
     assert_eq!(pauses(&mut state, &gone, 3), [0, 150, 300]);
 }
 
@@ -99,11 +99,11 @@
     let mut now = Duration::ZERO;
     let mut calls = vec![];
     while now < span {
-        match backoff.rest(window, random.random(), now) {
-            Some(rest) => now += rest,
+        match backoff.delay(window, random.random(), now) {
+            Some(delay) => now += delay,
             None => {
                 calls.push(now);
-                backoff.fail(random.random(), now);
+                backoff.record_failure(random.random(), now);
             }
         }
     }
@@ -142,7 +142,7 @@
         |standby, answers| first_call_window(standby, answers, Duration::from_secs(4));
     assert_eq!(window(true, true), Duration::from_millis(200));
     assert_eq!(window(false, true), Duration::from_secs(3));
-    let latest = CallBackoff::default().rest(window(true, true), 1.0, Duration::ZERO);
+    let latest = CallBackoff::default().delay(window(true, true), 1.0, Duration::ZERO);
     assert_eq!(latest, Some(Duration::from_millis(200)));
 }
 
@@ -161,12 +161,12 @@
 fn a_platform_that_answers_is_called_without_a_rest() {
     let mut backoff = CallBackoff::default();
     let now = Duration::from_secs(9);
-    backoff.rest(Duration::from_secs(3), 0.9, now);
-    backoff.succeed(now);
-    assert_eq!(backoff.rest(Duration::from_secs(3), 0.9, now), None);
+    backoff.delay(Duration::from_secs(3), 0.9, now);
+    backoff.record_success(now);
+    assert_eq!(backoff.delay(Duration::from_secs(3), 0.9, now), None);
     // Once peers tell again, the next silence begins with a rest.
     backoff.reset();
-    assert!(backoff.rest(Duration::from_secs(3), 0.9, now).is_some());
+    assert!(backoff.delay(Duration::from_secs(3), 0.9, now).is_some());
 }
 
 /// Traced on a day on which a request reached a server 329 ms too late: the platform turned the
@@ -176,15 +176,15 @@
 fn readers_that_are_turned_away_are_no_outage_of_the_platform() {
     let ms = Duration::from_millis;
     let mut state = FollowState::default();
-    assert!(state.is_out(ms(0)), "nothing is known yet");
+    assert!(state.is_outage(ms(0)), "nothing is known yet");
     // What another instance reads comes once a second; in between nobody can tell.
     for second in 1..20 {
-        state.cover(ms(second * 1000), ms(second * 1000 + 50));
+        state.record_coverage(ms(second * 1000), ms(second * 1000 + 50));
         for after in (100..1900).step_by(100) {
-            assert!(!state.is_out(ms(second * 1000 + after)));
+            assert!(!state.is_outage(ms(second * 1000 + after)));
         }
-        state.take_fault(&REFUSED, ms(second * 1000 + 500));
-        assert!(!state.is_out(ms(second * 1000 + 500)));
+        state.record_fault(&REFUSED, ms(second * 1000 + 500));
+        assert!(!state.is_outage(ms(second * 1000 + 500)));
     }
-    assert!(state.is_out(ms(21_000)));
+    assert!(state.is_outage(ms(21_000)));
 }
