--- a/crates/flaxtide-entry/src/duty/shared.rs
+++ b/crates/flaxtide-entry/src/duty/shared.rs
@@ -176,9 +176,7 @@
     pub(crate) fn window_total(&self, window: WindowNumber) -> (WindowTotal, bool) {
         let now = self.clock.now();
         let state = self.lock();
-        let Some(peers) = &state.peers else {
-            return (WindowTotal::default(), false);
-        };
+        let Some(peers) = &state.peers else { return (WindowTotal::default(), false) };
         let total = peers.tally.total(window, self.window, now);
         let reporting = peers
             .open
