--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -87,7 +87,7 @@
     let received = state.now();
     let (parts, body) = request.into_parts();
     let head = state.dialect.read_request(&parts.headers);
-    let attempt = head.attempt.clone().unwrap_or_default();
+    let attempt = head.attempt_id.clone().unwrap_or_default();
     let turn_away = |reply| (reply, attempt.clone());
     let found = look_up(state, &parts, &head).map_err(turn_away)?;
     let MatchedRules { class, caller, tier, level, body_bytes, .. } = found;
@@ -103,7 +103,7 @@
         uri: parts.uri,
         headers,
         body,
-        attempt: head.attempt.clone(),
+        attempt: head.attempt_id.clone(),
         organisation: caller.name.clone(),
         tier: is_engine.then_some(tier),
         tokens: head.prompt.tokens,
--- a/crates/flaxtide-entry/src/contract/dialect.rs
+++ b/crates/flaxtide-entry/src/contract/dialect.rs
@@ -16,7 +16,7 @@
     fn write_request(&self, headers: &mut HeaderMap, head: &UpstreamHead<'_>);
 
     /// Reads what the headers of a server's answer say.
-    fn read_answer(&self, status: u16, headers: &HeaderMap) -> AnswerHead;
+    fn read_response(&self, status: u16, headers: &HeaderMap) -> ResponseHead;
 
     /// Has a server go on after the event with this number.
     fn write_resume(&self, headers: &mut HeaderMap, last_event: u64);
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RequestHead {
     /// What identifies the request; the caller's next try has another.
-    pub attempt: Option<String>,
+    pub attempt_id: Option<String>,
     /// How long the caller waits.
     pub deadline: Option<Duration>,
     /// The caller's key.
@@ -52,9 +52,9 @@
 
 /// What the headers of a server's answer say.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The request that it answers.
-    pub attempt: Option<String>,
+    pub attempt_id: Option<String>,
     /// Whether the server vouches for it.
     pub sealed: bool,
     /// Whether the server says that the request hasn't run.
--- a/crates/flaxtide-entry/src/contract/mod.rs
+++ b/crates/flaxtide-entry/src/contract/mod.rs
@@ -6,7 +6,7 @@
 mod feed;
 mod rules;
 
-pub use self::dialect::{AnswerHead, RequestHead, UpstreamHead, WireDialect};
+pub use self::dialect::{RequestHead, ResponseHead, UpstreamHead, WireDialect};
 pub use self::duty::{
     DutyAnswer, DutyPlatform, DutyRead, DutyRow, FencingToken, UsageReport,
 };
--- a/crates/flaxtide-entry/src/exchange.rs
+++ b/crates/flaxtide-entry/src/exchange.rs
@@ -231,13 +231,13 @@
     answer: Response<Incoming>,
 ) -> Result<AnswerStart, RouteFault> {
     let (parts, body) = answer.into_parts();
-    let head = state.dialect.read_answer(parts.status.as_u16(), &parts.headers);
+    let head = state.dialect.read_response(parts.status.as_u16(), &parts.headers);
     if head.replaced {
         return Err(RouteFault::Replaced);
     }
     // Another request's answer is that of a connection which can't be trusted any more.
-    let ours = head.attempt == request.attempt;
-    if ours || (head.not_run && head.attempt.is_none()) {
+    let ours = head.attempt_id == request.attempt;
+    if ours || (head.not_run && head.attempt_id.is_none()) {
         let mut statement = head.statement;
         let vouches = parts.status.is_success() && head.sealed;
         if statement.rate == StatedRate::Unlimited && !vouches {
@@ -245,7 +245,7 @@
         }
         state.pushback.hear_server(state, server, statement, sent);
     }
-    if head.not_run && (ours || head.attempt.is_none()) {
+    if head.not_run && (ours || head.attempt_id.is_none()) {
         let link = Some(link);
         let keep_alive = head.keep_alive;
         keep_refusing(state, AnswerSource { body, link, server, keep_alive });
--- a/crates/flaxtide-entry/src/lib.rs
+++ b/crates/flaxtide-entry/src/lib.rs
@@ -47,9 +47,9 @@
 
 pub use self::config::{DutyConfig, EntryConfig};
 pub use self::contract::{
-    AnswerHead, BackendService, CallKind, CallerLimits, DutyAnswer, DutyPlatform,
-    DutyRead, DutyRow, EntryRules, FeedBatch, FeedError, FeedRow, FeedTopic,
-    FencingToken, OrganisationRules, PlatformFeed, RequestClass, RequestHead,
+    BackendService, CallKind, CallerLimits, DutyAnswer, DutyPlatform, DutyRead, DutyRow,
+    EntryRules, FeedBatch, FeedError, FeedRow, FeedTopic, FencingToken,
+    OrganisationRules, PlatformFeed, RequestClass, RequestHead, ResponseHead,
     ServerEntry, ServiceEngine, TargetService, UpstreamHead, UsageReport, WireDialect,
 };
 pub use self::directory::ServerDirectory;
