--- a/crates/flaxtide-entry/src/follow.rs
+++ b/crates/flaxtide-entry/src/follow.rs
@@ -1,4 +1,5 @@
-//! From where a topic is followed, how long a call waits and when the next one comes.
+//! The state of following a topic: the last known version, how long calls wait for
+//! changes, and the pauses after failed calls.
 
 use std::time::Duration;
 
@@ -6,41 +7,44 @@
 
 use crate::contract::FeedError;
 
-/// How long one call waits for changes: the longest that platforms commonly allow, as each
-/// call has its price.
+/// How long a call waits for changes. It is the longest wait that such platforms commonly
+/// allow, as each call costs them some load.
 pub(crate) const FOLLOW_WAIT: Duration = Duration::from_secs(25);
 
-/// How long a call waits for changes soon after a failed one. A store that has just come
-/// back may not tell those who wait of everything that changes.
+/// How long a call waits for changes soon after a failed one. A store that has just
+/// recovered may not report all changes to calls that were already waiting.
 const SHORT_WAIT: Duration = Duration::from_millis(1000);
 
-/// For how long after a failed call calls wait no longer than that.
+/// For how long after a failed call the short wait applies.
 const SHORT_WAIT_SPAN: Duration = Duration::from_secs(10);
 
-/// How long the first pause after a failed call is.
+/// The pause after the first failed call.
 const FIRST_PAUSE: Duration = Duration::from_millis(150);
 
-/// The longest such pause. A configuration must be in force within seconds of the
-/// platform's return.
+/// The longest pause after a failed call. New rules must be in force within seconds of
+/// the platform's recovery.
 const MAX_PAUSE: Duration = Duration::from_millis(600);
 
-/// After so long without an answer of the platform or of peers the platform counts as out: rows may
-/// lapse then. Servers renew theirs each 1.2 s, and three times in a row must be missed.
+/// Without an answer from the platform or a peer for this long, the platform counts as
+/// down, and rows may lapse because servers can't renew them. Servers renew their rows
+/// every 1.2 s, and a row lapses after three missed renewals.
 const OUTAGE_AFTER: Duration = Duration::from_secs(2);
 
-/// Within what part of the time for leaving servers a standby calls the platform once no peer
-/// tells,
+/// The time within which a standby calls the platform once no peer answers, as a fraction
+/// of `leave_within`.
 const STANDBY_FRACTION: f64 = 0.05;
 
-/// and all others, if nobody who reads is there: what they know must not grow old.
+/// The same for all other instances if no reader is reachable. It is short, because the
+/// known rows must not become too old.
 const NO_READER_FRACTION: f64 = 0.1;
 
-/// Within what time the others call it if those who read are there and can't tell: then the
-/// platform is in trouble.
+/// The window of all other instances if readers are reachable but can't answer. The platform
+/// is failing then, so the calls to it are spread.
 const READERS_FAILING_WINDOW: Duration = Duration::from_secs(3);
 
-/// Returns within what time an instance for which peers read calls the platform itself, once
-/// none of them tells. A leaving server may get no more work after `leave_within`.
+/// Returns the window within which an instance that has readers makes its first call to
+/// the platform after they stop answering. `leave_within` is the time within which a
+/// leaving server must stop getting requests.
 ///
 /// ```
 /// use std::time::Duration;
@@ -63,16 +67,18 @@
     }
 }
 
-/// The pause after the first failed call of such an instance; it doubles with each.
+/// The pause after the first failed call of such an instance. It doubles with each
+/// further one.
 const FIRST_BACKOFF: Duration = Duration::from_secs(4);
 
-/// The longest such pause. Its readers tell it sooner that the platform is back.
+/// The longest such pause. A reader usually reports the platform's recovery earlier.
 const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
-/// When an instance for which peers read calls the platform itself, while no peer tells.
+/// Decides when an instance that has readers calls the platform itself, while none of
+/// them answers.
 ///
-/// All instances of a group lose their readers at the same moment, and a platform in trouble
-/// would be called by all of them at once: pauses are drawn at random and grow.
+/// All instances of a group lose their readers at the same moment and would call a
+/// failing platform all at once. So the delays are random and grow with each failed call.
 ///
 /// ```
 /// use std::time::Duration;
@@ -88,15 +94,16 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct CallBackoff {
-    /// When the next call may be made, once no peer tells.
+    /// When the next call may be made, or `None` while peers answer.
     next_call: Option<Duration>,
-    /// The pause after the next failed call.
+    /// The base of the random pause after the next failed call, or `None` before the
+    /// first one.
     pause: Option<Duration>,
 }
 
 impl CallBackoff {
-    /// Returns how long the platform isn't called; nothing if it may be called now. The first
-    /// call falls within a window; `draw` lies between 0 and 1.
+    /// Returns the time until the platform may be called, or `None` if it may be called
+    /// now. The first call falls within `window`; `random` lies between 0 and 1.
     pub fn delay(
         &mut self,
         window: Duration,
@@ -107,25 +114,26 @@
         (now < next_call).then(|| next_call - now)
     }
 
-    /// Records that a call has failed.
+    /// Schedules the next call after a failed one. `random` lies between 0 and 1.
     pub fn record_failure(&mut self, random: f64, now: Duration) {
         let pause = self.pause.unwrap_or(FIRST_BACKOFF);
         self.next_call = Some(now + pause.mul_f64(0.5 + random));
         self.pause = Some((pause * 2).min(MAX_BACKOFF));
     }
 
-    /// Records that the platform has answered: it may be called again, until a peer tells.
+    /// Allows calls without delay after the platform has answered, until a peer answers
+    /// again.
     pub fn record_success(&mut self, now: Duration) {
         *self = Self { next_call: Some(now), pause: None };
     }
 
-    /// Records that a peer tells.
+    /// Resets the delays after a peer has answered.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 }
 
-/// How far the following of a topic has come, and how it has gone lately.
+/// The last known version of a topic and the outcome of the latest calls.
 ///
 /// ```
 /// use std::time::Duration;
@@ -139,39 +147,41 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct FollowState {
-    /// Up to which version all is known; nothing if everything is to be read.
+    /// All changes up to this version are known. `None` if everything must be read.
     after: Option<StoreVersion>,
     /// The last pause, while calls fail.
     pause: Option<Duration>,
-    /// The last pause after a history that was gone, until changes are told again. A store
-    /// that keeps none would have everything read from it without an end.
+    /// The last pause after the store had dropped its history, until an answer with
+    /// changes. Without a pause, everything would be read without end from a store that
+    /// keeps no history.
     reread_pause: Option<Duration>,
-    /// Until when calls don't wait long.
+    /// Until when calls wait for changes only briefly.
     short_waits_until: Duration,
-    /// Up to when all changes are known.
+    /// The time up to which all changes are known.
     known_until: Option<Duration>,
 }
 
-/// What an answer of the platform, or of a peer in its stead, was.
+/// An answer of the platform, or of a peer in its place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowAnswer {
-    /// Whether it had everything, rather than changes.
+    /// Whether the answer has all rows instead of changes.
     pub is_snapshot: bool,
-    /// Whether it was the first after failed calls.
+    /// Whether it is the first one after failed calls.
     pub regained: bool,
 }
 
-/// What a failed call means.
+/// The consequences of a failed call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowFault {
-    /// Whether the platform has been lost by it.
+    /// Whether the call is the first one that failed after a successful one.
     pub lost: bool,
-    /// How long nobody calls.
+    /// The pause before the next call.
     pub pause: Duration,
 }
 
 impl FollowState {
-    /// Returns after which version changes are wanted; nothing if everything is.
+    /// Returns the version after which changes are wanted, or `None` if everything must
+    /// be read.
     #[must_use]
     pub fn after(&self) -> Option<StoreVersion> {
         self.after
@@ -181,14 +191,14 @@
     #[must_use]
     pub fn max_wait(&self, now: Duration) -> Duration {
         match self.pause {
-            // The first answer after a failure is all that counts.
+            // The next answer only has to show that the platform has recovered.
             Some(_) => Duration::ZERO,
             None if now < self.short_waits_until => SHORT_WAIT,
             None => FOLLOW_WAIT,
         }
     }
 
-    /// Takes in an answer up to a version.
+    /// Records an answer that reaches a version.
     pub fn record_answer(&mut self, version: StoreVersion) -> FollowAnswer {
         let is_snapshot = self.after.replace(version).is_none();
         if !is_snapshot {
@@ -197,8 +207,8 @@
         FollowAnswer { is_snapshot, regained: self.pause.take().is_some() }
     }
 
-    /// Records that an answer tells of all changes up to a time. Returns for how long before `now`
-    /// nothing was known of changes.
+    /// Records that all changes up to `until` are known. Returns for how long changes were
+    /// unknown before this.
     pub fn record_coverage(&mut self, until: Duration, now: Duration) -> Duration {
         let known = self
             .known_until
@@ -206,21 +216,22 @@
         known.map_or(Duration::ZERO, |at| now.saturating_sub(at))
     }
 
-    /// Returns whether nothing has been known of changes for so long that rows may lapse since the
-    /// platform is out. Single failed calls, and peers that can't tell, are no outage: the platform
-    /// may turn some away and serve others.
+    /// Returns whether changes have been unknown for so long that rows may lapse because
+    /// of an outage of the platform. Single failed calls and readers that can't answer
+    /// aren't an outage: the platform may reject some instances and serve others.
     #[must_use]
     pub fn is_outage(&self, now: Duration) -> bool {
         self.known_until.is_none_or(|at| now >= at + OUTAGE_AFTER)
     }
 
-    /// Records that peers which should tell don't: the platform may be in trouble, and a call that
-    /// waits long for it is one that a store which comes back never answers.
+    /// Shortens the waits of the next calls after the readers have stopped answering. The
+    /// platform may be failing, and a store that restarts never answers calls that were
+    /// waiting before.
     pub fn shorten_waits(&mut self, now: Duration) {
         self.short_waits_until = self.short_waits_until.max(now + SHORT_WAIT_SPAN);
     }
 
-    /// Takes in that a call has failed.
+    /// Records a failed call.
     pub fn record_fault(&mut self, fault: &FeedError, now: Duration) -> FollowFault {
         self.short_waits_until = now + SHORT_WAIT_SPAN;
         if *fault == FeedError::HistoryGone {
@@ -232,7 +243,7 @@
         FollowFault { lost, pause }
     }
 
-    /// Wants everything. Returns how long nobody calls before.
+    /// Requests everything with the next call. Returns the pause before it.
     fn restart(&mut self) -> Duration {
         self.after = None;
         let pause = self
@@ -243,7 +254,7 @@
     }
 }
 
-/// Returns the pause that follows another.
+/// Returns the pause after a failed call, given the previous pause.
 fn next_pause(last: Option<Duration>) -> Duration {
     last.map_or(FIRST_PAUSE, |last| (last * 2).clamp(FIRST_PAUSE, MAX_PAUSE))
 }
--- a/crates/flaxtide-entry/src/follower.rs
+++ b/crates/flaxtide-entry/src/follower.rs
@@ -1,5 +1,5 @@
-//! Following a topic of the platform on a thread of its own: from peers that have read it, or
-//! from the platform itself.
+//! Follows one topic of the platform on a thread of its own, through peers that read it
+//! or from the platform itself.
 
 use std::sync::Arc;
 use std::thread;
@@ -17,53 +17,56 @@
 use crate::reader::ServerListLog;
 use crate::source::ServerListSource;
 
-/// How often an instance looks whether peers still hand rules on.
+/// How often an instance checks whether peers still push newer rules to it.
 const PEER_CHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// How often peers are asked by an instance that leaves the platform in peace.
+/// How often an instance asks its peers again while it backs off from calling the
+/// platform.
 const PEER_RETRY_PERIOD: Duration = Duration::from_millis(100);
 
-/// How often an instance that has just started looks whether it knows who reads.
+/// How often an instance that has just started checks whether it knows its reader.
 const PLAN_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// A call that took longer than this has waited for changes: the platform answers others within a
-/// few milliseconds, and those that wait as soon as there is a change.
+/// A call that took longer than this was a long poll that waited for a change: the
+/// platform answers other calls within a few milliseconds, and a long poll as soon as
+/// something changes.
 const LONG_POLL_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// What peers tell of a topic.
+/// What peers contribute to a topic.
 enum PeerUpdate {
-    /// These rows have changed.
+    /// A reader has answered with these changes.
     Rows(FeedBatch),
-    /// Changes come another way.
+    /// Peers push newer versions by themselves, so there is nothing to ask for.
     Pushed,
 }
 
-/// What follows one topic.
+/// Follows one topic.
 pub(crate) struct TopicFollower {
-    /// What the platform tells.
+    /// Reads the topic from the platform.
     pub(crate) feed: Arc<dyn PlatformFeed>,
-    /// The topic.
+    /// The followed topic.
     pub(crate) topic: FeedTopic,
-    /// The pause between two calls: rows may change all the time, and each call has its
-    /// price.
+    /// The pause between two calls to the platform. Rows may change all the time, and
+    /// each call costs the platform some load.
     pub(crate) call_pause: Duration,
-    /// From whom this instance gets what few read from the platform.
+    /// Knows which peer to ask instead of the platform.
     pub(crate) source: Arc<ServerListSource>,
-    /// For the list that peers are told: what was read, and the ring to the fleet thread.
+    /// The log that answers peers and the link over which peers are asked. `None` for the
+    /// rules, which peers push.
     pub(crate) list: Option<(Arc<ServerListLog>, FleetLink)>,
-    /// The ring to the traffic thread.
+    /// The queue to the traffic thread.
     pub(crate) events: Sender<FeedEvent>,
-    /// The metrics.
+    /// Counts the calls and shows the state of the platform.
     pub(crate) metrics: Arc<EntryMetrics>,
 }
 
 impl TopicFollower {
-    /// Returns what peers tell of the topic; nothing if this instance is to call the
-    /// platform.
+    /// Returns what peers contribute to the topic, or `None` if this instance should call
+    /// the platform.
     fn poll_peers(&self, after: Option<StoreVersion>) -> Option<PeerUpdate> {
         let after = after?;
         let Some((list, link)) = self.list.as_ref() else {
-            // Peers hand newer rules on by themselves, as long as their readers go on.
+            // Peers push newer rules by themselves as long as their readers keep reading.
             let pushed =
                 self.source.reader_answered_lately() && !self.source.rules_overdue();
             return pushed.then_some(PeerUpdate::Pushed);
@@ -79,7 +82,8 @@
         }))
     }
 
-    /// Returns how long this instance leaves the platform in peace, though no peer tells.
+    /// Returns how long to wait before calling the platform although no peer has
+    /// answered, or `None` to call it now.
     fn platform_delay(
         &self,
         backoff: &mut CallBackoff,
@@ -92,7 +96,7 @@
         backoff.delay(self.source.call_window(), rand::random(), now)
     }
 
-    /// Calls the platform, and waits for changes no longer than `most`.
+    /// Calls the platform. The call waits for changes for at most `max_wait`.
     fn fetch(
         &self,
         after: Option<StoreVersion>,
@@ -119,8 +123,9 @@
         timing.unwrap_or((FOLLOW_WAIT, self.call_pause))
     }
 
-    /// Returns up to when an answer of the platform tells of changes, if its call was made at
-    /// `called`. One that had to wait tells of what has just changed.
+    /// Returns the time up to which an answer of the platform includes all changes. An
+    /// ordinary answer includes those before the call; one that had to wait reports a
+    /// change that has just happened.
     fn covered_until(called: Duration, answered: Duration) -> Duration {
         if answered > called + LONG_POLL_THRESHOLD {
             answered - LONG_POLL_THRESHOLD
@@ -129,8 +134,8 @@
         }
     }
 
-    /// Calls the platform and handles its answer, then pauses. Returns whether somebody
-    /// listens.
+    /// Calls the platform, handles its answer, and pauses. Returns whether the traffic
+    /// thread still receives events.
     fn call_platform(
         &self,
         state: &mut FollowState,
@@ -165,7 +170,7 @@
         }
     }
 
-    /// Handles an answer. Returns whether somebody listens.
+    /// Handles an answer. Returns whether the traffic thread still receives events.
     fn handle_batch(
         &self,
         state: &mut FollowState,
@@ -191,7 +196,8 @@
             })
     }
 
-    /// Handles a failed call, and pauses. Returns whether somebody listens.
+    /// Handles a failed call, and pauses. Returns whether the traffic thread still
+    /// receives events.
     fn handle_fault(
         &self,
         state: &mut FollowState,
@@ -208,18 +214,19 @@
         delivered
     }
 
-    /// Tells the traffic thread of an outage, if this follows the list of servers: what peers hand
-    /// on of other topics says nothing of how fresh the list is. Returns whether it listens.
+    /// Tells the traffic thread that the platform is lost or regained, but only for the
+    /// server list: answers on other topics don't show whether the list is current.
+    /// Returns whether it still receives events.
     fn send_outage(&self, event: FeedEvent) -> bool {
         self.topic != FeedTopic::Servers || self.send_event(event)
     }
 
-    /// Tells the traffic thread. Returns whether it listens.
+    /// Sends an event to the traffic thread. Returns whether it still receives events.
     fn send_event(&self, event: FeedEvent) -> bool {
         self.events.blocking_send(event).is_ok()
     }
 
-    /// Counts a call.
+    /// Counts a call by its result.
     fn count(&self, result: &str) {
         let topic = self.topic.to_string();
         self.metrics
@@ -229,7 +236,7 @@
     }
 }
 
-/// Follows a topic until nobody listens.
+/// Follows a topic until the traffic thread has ended.
 pub(crate) fn follow_topic(follower: &TopicFollower) {
     let clock = MilliClock::real();
     let mut state = FollowState::default();
@@ -257,7 +264,8 @@
                 Some(delay) => {
                     state.shorten_waits(clock.now());
                     thread::sleep(delay.min(PEER_RETRY_PERIOD));
-                    // Rows that lapse meanwhile may do so since the platform is out.
+                    // During an outage, a row may lapse only because its server can't
+                    // renew it.
                     !state.is_outage(clock.now()) || follower.send_outage(FeedEvent::Lost)
                 }
                 None => follower.call_platform(&mut state, &mut backoff, &clock),
@@ -269,17 +277,17 @@
     }
 }
 
-/// Logs that a call has failed.
+/// Logs a failed call.
 fn log_fault(topic: FeedTopic, fault: &FeedError, pause: Duration) {
     let (topic, pause_ms) = (topic.to_string(), pause.as_millis() as u64);
     if *fault == FeedError::HistoryGone {
-        log::info!(topic, pause_ms; "history gone, everything is read anew");
+        log::info!(topic, pause_ms; "history gone, reading everything");
         return;
     }
     log::info!(topic, cause = fault.to_string(), pause_ms; "platform call failed");
 }
 
-/// Logs that the platform is lost or regained.
+/// Logs and shows whether the platform is reachable.
 fn log_dependency(
     topic: FeedTopic,
     up: bool,
--- a/crates/flaxtide-entry/src/lag.rs
+++ b/crates/flaxtide-entry/src/lag.rs
@@ -1,11 +1,12 @@
-//! How long newer rules than those in force have been known.
+//! Measures for how long the rules in force have been outdated.
 
 use std::time::Duration;
 
 use flaxtide_core::SettingsVersion;
 
-/// How long the rules in force have been behind the newest that are known. Each version in force
-/// counts anew: rules that change all the time, each handed on in time, are no lag.
+/// Measures for how long the rules in force have been older than the newest known
+/// version. It starts anew with each version that is put in force, so frequent changes
+/// that each arrive in time cause no lag.
 ///
 /// ```
 /// use std::time::Duration;
@@ -18,12 +19,13 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct RulesLag {
-    /// The version in force while newer ones are known, and since when it is so.
+    /// The version in force and since when a newer one has been known, or `None` if it is
+    /// the newest.
     behind: Option<(SettingsVersion, Duration)>,
 }
 
 impl RulesLag {
-    /// Records which version is in force, and which is the newest that is known.
+    /// Records the version in force and the newest known version.
     pub fn record(
         &mut self,
         in_force: SettingsVersion,
@@ -34,7 +36,8 @@
         self.behind = (newest > in_force).then(|| last.unwrap_or((in_force, now)));
     }
 
-    /// Returns for how long the rules in force have been behind; nothing if they aren't.
+    /// Returns for how long the version in force has been outdated, or `None` if it is
+    /// the newest.
     #[must_use]
     pub fn get(&self, now: Duration) -> Option<Duration> {
         self.behind.map(|(_, since)| now.saturating_sub(since))
--- a/crates/flaxtide-entry/src/reader.rs
+++ b/crates/flaxtide-entry/src/reader.rs
@@ -1,5 +1,7 @@
-//! What has been read of the list of servers: from the platform by each instance for itself in
-//! a small fleet, by a few for all in a large one; and the answers to peers that ask for it.
+//! The part of the platform's server list that this instance has read, kept for peers.
+//!
+//! In a small fleet, each instance reads the list from the platform for itself. In a
+//! large one, a few readers do so, and their peers ask them for the changes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,31 +13,33 @@
 
 use crate::contract::{FeedBatch, FeedRow};
 
-/// How many parts of batches of rows a reader keeps for peers that are behind.
+/// The number of chunks of changes that a reader keeps for peers that are behind.
 const KEPT_CHUNKS: usize = 128;
 
-/// How many bytes of rows an answer to a peer has at most, unless one change alone has
-/// more. An answer has a limit of time for the whole, and one that comes too late is asked
-/// for again from its start: on a narrow link, a long one might never come to its end.
+/// The most bytes of rows in an answer to a peer, unless a single change has more. An
+/// answer has a deadline, and a late one is requested again from its start, so a long
+/// answer might never arrive over a narrow link.
 const MAX_ANSWER_BYTES: usize = 32 * 1024;
 
-/// How old a reader's last answer of the platform may be for its word to count, as a part of
-/// the time within which a leaving server gets no more work. All parts together leave room
-/// for a row that has gone to be missed (`directory.rs`).
+/// The greatest age of a reader's last answer from the platform at which it still answers
+/// peers, as a fraction of `leave_within`. Together with the fractions in `directory.rs`,
+/// it leaves time to notice a row that has been removed.
 pub(crate) const MAX_AGE_FRACTION: f64 = 0.25;
 
-/// How long a reader's call to the platform waits for changes, and the pause after it, as
-/// parts of that time; together they stay below [`FRESH_PART`]. The pause is the longer part:
-/// while servers are replaced, rows change all the time and no call waits.
+/// How long a reader's call to the platform waits for changes, as a fraction of
+/// `leave_within`. The wait and the pause after it stay below [`MAX_AGE_FRACTION`]. The
+/// pause is the longer one: while servers are being replaced, rows change all the time
+/// and no call waits.
 const READER_WAIT_FRACTION: f64 = 0.07;
-/// The pause.
+/// The pause after a reader's call, as a fraction of `leave_within`.
 const READER_PAUSE_FRACTION: f64 = 0.15;
 
-/// How long a call of an instance waits for changes for which peers should read: they are
-/// asked again after it.
+/// How long a call of an instance that has readers, but gets no answer from them, waits
+/// for changes. It asks the readers again afterwards.
 const FALLBACK_WAIT: Duration = Duration::from_secs(2);
 
-/// What this instance has read from the platform lately, and who is to read.
+/// The changes of the server list that this instance has read from the platform, for
+/// peers that ask.
 ///
 /// ```
 /// use std::time::Duration;
@@ -47,48 +51,48 @@
 /// assert_eq!(log.changes_after(7).unwrap().version, 7);
 /// ```
 pub struct ServerListLog {
-    /// The clock.
+    /// The clock for the age of the platform's last answer.
     clock: MilliClock,
-    /// Within what time a leaving server may get no more work.
+    /// The time within which a leaving server must stop getting requests.
     leave_within: Duration,
-    /// What was read.
+    /// The recorded changes.
     state: Mutex<LogState>,
     /// Notified when rows have changed.
     changed: Arc<Notify>,
 }
 
-/// What a log keeps.
+/// The contents of a log.
 #[derive(Debug, Default)]
 struct LogState {
-    /// Changes after this version are kept.
+    /// The log holds all changes after this version.
     base: StoreVersion,
-    /// Up to which version everything was read.
+    /// The newest version that has been read.
     version: StoreVersion,
-    /// The rows at that version, unless only changes of them are known.
+    /// All rows at that version, or `None` if only changes of them are known.
     rows: Option<BTreeMap<String, String>>,
-    /// From which version to which only the difference is known: everything was read anew. Who
-    /// stands between them may have seen what isn't told.
+    /// Spans between two complete reads. Only the difference between their ends is known,
+    /// so an instance whose version lies inside a span can't be answered.
     gaps: Vec<(StoreVersion, StoreVersion)>,
-    /// The parts of the batches, oldest first.
+    /// The changes after `base`, oldest first.
     chunks: VecDeque<LogChunk>,
     /// When the platform last answered this instance.
     confirmed_at: Option<Duration>,
 }
 
-/// Rows that are told together.
+/// Rows that are always sent in the same answer.
 #[derive(Debug)]
 struct LogChunk {
-    /// Up to which version all rows are told, with the parts before.
+    /// The version that a peer has reached once it has this chunk and all before it.
     version: StoreVersion,
-    /// The rows.
+    /// The changed rows.
     rows: Vec<FeedRow>,
-    /// How many bytes they have.
+    /// The size of the rows' names and texts.
     bytes: usize,
 }
 
 impl ServerListLog {
-    /// Starts with nothing read. A leaving server may get no more work after
-    /// `leave_within`.
+    /// Creates an empty log. `leave_within` is the time within which a leaving server
+    /// must stop getting requests.
     #[must_use]
     pub fn new(leave_within: Duration) -> Self {
         Self {
@@ -99,7 +103,8 @@
         }
     }
 
-    /// Takes in what the platform has answered: the changes after a version, or all rows.
+    /// Records an answer of the platform: the changes after a version, or all rows if
+    /// `after` is `None`.
     pub fn record(&self, batch: &FeedBatch, after: Option<StoreVersion>) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -121,14 +126,14 @@
         }
     }
 
-    /// Records that rows came from elsewhere: what was read before them is of no use to
-    /// peers any more.
+    /// Clears the log after rows came from a peer instead of the platform: what was read
+    /// before them can't be continued any more.
     pub(crate) fn clear_log(&self) {
         *self.lock() = LogState::default();
     }
 
-    /// Returns how long a call to the platform waits for changes, and the pause after it, if
-    /// that differs from what an instance does that reads for itself.
+    /// Returns how long a call to the platform waits for changes, and the pause after it,
+    /// or `None` for the usual timing of an instance that reads for itself.
     pub(crate) fn reader_timing(
         &self,
         reader: ListReader,
@@ -144,7 +149,7 @@
         }
     }
 
-    /// Locks the state. A panic elsewhere doesn't spoil it.
+    /// Locks the state, even if a thread has panicked while it held the lock.
     fn lock(&self) -> MutexGuard<'_, LogState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -169,9 +174,9 @@
 }
 
 impl LogState {
-    /// Records all rows. What has changed since the last reading is told to peers as changes, so
-    /// that they needn't read everything themselves when the store has forgotten its history or
-    /// has come back from a copy.
+    /// Records a complete read. The difference from the previous one is kept as changes,
+    /// so that peers don't have to read everything when the store has dropped its history
+    /// or was restored from a backup.
     fn record_all(&mut self, batch: &FeedBatch) {
         let listed = batch.rows.iter();
         let rows: BTreeMap<String, String> = listed
@@ -192,7 +197,7 @@
     /// Records the changes after a version.
     fn record_changes(&mut self, batch: &FeedBatch, after: StoreVersion) {
         if after != self.version {
-            // Changes between what was read before and this aren't known here.
+            // What changed between the last read and this one isn't known here.
             self.start_at(after);
             self.rows = None;
         }
@@ -206,20 +211,21 @@
         }
     }
 
-    /// Keeps changes after a version only.
+    /// Drops all changes up to a version.
     fn start_at(&mut self, base: StoreVersion) {
         self.chunks.clear();
         self.gaps.clear();
         self.base = base;
     }
 
-    /// Returns whether only a part of what changed after a version is known.
+    /// Returns whether a version lies strictly inside a span of which only the difference
+    /// is known.
     fn is_in_gap(&self, version: StoreVersion) -> bool {
         self.gaps.iter().any(|(from, to)| *from < version && version < *to)
     }
 
-    /// Returns the oldest rows after a version that fit an answer. Its version is that of
-    /// the last of them, so that whoever asks goes on from there.
+    /// Returns the oldest changes after a version that fit into one answer. The answer's
+    /// version is that of its last chunk, from which the peer continues.
     fn answer(&self, after: StoreVersion) -> RowChanges {
         let mut changes = RowChanges { version: self.version, rows: vec![] };
         let mut bytes = 0;
@@ -237,7 +243,7 @@
     }
 }
 
-/// Returns what has changed from some rows to others.
+/// Returns the changes that lead from one set of rows to another.
 fn diff_rows(
     before: &BTreeMap<String, String>,
     now: &BTreeMap<String, String>,
@@ -260,16 +266,16 @@
     RowCopy { name: row.name.clone(), text: row.text.clone() }
 }
 
-/// Returns how many bytes a row has.
+/// Returns the size of a row's name and text.
 fn row_bytes(row: &FeedRow) -> usize {
     row.name.len() + row.text.as_ref().map_or(0, String::len)
 }
 
-/// Splits the changes after a version into parts that fit an answer.
+/// Splits the changes after a version into chunks that fit into an answer.
 fn split_batch(batch: &FeedBatch, after: StoreVersion) -> Vec<LogChunk> {
     let mut chunks: Vec<LogChunk> = vec![];
-    // Whoever has a part goes on after its version, maybe elsewhere: a part may end only
-    // where all rows that are left changed later.
+    // A peer continues after a chunk's version, possibly with another reader. So a chunk
+    // may end only where all remaining rows changed at a later version.
     let versions = row_versions(batch, after);
     for (idx, row) in batch.rows.iter().enumerate() {
         let version = versions.as_ref().map_or(batch.version, |known| known[idx]);
@@ -292,8 +298,8 @@
     chunks
 }
 
-/// Returns the versions at which the rows of a batch changed; nothing unless all are known
-/// and in order, and lie within the batch.
+/// Returns the versions at which the rows of a batch changed, or `None` unless all are
+/// known, in order, and within the batch's range.
 fn row_versions(batch: &FeedBatch, after: StoreVersion) -> Option<Vec<StoreVersion>> {
     let versions: Option<Vec<StoreVersion>> =
         batch.rows.iter().map(|row| row.version).collect();
--- a/crates/flaxtide-entry/src/source.rs
+++ b/crates/flaxtide-entry/src/source.rs
@@ -1,5 +1,6 @@
-//! From whom an instance gets what few read from the platform: the reader that its group has
-//! drawn for it, else another reader or a standby that can tell, else the platform itself.
+//! Chooses where an instance gets the server list: from the reader that its group has
+//! assigned to it, else from another reader or a standby that can answer, else from the
+//! platform itself.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -15,58 +16,60 @@
 use crate::pauses::PeerPauses;
 use crate::reader::MAX_AGE_FRACTION;
 
-/// How long a question to a reader waits for changes, as a part of the time within which a
-/// leaving server gets no more work.
+/// How long a question to a reader waits for changes, as a fraction of `leave_within`.
 const QUESTION_WAIT_FRACTION: f64 = 0.15;
 
-/// How much longer its answer may take, as a part of that time.
+/// How much longer than that the answer may take, as a fraction of `leave_within`.
 const ANSWER_MARGIN_FRACTION: f64 = 0.1;
 
-/// For how long a peer that has answered that it can't tell isn't asked, as a part of that time;
-/// twice as long each further time. A standby can tell as soon as it has called the platform.
+/// How long a peer that couldn't answer isn't asked again, as a fraction of
+/// `leave_within`. It doubles each time. A standby can answer as soon as it has called
+/// the platform.
 const UNABLE_PAUSE_FRACTION: f64 = 0.1;
 
-/// For how long a peer's word means that readers reach the platform, as a part of that time:
-/// two questions' worth.
+/// How long an answer counts as a sign that readers reach the platform, as a fraction of
+/// `leave_within`: the time of two questions.
 const READER_ALIVE_FRACTION: f64 = 0.5;
 
-/// Within what time peers hand newer rules on, once they have told of them. Later, an instance
-/// reads them from the platform: it has to have them in force within seconds.
+/// How long peers may take to push newer rules after they have announced them. Later, an
+/// instance reads them from the platform, because it must have them in force within
+/// seconds.
 const RULES_PUSH_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// How long an instance that has just read everything waits to hear who reads for it, before it
-/// waits for changes itself: peers are met within three rounds of heartbeats. It saves the
-/// platform two calls for each instance that starts.
+/// How long a new instance that has just read everything waits to learn its reader before
+/// it waits for changes at the platform. Peers find each other within three rounds of
+/// heartbeats. It saves the platform two calls for each instance that starts.
 const STARTUP_WAIT: Duration = Duration::from_secs(3);
 
-/// From whom this instance gets a list.
+/// Chooses where this instance gets the server list.
 pub(crate) struct ServerListSource {
-    /// The clock.
+    /// The clock for all times of this type.
     clock: MilliClock,
-    /// Within what time a leaving server may get no more work.
+    /// The time within which a leaving server must stop getting requests.
     leave_within: Duration,
-    /// Until when it isn't known who reads.
+    /// When a new instance stops waiting for a reader.
     startup_until: Duration,
-    /// Who is to be asked.
+    /// The peers to ask and their latest answers.
     state: Mutex<SourceState>,
 }
 
-/// Who is to be asked.
+/// The peers to ask and their latest answers.
 #[derive(Debug)]
 struct SourceState {
-    /// Who reads, as the group has drawn.
+    /// The readers, as assigned in the group.
     plan: ListPlan,
-    /// Peers that had nothing to tell.
+    /// Which peers couldn't answer, and until when they aren't asked.
     pauses: PeerPauses,
-    /// When a peer last told.
+    /// When a peer last answered.
     last_answer: Option<Duration>,
-    /// How long peers have known newer rules than those in force.
+    /// How long the rules in force have been older than those that peers have announced.
     lag: RulesLag,
 }
 
 impl ServerListSource {
-    /// Starts with nobody to ask. A leaving server may get no more work after
-    /// `leave_within`; `has_peers` says whether there may be peers.
+    /// Creates a source with no peer to ask. `leave_within` is the time within which a
+    /// leaving server must stop getting requests, and `has_peers` says whether there may
+    /// be peers.
     pub(crate) fn new(leave_within: Duration, has_peers: bool) -> Self {
         let clock = MilliClock::real();
         let startup_wait = if has_peers { STARTUP_WAIT } else { Duration::ZERO };
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Sets who is to be asked. Returns whether that has changed.
+    /// Sets the peers to ask. Returns whether they have changed.
     pub(crate) fn set_plan(&self, plan: ListPlan) -> bool {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -96,22 +99,22 @@
         true
     }
 
-    /// Returns who reads for this instance.
+    /// Returns the reader of this instance.
     pub(crate) fn reader(&self) -> ListReader {
         self.lock().plan.reader
     }
 
-    /// Returns whether peers read for this instance.
+    /// Returns whether peers read the list for this instance.
     pub(crate) fn reads_from_peers(&self) -> bool {
         matches!(self.reader(), ListReader::Peer(_))
     }
 
-    /// Returns whether it isn't known yet who reads.
+    /// Returns whether a new instance should still wait for a reader.
     pub(crate) fn awaits_plan(&self) -> bool {
         self.reader() == ListReader::Alone && self.clock.now() < self.startup_until
     }
 
-    /// Returns whether a peer that reads has told this instance lately.
+    /// Returns whether a reader has answered this instance lately.
     pub(crate) fn reader_answered_lately(&self) -> bool {
         let last_answer = self.lock().last_answer;
         let life = self.leave_within.mul_f64(READER_ALIVE_FRACTION);
@@ -119,7 +122,8 @@
             && last_answer.is_some_and(|at| self.clock.now() < at + life)
     }
 
-    /// Records which rules are in force, and which are the newest that peers have told of.
+    /// Records the version of the rules in force and the newest one that peers have
+    /// announced.
     pub(crate) fn record_rules(
         &self,
         in_force: SettingsVersion,
@@ -129,28 +133,31 @@
         self.lock().lag.record(in_force, newest, now);
     }
 
-    /// Returns whether newer rules have been known for so long that peers can't be waited
-    /// for.
+    /// Returns whether newer rules have been announced for so long that this instance
+    /// must not wait for peers to push them.
     pub(crate) fn rules_overdue(&self) -> bool {
         let lag = self.lock().lag.get(self.clock.now());
         lag.is_some_and(|lag| lag >= RULES_PUSH_TIMEOUT)
     }
 
-    /// Returns up to when a peer that was asked at a time tells of changes at least.
+    /// Returns the time up to which a peer's answer includes all changes, if it was asked
+    /// at `asked`.
     pub(crate) fn covered_until(&self, asked: Duration) -> Duration {
         asked.saturating_sub(self.leave_within.mul_f64(MAX_AGE_FRACTION))
     }
 
-    /// Returns within what time this instance calls the platform itself, once no peer tells.
+    /// Returns the window within which this instance calls the platform once no peer
+    /// answers.
     pub(crate) fn call_window(&self) -> Duration {
         let now = self.clock.now();
         let state = self.lock();
-        let readers_failing = state.pauses.show_trouble(now);
-        first_call_window(state.plan.standby, readers_failing, self.leave_within)
+        let readers_answer = state.pauses.show_trouble(now);
+        first_call_window(state.plan.standby, readers_answer, self.leave_within)
     }
 
-    /// Asks peers for the changes after a version: the first in order, which waits for some,
-    /// and if it doesn't tell all others at once. Returns nothing if nobody tells.
+    /// Asks peers for the changes after a version. The first one waits for changes; if it
+    /// can't answer, all others are asked at once, without waiting. Returns `None` if
+    /// nobody answers.
     pub(crate) fn fetch_changes(
         &self,
         link: &FleetLink,
@@ -172,7 +179,8 @@
         peers
     }
 
-    /// Asks peers side by side, until one tells or none is left.
+    /// Asks several peers at once. Returns the first answer with changes, or `None` if
+    /// there is none in time.
     fn ask_peers(
         &self,
         link: &FleetLink,
@@ -185,7 +193,7 @@
         for peer in peers.iter().copied() {
             let sender = sender.clone();
             let answer = Box::new(move |answer: RowAnswer| {
-                // The thread that asked may have stopped waiting.
+                // The receiver is gone if another peer has answered or the time is up.
                 let _ = sender.try_send((peer, answer));
             });
             link.ask_rows(RowQuestion { peer, after, wait, margin, answer });
@@ -210,12 +218,12 @@
         None
     }
 
-    /// Returns how long it is until a time.
+    /// Returns the time that is left until `time`.
     fn time_until(&self, time: Duration) -> Duration {
         time.saturating_sub(self.clock.now())
     }
 
-    /// Records that a peer has told.
+    /// Records that a peer has answered with changes.
     fn record_answer(&self, peer: SocketAddr) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -223,9 +231,9 @@
         state.pauses.record_told(peer);
     }
 
-    /// Records that a peer had nothing to tell, and whether it has answered at all.
+    /// Records that a peer couldn't answer with changes, and whether it responded at all.
     fn record_no_rows(&self, peer: SocketAddr, answers: bool) {
-        log::info!(peer = peer.to_string(), answers; "peer has no list to tell");
+        log::info!(peer = peer.to_string(), answers; "peer can't answer with the server list");
         let now = self.clock.now();
         let pauses = &mut self.lock().pauses;
         match answers {
@@ -234,7 +242,7 @@
         }
     }
 
-    /// Locks the state. A panic elsewhere doesn't spoil it.
+    /// Locks the state, even if a thread has panicked while it held the lock.
     fn lock(&self) -> MutexGuard<'_, SourceState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/flaxtide-entry/tests/follow.rs
+++ b/crates/flaxtide-entry/tests/follow.rs
@@ -1,4 +1,4 @@
-//! When the platform is called again, and for what.
+//! When the platform is called, and whether for changes or for everything.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// A refusal.
+/// A call that the platform refuses.
 const REFUSED: FeedError = FeedError::Refused { status: 503 };
 
-/// Returns the pauses, in milliseconds, of a store that answers each read well and each
-/// follow with a fault.
+/// Returns the pauses, in milliseconds, with a store that answers each complete read and
+/// fails each call for changes.
 fn pauses(state: &mut FollowState, fault: &FeedError, times: u64) -> Vec<u128> {
     let one = |version| {
         if state.after().is_none() {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn only_the_first_failed_call_loses_the_platform() {
+fn only_the_first_failed_call_reports_the_platform_lost() {
     let mut state = FollowState::default();
     let lost = |fault: FollowFault| fault.lost;
     assert!(lost(state.record_fault(&REFUSED, Duration::ZERO)));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn calls_wait_little_for_a_time_after_a_failed_one() {
+fn calls_wait_briefly_after_a_failed_call() {
     let seconds = Duration::from_secs;
     let mut state = FollowState::default();
     assert_eq!(state.max_wait(seconds(0)), seconds(25));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn calls_wait_little_for_a_time_after_peers_had_nothing_to_tell() {
+fn calls_wait_briefly_after_readers_stop_answering() {
     let seconds = Duration::from_secs;
     let mut state = FollowState::default();
     state.record_answer(1);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_history_that_is_gone_once_is_read_anew_at_once() {
+fn a_dropped_history_is_reread_without_a_pause() {
     let mut state = FollowState::default();
     state.record_answer(7);
     let fault = state.record_fault(&FeedError::HistoryGone, Duration::ZERO);
@@ -77,22 +77,22 @@
 }
 
 #[test]
-fn a_history_that_is_gone_again_and_again_is_not_read_without_a_pause() {
+fn repeated_rereads_have_growing_pauses() {
     let mut state = FollowState::default();
     let gone = FeedError::HistoryGone;
     assert_eq!(pauses(&mut state, &gone, 6), [0, 150, 300, 600, 600, 600]);
-    // Reading everything doesn't say that following goes well, nor does a refusal.
+    // Neither a complete read nor a refusal shows that the store keeps a history again.
     state.record_answer(1);
     state.record_fault(&REFUSED, Duration::ZERO);
     assert_eq!(pauses(&mut state, &gone, 1), [600]);
-    // An answer to a follow does.
+    // An answer with changes does.
     state.record_answer(1);
     state.record_answer(2);
     assert_eq!(pauses(&mut state, &gone, 3), [0, 150, 300]);
 }
 
-/// Returns when an instance calls a platform that fails each call, in the first seconds of an
-/// outage in which nobody tells it anything.
+/// Returns the times at which an instance calls the platform in the first seconds of an
+/// outage, while all calls fail and no peer answers.
 fn calls_in_outage(window: Duration, seed: u64, span: Duration) -> Vec<Duration> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut backoff = CallBackoff::default();
@@ -110,29 +110,31 @@
     calls
 }
 
-/// The load of an outage: everybody in a data centre misses its readers at once.
+/// In an outage, all instances of a data centre lose their readers at once. If all of
+/// them called the platform at the same time, the calls would overload it.
 #[test]
-fn an_outage_is_not_met_by_the_calls_of_all() {
-    /// Instances of a data centre that neither read nor stand by.
-    const OTHERS: u64 = 46;
-    /// Within what time they call it if their readers can't tell.
+fn calls_of_all_instances_are_spread_in_an_outage() {
+    /// The instances of a data centre that are neither readers nor standbys.
+    const OTHER_INSTANCES: u64 = 46;
+    /// The window for their first calls if the readers can't answer.
     const WINDOW: Duration = Duration::from_secs(3);
-    /// The shortest and longest outages of the platform that operators have told of.
+    /// The shortest and the longest outage of a platform that operators have reported.
     const OUTAGES: [Duration; 2] = [Duration::from_secs(4), Duration::from_secs(10)];
     let [short, long] = OUTAGES.map(|outage| {
-        let calls =
-            (0..OTHERS).flat_map(|number| calls_in_outage(WINDOW, number, outage));
+        let calls = (0..OTHER_INSTANCES)
+            .flat_map(|number| calls_in_outage(WINDOW, number, outage));
         let mut seconds = vec![0; 11];
         calls.for_each(|at| seconds[at.as_secs() as usize] += 1);
         let total: i32 = seconds.iter().sum();
         (total, seconds.into_iter().max().unwrap())
     });
-    // Each called 8 times in the short one when pauses ended at 0.6 s, and 18 in the long one.
-    assert!(short.0 <= 2 * OTHERS as i32, "{short:?}");
-    assert!(long.0 <= 4 * OTHERS as i32, "{long:?}");
+    // With pauses of at most 0.6 s, each instance made 8 calls in the short outage and 18 in
+    // the long one.
+    assert!(short.0 <= 2 * OTHER_INSTANCES as i32, "{short:?}");
+    assert!(long.0 <= 4 * OTHER_INSTANCES as i32, "{long:?}");
     assert!(
-        short.1.max(long.1) <= OTHERS as i32 / 2,
-        "no second sees a rush: {short:?} {long:?}"
+        short.1.max(long.1) <= OTHER_INSTANCES as i32 / 2,
+        "too many calls in one second: {short:?} {long:?}"
     );
 }
 
@@ -146,10 +148,10 @@
     assert_eq!(latest, Some(Duration::from_millis(200)));
 }
 
-/// A reader and all standbys that are lost at once, while servers leave: the rows that are
-/// known must not be older than the bound allows.
+/// Guards against the loss of a reader and all standbys while servers leave: the rows
+/// that an instance knows must not become older than `leave_within` allows.
 #[test]
-fn who_lost_all_that_read_calls_within_a_tenth_of_the_bound() {
+fn without_readers_the_first_call_comes_within_a_tenth_of_the_bound() {
     for bound in [2, 3, 4, 8].map(Duration::from_secs) {
         let window = first_call_window(false, false, bound);
         assert!(window <= bound / 10, "{window:?} of {bound:?}");
@@ -158,26 +160,26 @@
 }
 
 #[test]
-fn a_platform_that_answers_is_called_without_a_rest() {
+fn a_platform_that_answers_is_called_without_a_delay() {
     let mut backoff = CallBackoff::default();
     let now = Duration::from_secs(9);
     backoff.delay(Duration::from_secs(3), 0.9, now);
     backoff.record_success(now);
     assert_eq!(backoff.delay(Duration::from_secs(3), 0.9, now), None);
-    // Once peers tell again, the next silence begins with a rest.
+    // Once peers have answered again, the next silence begins with a delay.
     backoff.reset();
     assert!(backoff.delay(Duration::from_secs(3), 0.9, now).is_some());
 }
 
-/// Traced on a day on which a request reached a server 329 ms too late: the platform turned the
-/// readers of a data centre away and served the others. Each time that the readers couldn't
-/// tell counted as an outage, so a row that had gone was used until they could.
+/// The platform rejects the readers of a data centre and serves other instances. If that
+/// counted as an outage, a row that has been removed would stay in use until the readers
+/// can answer again. A request once reached a leaving server 329 ms too late in this way.
 #[test]
-fn readers_that_are_turned_away_are_no_outage_of_the_platform() {
+fn readers_that_the_platform_refuses_are_no_outage() {
     let ms = Duration::from_millis;
     let mut state = FollowState::default();
     assert!(state.is_outage(ms(0)), "nothing is known yet");
-    // What another instance reads comes once a second; in between nobody can tell.
+    // Another instance answers once a second, and in between nobody can.
     for second in 1..20 {
         state.record_coverage(ms(second * 1000), ms(second * 1000 + 50));
         for after in (100..1900).step_by(100) {
--- a/crates/flaxtide-entry/tests/lag.rs
+++ b/crates/flaxtide-entry/tests/lag.rs
@@ -1,18 +1,18 @@
-//! For how long newer rules have been known that aren't in force.
+//! How long the rules in force have been outdated.
 
 use std::time::Duration;
 
 use flaxtide_entry::RulesLag;
 
-/// Makes a span of milliseconds.
+/// Returns a duration in milliseconds.
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
 #[test]
-fn rules_that_change_all_the_time_are_no_lag_as_long_as_each_comes() {
+fn frequent_rules_that_each_arrive_in_time_cause_no_lasting_lag() {
     let mut lag = RulesLag::default();
-    // A newer version is known at every look, and each is in force 700 ms later.
+    // A newer version is always known, and each one is put in force 700 ms later.
     for millis in (0..20_000).step_by(100) {
         let in_force = millis / 700;
         lag.record(in_force, in_force + 1, ms(millis));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn rules_that_stay_behind_lag_from_the_first_newer_version_on() {
+fn lag_counts_from_the_first_newer_version() {
     let mut lag = RulesLag::default();
     lag.record(7, 7, ms(0));
     assert_eq!(lag.get(ms(100)), None);
--- a/crates/flaxtide-entry/tests/reader.rs
+++ b/crates/flaxtide-entry/tests/reader.rs
@@ -1,4 +1,4 @@
-//! What an instance that reads a list for others tells them.
+//! The answers to peers from the log of the server list.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 use flaxtide_entry::{FeedBatch, FeedRow, ServerListLog};
 use flaxtide_fleet::{RowChanges, RowSource};
 
-/// The most text of an answer.
-const MOST_TEXT: usize = 32 * 1024;
+/// The most text in one answer.
+const MAX_TEXT: usize = 32 * 1024;
 
-/// How much text a row of the tests of long answers has.
+/// The length of the text of a long row.
 const ROW_TEXT: usize = 1000;
 
-/// How many such rows there are: ten answers' worth.
-const MANY: u64 = 330;
+/// The number of long rows, which make up ten answers.
+const ROW_COUNT: u64 = 330;
 
-/// A batch up to a version with rows of these names.
+/// Returns a batch that reaches `version`, with rows of these names.
 fn batch(version: u64, names: &[&str]) -> FeedBatch {
     let row = |name: &&str| FeedRow {
         name: (*name).to_owned(),
@@ -25,51 +25,56 @@
     FeedBatch { version, rows: names.iter().map(row).collect() }
 }
 
-/// Returns the names that a log tells of after a version; nothing if it can't tell.
-fn told(log: &ServerListLog, after: u64) -> Option<Vec<String>> {
-    let news = log.changes_after(after)?;
-    Some(news.rows.into_iter().map(|row| row.name).collect())
+/// Returns the names of the rows that changed after a version, or `None` if the log can't
+/// answer.
+fn names_if_known(log: &ServerListLog, after: u64) -> Option<Vec<String>> {
+    let changes = log.changes_after(after)?;
+    Some(changes.rows.into_iter().map(|row| row.name).collect())
 }
 
-/// A long row that changed at a version.
+/// Returns a long row that changed at a version.
 fn long_row(number: u64, version: Option<u64>) -> FeedRow {
     let text = Some("x".repeat(ROW_TEXT));
     FeedRow { name: format!("row-{number}"), text, version }
 }
 
-/// How much text an answer has.
-fn text_of(news: &RowChanges) -> usize {
-    let texts = news.rows.iter().map(|row| row.text.as_ref().map_or(0, String::len));
+/// Returns the total length of the texts of an answer.
+fn text_len(changes: &RowChanges) -> usize {
+    let texts = changes
+        .rows
+        .iter()
+        .map(|row| row.text.as_ref().map_or(0, String::len));
     texts.sum()
 }
 
-/// Asks a log as an instance does that was told up to a version, until it tells no more.
-/// Returns the answers with rows.
-fn ask_on(log: &ServerListLog, mut after: u64) -> Vec<RowChanges> {
+/// Asks a log repeatedly, as a peer does that knows the rows up to a version, until it
+/// has no more rows. Returns the answers with rows.
+fn ask_until_current(log: &ServerListLog, mut after: u64) -> Vec<RowChanges> {
     let mut answers = vec![];
     loop {
-        let news = log
+        let changes = log
             .changes_after(after)
-            .expect("what was told last can be gone on from");
-        if news.rows.is_empty() {
-            assert_eq!(news.version, after);
+            .expect("the log can answer from the version of its last answer");
+        if changes.rows.is_empty() {
+            assert_eq!(changes.version, after);
             return answers;
         }
-        assert!(news.version > after, "the asker gets on");
-        after = news.version;
-        answers.push(news);
+        assert!(changes.version > after, "each answer reaches a higher version");
+        after = changes.version;
+        answers.push(changes);
     }
 }
 
-/// Asserts that answers are short and tell of each long row once, in order.
+/// Asserts that the answers are short and have each long row once, in order.
 fn assert_all_in_short_answers(answers: &[RowChanges], case: &str) {
-    let sizes: Vec<usize> = answers.iter().map(text_of).collect();
-    assert!(sizes.iter().all(|size| *size <= MOST_TEXT), "{case}: {sizes:?}");
-    // Each question has its price, so answers aren't much shorter than they may be.
+    let sizes: Vec<usize> = answers.iter().map(text_len).collect();
+    assert!(sizes.iter().all(|size| *size <= MAX_TEXT), "{case}: {sizes:?}");
+    // Each question costs a round trip, so answers shouldn't be much shorter than the
+    // limit.
     assert!(answers.len() <= 12, "{case}: {sizes:?}");
-    let rows = answers.iter().flat_map(|news| &news.rows);
+    let rows = answers.iter().flat_map(|changes| &changes.rows);
     let names: Vec<String> = rows.map(|row| row.name.clone()).collect();
-    let all: Vec<String> = (0..MANY).map(|number| format!("row-{number}")).collect();
+    let all: Vec<String> = (0..ROW_COUNT).map(|number| format!("row-{number}")).collect();
     assert_eq!(names, all, "{case}");
 }
 
@@ -78,118 +83,119 @@
 }
 
 #[test]
-fn changes_are_told_in_order_to_whoever_lacks_them() {
+fn changes_are_answered_in_order_from_each_version() {
     let log = log();
     log.record(&batch(5, &["a", "b"]), None);
     log.record(&batch(7, &["a"]), Some(5));
     log.record(&batch(8, &[]), Some(7));
     log.record(&batch(9, &["b"]), Some(8));
-    assert_eq!(told(&log, 5), Some(vec!["a".into(), "b".into()]));
-    assert_eq!(told(&log, 7), Some(vec!["b".into()]));
-    assert_eq!(told(&log, 9), Some(vec![]));
+    assert_eq!(names_if_known(&log, 5), Some(vec!["a".into(), "b".into()]));
+    assert_eq!(names_if_known(&log, 7), Some(vec!["b".into()]));
+    assert_eq!(names_if_known(&log, 9), Some(vec![]));
 }
 
 #[test]
-fn what_is_not_known_whole_is_not_told() {
+fn versions_outside_the_log_are_not_answered() {
     let log = log();
-    assert_eq!(told(&log, 0), None, "nothing was read");
+    assert_eq!(names_if_known(&log, 0), None, "nothing has been read");
     log.record(&batch(5, &["a"]), None);
-    assert_eq!(told(&log, 4), None, "changes before the first reading");
-    assert_eq!(told(&log, 6), None, "newer than what was read");
+    assert_eq!(names_if_known(&log, 4), None, "older than the first read");
+    assert_eq!(names_if_known(&log, 6), None, "newer than the last read");
 }
 
 #[test]
-fn what_was_read_after_a_gap_is_not_taken_for_all() {
+fn versions_before_a_gap_are_not_answered() {
     let log = log();
     log.record(&batch(5, &["a"]), None);
-    // From 5 to 12 a peer has read for this instance.
+    // Between 5 and 12, another instance was the reader.
     log.record(&batch(14, &["c"]), Some(12));
-    assert_eq!(told(&log, 5), None);
-    assert_eq!(told(&log, 12), Some(vec!["c".into()]));
+    assert_eq!(names_if_known(&log, 5), None);
+    assert_eq!(names_if_known(&log, 12), Some(vec!["c".into()]));
 }
 
 #[test]
-fn an_old_answer_of_the_platform_is_not_passed_on() {
+fn an_outdated_log_does_not_answer() {
     let log = ServerListLog::new(Duration::ZERO);
     log.record(&batch(5, &["a"]), None);
     std::thread::sleep(Duration::from_millis(5));
-    assert_eq!(told(&log, 5), None);
+    assert_eq!(names_if_known(&log, 5), None);
 }
 
 #[test]
-fn many_changes_are_told_in_short_answers() {
+fn many_batches_are_answered_in_short_answers() {
     let log = log();
     log.record(&batch(5, &[]), None);
-    // Ten rows a reading, so that all readings are kept.
-    for first in (0..MANY).step_by(10) {
+    // Ten rows per batch, so that the log keeps all batches.
+    for first in (0..ROW_COUNT).step_by(10) {
         let rows = (first..first + 10).map(|number| long_row(number, None)).collect();
         let batch = FeedBatch { rows, version: 15 + first };
         log.record(&batch, Some(5 + first));
     }
-    assert_all_in_short_answers(&ask_on(&log, 5), "one reading after another");
+    assert_all_in_short_answers(&ask_until_current(&log, 5), "many batches");
 }
 
 #[test]
-fn rows_that_change_all_at_once_are_told_in_short_answers() {
+fn a_large_batch_is_answered_in_short_answers() {
     let log = log();
     log.record(&batch(5, &[]), None);
-    // The store's version goes on with other tables' rows too.
-    let rows = (0..MANY).map(|number| long_row(number, Some(7 + 2 * number)));
-    let version = 10 + 2 * MANY;
+    // Rows of other tables increase the store's version as well.
+    let rows = (0..ROW_COUNT).map(|number| long_row(number, Some(7 + 2 * number)));
+    let version = 10 + 2 * ROW_COUNT;
     log.record(&FeedBatch { rows: rows.collect(), version }, Some(5));
-    let answers = ask_on(&log, 5);
-    assert_all_in_short_answers(&answers, "one reading");
+    let answers = ask_until_current(&log, 5);
+    assert_all_in_short_answers(&answers, "one batch");
     assert_eq!(answers.last().unwrap().version, version);
-    // Whoever goes on with the platform, or another reader, is told of all that it lacks.
-    for news in &answers[..answers.len() - 1] {
-        let last = news.rows.last().unwrap();
+    // Versions of answers are those of their last rows, so a peer that continues at the
+    // platform or at another reader misses nothing.
+    for changes in &answers[..answers.len() - 1] {
+        let last = changes.rows.last().unwrap();
         let number: u64 = last.name.strip_prefix("row-").unwrap().parse().unwrap();
-        assert_eq!(news.version, 7 + 2 * number);
+        assert_eq!(changes.version, 7 + 2 * number);
     }
 }
 
 #[test]
-fn an_answer_never_ends_where_nobody_could_go_on() {
-    /// The version of each row by its number.
+fn a_batch_without_usable_row_versions_is_not_split() {
+    /// A function from the number of a row to its version.
     type Versions = fn(u64) -> Option<u64>;
     let cases: [(&str, Versions); 5] = [
         ("unknown", |_| None),
-        ("one for all", |_| Some(9)),
-        ("out of order", |number| Some(5 + MANY - number)),
-        ("before what was asked", |number| Some(3 + number)),
-        ("after the reading", |number| Some(9 + number)),
+        ("the same for all", |_| Some(9)),
+        ("out of order", |number| Some(5 + ROW_COUNT - number)),
+        ("before the batch", |number| Some(3 + number)),
+        ("after the batch", |number| Some(9 + number)),
     ];
     for (case, version) in cases {
         let log = log();
         log.record(&batch(5, &[]), None);
-        let rows = (0..MANY).map(|number| long_row(number, version(number)));
-        let end = 5 + MANY;
+        let rows = (0..ROW_COUNT).map(|number| long_row(number, version(number)));
+        let end = 5 + ROW_COUNT;
         log.record(&FeedBatch { rows: rows.collect(), version: end }, Some(5));
-        let answers = ask_on(&log, 5);
+        let answers = ask_until_current(&log, 5);
         assert_eq!(answers.len(), 1, "{case}");
-        assert_eq!(answers[0].rows.len() as u64, MANY, "{case}");
+        assert_eq!(answers[0].rows.len() as u64, ROW_COUNT, "{case}");
         assert_eq!(answers[0].version, end, "{case}");
     }
 }
 
 #[test]
-fn rows_of_one_change_stay_together() {
+fn rows_of_one_version_stay_together() {
     let log = log();
     log.record(&batch(5, &[]), None);
-    // Forty rows a change are more than an answer has room for.
-    let rows = (0..MANY).map(|number| long_row(number, Some(6 + number / 40)));
+    // Forty rows of one version don't fit into one answer.
+    let rows = (0..ROW_COUNT).map(|number| long_row(number, Some(6 + number / 40)));
     log.record(&FeedBatch { rows: rows.collect(), version: 50 }, Some(5));
-    let counts = ask_on(&log, 5)
+    let counts = ask_until_current(&log, 5)
         .into_iter()
-        .map(|news| (news.version, news.rows.len()));
+        .map(|changes| (changes.version, changes.rows.len()));
     let counts: Vec<(u64, usize)> = counts.collect();
     let mut expected: Vec<(u64, usize)> = (6..14).map(|version| (version, 40)).collect();
     expected.push((50, 10));
     assert_eq!(counts, expected);
 }
 
-/// All rows of a store, as they are read at once.
-fn whole(version: u64, rows: &[(&str, &str)]) -> FeedBatch {
+/// Returns a batch with all rows of a store.
+fn snapshot(version: u64, rows: &[(&str, &str)]) -> FeedBatch {
     let row = |(name, text): &(&str, &str)| FeedRow {
         name: (*name).to_owned(),
         text: Some((*text).to_owned()),
@@ -199,42 +205,42 @@
 }
 
 #[test]
-fn what_a_second_whole_reading_changes_is_told_as_changes() {
+fn the_difference_of_a_second_snapshot_is_answered_as_changes() {
     let log = log();
-    log.record(&whole(10, &[("a", "1"), ("b", "1"), ("c", "1")]), None);
-    // The store has forgotten its history, and everything is read anew.
-    log.record(&whole(20, &[("a", "1"), ("b", "2"), ("d", "1")]), None);
-    let news = log.changes_after(10).unwrap();
-    let told: Vec<(&str, Option<&str>)> = news
+    log.record(&snapshot(10, &[("a", "1"), ("b", "1"), ("c", "1")]), None);
+    // The store has dropped its history, so everything is read again.
+    log.record(&snapshot(20, &[("a", "1"), ("b", "2"), ("d", "1")]), None);
+    let changes = log.changes_after(10).unwrap();
+    let rows: Vec<(&str, Option<&str>)> = changes
         .rows
         .iter()
         .map(|row| (row.name.as_str(), row.text.as_deref()))
         .collect();
-    assert_eq!(told, [("c", None), ("b", Some("2")), ("d", Some("1"))]);
-    assert_eq!(news.version, 20);
-    // Who has seen a part of what happened between the readings can't be told the rest.
+    assert_eq!(rows, [("c", None), ("b", Some("2")), ("d", Some("1"))]);
+    assert_eq!(changes.version, 20);
+    // Which changes happened before and which after 15 isn't known.
     assert!(log.changes_after(15).is_none());
     log.record(&batch(22, &["e"]), Some(20));
-    assert_eq!(told_names(&log, 10), ["c", "b", "d", "e"]);
+    assert_eq!(names_after(&log, 10), ["c", "b", "d", "e"]);
 }
 
 #[test]
-fn peers_go_on_from_an_earlier_era_of_the_store() {
+fn peers_continue_from_an_earlier_era_of_the_store() {
     let log = log();
     let (first, second) = (store_version(1, 90), store_version(2, 40));
-    log.record(&whole(first, &[("a", "1"), ("lost", "1")]), None);
-    log.record(&whole(second, &[("a", "1"), ("again", "1")]), None);
-    let news = log.changes_after(first).unwrap();
-    assert_eq!(told_names(&log, first), ["lost", "again"]);
-    assert_eq!(news.version, second);
-    // What another instance has seen of the first era after this one isn't known here, nor
-    // what was before the copy's return.
+    log.record(&snapshot(first, &[("a", "1"), ("lost", "1")]), None);
+    log.record(&snapshot(second, &[("a", "1"), ("again", "1")]), None);
+    let changes = log.changes_after(first).unwrap();
+    assert_eq!(names_after(&log, first), ["lost", "again"]);
+    assert_eq!(changes.version, second);
+    // Versions that the log hasn't seen can't be answered: later ones of the first era,
+    // and others of the second era than that of the read.
     assert!(log.changes_after(store_version(1, 95)).is_none());
     assert!(log.changes_after(store_version(2, 30)).is_none());
     assert!(log.changes_after(store_version(2, 41)).is_none());
 }
 
-/// Returns the names that a log tells of after a version.
-fn told_names(log: &ServerListLog, after: u64) -> Vec<String> {
-    told(log, after).unwrap()
+/// Returns the names of the rows that changed after a version that the log can answer.
+fn names_after(log: &ServerListLog, after: u64) -> Vec<String> {
+    names_if_known(log, after).unwrap()
 }
