--- a/crates/flaxtide-entry/src/feed.rs
+++ b/crates/flaxtide-entry/src/feed.rs
@@ -1,4 +1,4 @@
-//! What the platform and the peers tell, handled on the traffic thread.
+//! Applies what the platform and the peers report, on the traffic thread.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,50 +14,51 @@
 use crate::shared_rules::{RulesCopy, SharedRules};
 use crate::state::TrafficState;
 
-/// Something that a feed thread tells the traffic thread.
+/// An event for the traffic thread from a thread that follows the platform or talks to
+/// peers.
 #[derive(Debug)]
 pub(crate) enum FeedEvent {
-    /// Rows have been read.
+    /// Rows of a topic have been read.
     Batch {
-        /// The topic.
+        /// The topic of the rows.
         topic: FeedTopic,
-        /// The rows.
+        /// The rows and the version they reach.
         batch: FeedBatch,
-        /// Whether these are all rows of the topic.
+        /// Whether these are all rows of the topic instead of changes.
         is_snapshot: bool,
-        /// For how long before them nothing was known of changes.
+        /// For how long changes of the topic were unknown before this batch.
         unseen: Duration,
     },
-    /// The platform doesn't answer.
+    /// The platform doesn't answer any more.
     Lost,
-    /// It answers again.
+    /// The platform answers again.
     Regained,
-    /// A peer has sent rules.
+    /// A peer has sent newer rules.
     PeerRules(RulesCopy),
-    /// A peer has said what it has at servers.
+    /// A peer has reported its requests at servers.
     PeerLoads(InstanceName, Vec<OwnLoad>),
-    /// Servers have read shared parts of prompts for a peer.
+    /// Peers have reported prompt parts that servers prefilled for them.
     PeerReads(Vec<PartRead>),
     /// A peer has found servers unresponsive.
     PeerUnresponsive(Vec<FleetKey>),
-    /// Servers ended under requests, as peers have seen.
+    /// Peers have reported servers that crashed while running requests.
     Crashes(Vec<CrashReport>),
-    /// Servers have said something of themselves to peers.
+    /// Peers have reported statements that servers made about themselves.
     Pushback(Vec<PushbackReport>),
-    /// What is known of the fleet.
+    /// The state of the fleet, as its membership shows it.
     Fleet {
-        /// So many instances are alive.
+        /// The number of live instances.
         live: u32,
-        /// The newest version of the rules that peers have told of.
+        /// The newest version of the rules that peers have announced.
         newest_rules: SettingsVersion,
-        /// Whether a peer has told which requests crash servers.
+        /// Whether a peer has sent the requests that are known to crash servers.
         knows_crashes: bool,
-        /// The instances that are seen alive, once that is known.
+        /// The live instances, or `None` until they are known.
         group: Option<Arc<InstanceGroup>>,
     },
 }
 
-/// Handles what the feed threads and the peers tell, until they have ended.
+/// Handles events from the platform and the peers until their senders have ended.
 pub(crate) async fn handle_feed_events(
     state: Rc<TrafficState>,
     feed: Arc<dyn PlatformFeed>,
@@ -69,7 +70,8 @@
         match event {
             FeedEvent::Batch { topic: FeedTopic::Rules, batch, .. } => {
                 for text in batch.rows.into_iter().filter_map(|row| row.text) {
-                    // A store that lost its history has the same rules read again.
+                    // A store that lost its history causes the same rules to be read
+                    // again.
                     if !shared.holds(&text) {
                         apply_rules(&state, &*feed, &shared, text.into(), "platform");
                     }
@@ -86,7 +88,7 @@
             FeedEvent::Lost | FeedEvent::Regained => {
                 state.directory.borrow_mut().trouble(now);
             }
-            // Rules that are in force already aren't decoded again.
+            // Rules that are in force already need no decoding.
             FeedEvent::PeerRules(copy) if !state.needs(copy.version) => {}
             FeedEvent::PeerRules(copy) => {
                 apply_peer_rules(&state, &*feed, &shared, copy);
@@ -113,7 +115,8 @@
     }
 }
 
-/// Puts rules in force that a peer sent, if they are what it says.
+/// Puts rules from a peer in force, and has the peer's version rejected if the rules are
+/// invalid or of another version.
 fn apply_peer_rules(
     state: &TrafficState,
     feed: &dyn PlatformFeed,
@@ -123,12 +126,12 @@
     let told = copy.version;
     let version = apply_rules(state, feed, shared, copy.text, "peer");
     if version != Some(told) {
-        log::error!(told, version:?; "rules of a peer are not what it says");
+        log::error!(told, version:?; "rules from a peer are invalid or of another version");
         state.fleet.reject_rules(told);
     }
 }
 
-/// Puts rules in force, unless newer ones are. Returns their version, if they are understood.
+/// Puts rules in force unless newer ones are. Returns their version if they are valid.
 fn apply_rules(
     state: &TrafficState,
     feed: &dyn PlatformFeed,
@@ -153,7 +156,7 @@
     Some(version)
 }
 
-/// Handles rows of servers.
+/// Applies rows of the server list.
 fn apply_servers(
     state: &TrafficState,
     feed: &dyn PlatformFeed,
@@ -177,7 +180,7 @@
     }
 }
 
-/// Handles the row of one server. Returns whether it changes anything.
+/// Applies the row of one server. Returns whether it changes the directory.
 fn apply_server(
     state: &TrafficState,
     feed: &dyn PlatformFeed,
@@ -190,7 +193,7 @@
         let changed = directory.remove_unseen(&row.name, unseen, now);
         if changed {
             let unseen_ms = unseen.as_millis() as u64;
-            log::info!(server = row.name, unseen_ms; "server not listed any more");
+            log::info!(server = row.name, unseen_ms; "server no longer listed");
         }
         return changed;
     };
@@ -206,7 +209,7 @@
     let (service, leaving) = (entry.service.clone(), entry.leaving);
     if directory.starts_again(&entry) {
         state.metrics.servers_started_again.inc();
-        log::info!(server = row.name, service; "server started again");
+        log::info!(server = row.name, service; "server restarted");
     }
     let changed = directory.put(entry, now);
     if changed {
@@ -215,9 +218,9 @@
     changed
 }
 
-/// Shortens a text that anybody may have written, for the log.
+/// Shortens a text from an untrusted writer for the log.
 fn shorten(text: &str) -> String {
-    /// How many characters are enough to find the row.
+    /// Enough characters to identify the row.
     const MAX_CHARS: usize = 200;
     text.chars().take(MAX_CHARS).collect()
 }
--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -1,7 +1,7 @@
-//! The instance's part in the fleet: it hands on rules, and tells what it has at servers.
+//! Connects the instance to its peers: shares rules, and reports its requests at servers.
 //!
-//! What peers tell is soft state. Without it an instance goes on, with its own requests as
-//! all that it knows of the servers' load.
+//! All state from peers is soft. Without it, an instance continues with its own requests
+//! as its only knowledge of the servers' load.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -28,51 +28,52 @@
 use crate::shared_rules::{RulesCopy, SharedRules};
 use crate::state::TrafficState;
 
-/// The length of the ring to the fleet thread.
+/// The capacity of the queue to the fleet thread.
 const FLEET_QUEUE_LEN: usize = 64;
 
-/// How often peers' news are prepared: with each look of the traffic thread.
+/// How often the state for peers is updated: with each tick of the traffic thread.
 const PUBLISH_PERIOD: Duration = Duration::from_millis(100);
 
-/// How many prompt tokens one unit of a load stands for.
+/// The number of prompt tokens that one unit of a reported load stands for.
 const TOKENS_PER_LOAD_UNIT: u32 = 16;
 
-/// Up to how many instances tell each other everything, whatever their data centres: so many
-/// heartbeats fit the 17 KB/s of control at their longest period.
+/// The largest fleet in which all instances exchange full state, whatever their data
+/// centres. With more, heartbeats at their longest period would exceed the 17 KB/s for
+/// control traffic.
 const JOINT_LIMIT: u32 = 58;
 
-/// The ring to the fleet thread.
+/// The sending end of the queue to the fleet thread.
 #[derive(Debug, Clone)]
 pub(crate) struct FleetLink {
-    /// The ring.
+    /// The queue of events.
     events: Sender<FleetEvent>,
 }
 
 impl FleetLink {
-    /// Makes a ring. The receiver is the fleet thread's.
+    /// Creates a link and the receiver for the fleet thread.
     pub(crate) fn new() -> (Self, Receiver<FleetEvent>) {
         let (events, queue) = bounded(FLEET_QUEUE_LEN);
         (Self { events }, queue)
     }
 
-    /// Tells peers of a new version of the rules.
+    /// Announces a new version of the rules to peers.
     pub(crate) fn announce(&self, version: SettingsVersion) {
         self.update(move |node, _| node.set_version(version));
         self.send(FleetEvent::Urgent);
     }
 
-    /// Tells the fleet thread that rules which a peer sent can't be put in force.
+    /// Tells the fleet thread that rules from a peer can't be put in force.
     pub(crate) fn reject_rules(&self, version: SettingsVersion) {
         self.update(move |node, _| node.reject_fetched(version));
     }
 
-    /// Tells peers that this instance is stopping.
+    /// Announces to peers that this instance is stopping.
     pub(crate) fn leave(&self) {
         self.update(|node, _| node.leave());
         self.send(FleetEvent::Urgent);
     }
 
-    /// Tells peers that this instance holds the duties.
+    /// Announces to peers that this instance holds the duties.
     pub(crate) fn announce_duty(&self, holder: DutyHolder) {
         self.update(move |node, _| node.hear_duty(Some(holder)));
     }
@@ -82,8 +83,8 @@
         self.send(FleetEvent::AskRows(question));
     }
 
-    /// Tells peers of crashes. `clock` is the one on which the reports' ages count from `since`.
-    /// Returns whether the fleet thread will hear of them.
+    /// Reports crashes to peers. The ages in the reports count from `since` on `clock`.
+    /// Returns whether the fleet thread will get them.
     pub(crate) fn report_crashes(
         &self,
         reports: Vec<CrashReport>,
@@ -97,8 +98,8 @@
         })
     }
 
-    /// Tells peers what a server said at `heard` on a clock. Returns whether the fleet thread
-    /// will hear of it.
+    /// Reports to peers what a server stated at `heard_at` on `clock`. Returns whether
+    /// the fleet thread will get it.
     pub(crate) fn report_pushback(
         &self,
         report: PushbackReport,
@@ -113,7 +114,8 @@
         })
     }
 
-    /// Changes the node on its thread. Returns whether it will be.
+    /// Schedules a change of the node on the fleet thread. Returns whether there was room
+    /// in the queue.
     fn update(
         &self,
         change: impl FnOnce(&mut FleetNode, Duration) + Send + 'static,
@@ -121,23 +123,24 @@
         self.send(FleetEvent::Update(FleetUpdate::new(change)))
     }
 
-    /// Puts an event into the ring. A full ring loses it: the thread is behind. What the
-    /// node knows is told again soon; a question without an answer counts as a silent peer.
-    /// Returns whether there was a place.
+    /// Sends an event to the fleet thread. If the queue is full because the thread is
+    /// slow, the event is dropped: the node's state is published again soon, and a
+    /// question without an answer counts as a peer that doesn't respond. Returns whether
+    /// there was room.
     fn send(&self, event: FleetEvent) -> bool {
         let sent = self.events.try_send(event).is_ok();
         if !sent {
-            log::warn!("fleet thread is behind, an event is lost");
+            log::warn!("queue to the fleet thread is full, event dropped");
         }
         sent
     }
 }
 
-/// Opens the instance's links to its peers.
+/// Starts listening to peers, with callbacks for their messages.
 ///
 /// # Errors
 ///
-/// Returns the fault if it can't listen.
+/// Returns an error if the address can't be listened on.
 pub(crate) fn open_fleet(
     config: &EntryConfig,
     shared: &Arc<SharedRules>,
@@ -187,7 +190,7 @@
     Ok(fleet)
 }
 
-/// Passes on what peers have told.
+/// Forwards notices from peers to the traffic thread.
 fn forward_notices(events: &mpsc::Sender<FeedEvent>, notices: Vec<FleetNotice>) {
     for notice in notices {
         match notice {
@@ -207,8 +210,8 @@
             FleetNotice::Pushback(reports) => {
                 forward_reliably(events.clone(), FeedEvent::Pushback(reports));
             }
-            // Slots and rates aren't shared out here: every instance may use every server.
-            // The fleet thread fetches newer rules by itself.
+            // Slots and rates aren't shared out among instances here, as every instance
+            // may use every server. The fleet thread fetches newer rules by itself.
             FleetNotice::Load(_)
             | FleetNotice::Share(..)
             | FleetNotice::Rate(..)
@@ -217,8 +220,8 @@
     }
 }
 
-/// Hands the traffic thread what peers say only once, such as rules or crashes. It waits for a
-/// place in the ring.
+/// Sends an event that peers don't repeat, such as rules or crashes, to the traffic
+/// thread. Waits for room in the queue.
 fn forward_reliably(events: mpsc::Sender<FeedEvent>, event: FeedEvent) {
     tokio::spawn(async move {
         // The traffic thread ends only with the process.
@@ -226,15 +229,15 @@
     });
 }
 
-/// Puts an event into the ring to the traffic thread. A full ring loses it; peers say the
-/// same again within a period.
+/// Sends an event that peers repeat within a heartbeat period to the traffic thread.
+/// Drops it if the queue is full.
 fn forward(events: &mpsc::Sender<FeedEvent>, event: FeedEvent) {
     if events.try_send(event).is_err() {
-        log::warn!("traffic thread is behind, a peer's word is lost");
+        log::warn!("queue to the traffic thread is full, event dropped");
     }
 }
 
-/// Shows how many bytes went over the links to peers.
+/// Exports the number of bytes sent to and received from peers.
 pub(crate) fn export_peer_bytes(metrics: &EntryMetrics, bytes: &LinkBytes) {
     let (received, sent) = bytes.get();
     for (direction, count) in [("received", received), ("sent", sent)] {
@@ -242,22 +245,22 @@
     }
 }
 
-/// Notices when the platform brings bytes of rules.
+/// Notices when bytes of rules arrive from the platform.
 pub(crate) struct RulesDownloadMonitor {
-    /// What the platform tells.
+    /// The feed that counts the received bytes.
     feed: Arc<dyn PlatformFeed>,
-    /// How many bytes had come when it last looked.
+    /// The byte count at the last poll.
     received: u64,
 }
 
 impl RulesDownloadMonitor {
-    /// Looks at a feed.
+    /// Creates a monitor of a feed.
     pub(crate) fn new(feed: Arc<dyn PlatformFeed>) -> Self {
         Self { feed, received: 0 }
     }
 
-    /// Tells the fleet thread if bytes of rules have come since the last look: as long as
-    /// they do, peers aren't asked for the same.
+    /// Tells the fleet thread if bytes of rules have arrived since the last poll. While
+    /// they arrive, peers aren't asked for the same rules.
     pub(crate) fn poll(&mut self, link: &FleetLink) {
         let received = self.feed.received_bytes(FeedTopic::Rules);
         if received != self.received {
@@ -267,7 +270,8 @@
     }
 }
 
-/// Tells peers what this instance has at servers, and hears how many instances are alive.
+/// Publishes this instance's state to peers, and sends the state of the fleet to the
+/// traffic thread.
 pub(crate) fn publish_to_peers(
     state: &Rc<TrafficState>,
     link: &FleetLink,
@@ -288,9 +292,9 @@
     let duties = state.duties.clone();
     let alone_below = state.config().read_alone_below;
     link.update(move |node, now| {
-        // Told again each time, as the ring may have been full when the rules came.
+        // Repeated each time, as the queue may have been full when the rules changed.
         node.set_version(version);
-        // Each beat tells what has been read since the one before it.
+        // Each heartbeat reports the prefills since the previous one.
         let recent = node.period() + PUBLISH_PERIOD * 2;
         let reads = reads.iter().filter(|(age, _)| *age < recent).map(|(_, read)| *read);
         let reads = reads.collect();
@@ -306,7 +310,7 @@
         let plan = node.list_plan(alone_below);
         let (reader, standby) = (plan.reader, plan.standby);
         if source.set_plan(plan) {
-            log::info!(reader:? = reader, standby; "list reader");
+            log::info!(reader:? = reader, standby; "server list reader changed");
         }
         node.set_told_by_peers(source.reader_answered_lately());
         if let Some(duties) = duties {
@@ -316,7 +320,7 @@
         let newest_rules = node.newest_known(now);
         let knows_crashes = node.knows_crashes();
         let group = node.instance_group(now);
-        // Told again with the next update.
+        // A dropped event is repeated with the next update.
         let _ = events.try_send(FeedEvent::Fleet {
             live,
             newest_rules,
@@ -326,20 +330,20 @@
     });
 }
 
-/// Spells what a server has read as peers are told, with its age.
+/// Converts a prefill of a server to the form for peers, with its age.
 fn to_part_read(state: &TrafficState, note: &ReadNote) -> Option<(Duration, PartRead)> {
     let server = state.server_key(note.server)?;
     Some((note.age, PartRead { server, part: note.part }))
 }
 
-/// Handles that a peer has found servers unresponsive.
+/// Applies a peer's report of unresponsive servers.
 pub(crate) fn apply_peer_unresponsive(state: &TrafficState, servers: &[FleetKey]) {
     let known: Vec<ServerId> =
         servers.iter().filter_map(|key| state.server_with_key(*key)).collect();
     state.ask(|core, now| core.hear_rumours(&known, now));
 }
 
-/// Takes in what servers have read for a peer.
+/// Applies peers' reports of prompt parts that servers have prefilled.
 pub(crate) fn apply_peer_reads(state: &TrafficState, reads: &[PartRead]) {
     let known = reads.iter().filter_map(|read| {
         let server = state.server_with_key(read.server)?;
@@ -349,7 +353,7 @@
     state.ask(|core, now| core.hear_reads(&known, now));
 }
 
-/// Spells a load as peers are told.
+/// Converts the load at a server to the form for peers.
 fn to_own_load(state: &TrafficState, load: &ServerLoad) -> Option<OwnLoad> {
     Some(OwnLoad {
         server: state.server_key(load.server)?,
@@ -361,7 +365,7 @@
     })
 }
 
-/// Takes in what a peer has at servers.
+/// Applies a peer's report of its load at servers.
 pub(crate) fn apply_peer_loads(
     state: &TrafficState,
     peer: &InstanceName,
--- a/crates/flaxtide-entry/src/relay.rs
+++ b/crates/flaxtide-entry/src/relay.rs
@@ -1,5 +1,5 @@
-//! A stream of events on its way to a caller. Only whole events are passed on, so that
-//! another server can go on after the last.
+//! Relays a stream of server-sent events to a caller. It passes on complete events only,
+//! so that another server can continue after the last one if the stream breaks.
 
 use std::io;
 use std::time::Duration;
@@ -16,30 +16,30 @@
 use crate::open_call::{OpenCall, TryEnd};
 use crate::reply::AnswerBody;
 
-/// A server that is silent for this long in the midst of a stream that another one can go
-/// on with is left. Callers wait two seconds at least.
+/// A server that sends nothing for this long in the middle of a resumable stream is
+/// replaced by another. It lies below the two seconds for which callers wait at least.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// A stream that is passed on.
+/// A stream of events from a server to a caller.
 pub(crate) struct StreamRelay {
-    /// The request.
+    /// The call that the stream answers.
     call: OpenCall,
-    /// What the caller sent, to be sent again if the stream breaks.
+    /// The caller's request, sent again to another server if the stream breaks.
     request: CallerRequest,
-    /// The server's answer.
+    /// The body of the server's response, or `None` between two servers.
     source: Option<AnswerSource>,
-    /// What has come of an event that isn't whole.
+    /// Holds back the bytes of an incomplete event.
     splitter: EventSplitter,
-    /// What came before the first poll.
+    /// The bytes that had arrived before the relay was created.
     first_bytes: Option<Bytes>,
-    /// When the last bytes came.
+    /// When the last bytes arrived.
     last_received: Duration,
-    /// Whether the end has been passed on.
+    /// Whether the end of the stream has been recorded, and nothing more follows.
     ended: bool,
 }
 
 impl StreamRelay {
-    /// Starts with the first bytes of a stream.
+    /// Creates a relay that begins with the first bytes of a stream.
     pub(crate) fn new(
         call: OpenCall,
         request: CallerRequest,
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Tells whether another server may go on.
+    /// Returns whether another server can continue the stream.
     fn resumable(&self) -> bool {
         self.call.class.class().kind == (CallKind::Stream { resumable: true })
     }
 
-    /// Returns the next whole events; nothing at the end.
+    /// Returns the next complete events, or `None` at the end.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
         loop {
             let bytes = match self.first_bytes.take() {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Notes how long nothing came before these bytes.
+    /// Records the pause before the bytes that have just arrived.
     fn record_pause(&mut self) {
         let now = self.call.state.now();
         let pause = now.saturating_sub(self.last_received);
@@ -94,7 +94,7 @@
         self.call.longest_pause.set(longest);
     }
 
-    /// Receives the next bytes.
+    /// Receives the next bytes from the server, or `None` at the end of its response.
     async fn receive(&mut self) -> Result<Option<Bytes>, TryEnd> {
         let resumable = self.resumable();
         let Some(source) = &mut self.source else {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Ends a whole stream. Returns what is left of it.
+    /// Finishes a complete stream. Returns the bytes that are left, if any.
     fn finish(&mut self) -> Option<Bytes> {
         self.call
             .state
@@ -138,7 +138,7 @@
         (!partial.is_empty()).then_some(partial)
     }
 
-    /// Has another server go on after the last whole event.
+    /// Lets another server continue after the last complete event.
     async fn resume(&mut self, fault: RouteFault) -> io::Result<()> {
         self.source = None;
         self.splitter.clear_partial();
@@ -169,16 +169,16 @@
         }
     }
 
-    /// Breaks the stream off, so that it doesn't look complete.
+    /// Aborts the stream with an error, so that the caller doesn't take it for complete.
     fn abort(&mut self, end: &'static str) -> io::Error {
         self.source = None;
         self.ended = true;
         self.call.end(end, 200);
-        io::Error::other("the stream broke")
+        io::Error::other("stream aborted")
     }
 }
 
-/// Makes the body of an answer out of a stream.
+/// Turns a relay into the body of a response.
 pub(crate) fn relay_body(relay: StreamRelay) -> AnswerBody {
     let pieces = stream::unfold(relay, |mut relay| async move {
         if relay.ended {
@@ -194,17 +194,17 @@
     Either::Right(StreamBody::new(pieces.boxed_local()))
 }
 
-/// Cuts a stream into whole events.
+/// Splits a stream of bytes after its last complete event.
 #[derive(Debug, Default)]
 struct EventSplitter {
-    /// What has come of an event that isn't whole.
+    /// The beginning of an event that isn't complete yet.
     partial: BytesMut,
-    /// The number of the last whole event.
+    /// The id of the last complete event, if it had a number as its id.
     last_event: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Takes in bytes. Returns the events that are whole now.
+    /// Adds received bytes. Returns the events that are complete now.
     fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.partial.extend_from_slice(bytes);
         let Some(end) = last_event_end(&self.partial) else { return Bytes::new() };
@@ -215,24 +215,24 @@
         whole
     }
 
-    /// Drops what isn't whole.
+    /// Drops the incomplete event.
     fn clear_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Returns what isn't whole.
+    /// Removes and returns the incomplete event.
     fn take_partial(&mut self) -> Bytes {
         std::mem::take(&mut self.partial).freeze()
     }
 }
 
-/// Returns where the last whole event ends.
+/// Returns the end of the last complete event.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let idx = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
     Some(idx + 2)
 }
 
-/// Returns the number of the last event.
+/// Returns the id of the last event that has one, if it is a number.
 fn last_event_id(events: &[u8]) -> Option<u64> {
     let lines = events.split(|byte| *byte == b'\n').rev();
     let id = lines.filter_map(|line| line.strip_prefix(b"id:")).next()?;
--- a/crates/flaxtide-entry/src/shared_rules.rs
+++ b/crates/flaxtide-entry/src/shared_rules.rs
@@ -4,29 +4,29 @@
 
 use flaxtide_core::SettingsVersion;
 
-/// Rules as they travel between instances: as the platform spells them.
+/// A copy of the rules as it travels between instances: in the text form of the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RulesCopy {
-    /// The version.
+    /// The version of the rules.
     pub(crate) version: SettingsVersion,
-    /// The text. Whoever gives it to peers shares it.
+    /// The text as read from the platform, shared by all threads that send it.
     pub(crate) text: Arc<str>,
 }
 
-/// The newest rules, for peers that ask.
+/// The newest rules, for peers that ask for them.
 #[derive(Debug, Default)]
 pub(crate) struct SharedRules {
-    /// The rules, once there are any.
+    /// The rules, or `None` before the first ones.
     copy: Mutex<Option<RulesCopy>>,
 }
 
 impl SharedRules {
-    /// Takes in newer rules.
+    /// Replaces the rules by newer ones.
     pub(crate) fn put(&self, copy: RulesCopy) {
         *self.lock() = Some(copy);
     }
 
-    /// Tells whether rules are those in force, to the letter.
+    /// Returns whether a text equals that of the rules in force.
     pub(crate) fn holds(&self, text: &str) -> bool {
         self.lock().as_ref().is_some_and(|copy| *copy.text == *text)
     }
@@ -36,7 +36,7 @@
         self.lock().clone().filter(|copy| copy.version > version)
     }
 
-    /// Locks the copy. A panic elsewhere doesn't spoil it.
+    /// Locks the rules, even if a thread has panicked while it held the lock.
     fn lock(&self) -> MutexGuard<'_, Option<RulesCopy>> {
         self.copy.lock().unwrap_or_else(PoisonError::into_inner)
     }
