--- a/crates/flaxtide-entry/src/contract/dialect.rs
+++ b/crates/flaxtide-entry/src/contract/dialect.rs
@@ -1,4 +1,4 @@
-//! The words of requests and answers.
+//! Translation of the headers of requests and responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,62 +7,64 @@
 use flaxtide_policy::{PromptShape, ServerStatement};
 use hyper::header::HeaderMap;
 
-/// Translates between headers and what they say.
+/// Translates between the platform's headers and their meaning.
 pub trait WireDialect: Send + Sync {
-    /// Reads what the headers of a caller's request say.
+    /// Reads the headers of a caller's request.
     fn read_request(&self, headers: &HeaderMap) -> RequestHead;
 
-    /// Takes away what a caller may not tell a server, and adds what the server is told.
+    /// Removes the headers that callers may not send to servers, and adds those for the
+    /// server.
     fn write_request(&self, headers: &mut HeaderMap, head: &UpstreamHead<'_>);
 
-    /// Reads what the headers of a server's answer say.
+    /// Reads the status and the headers of a server's response.
     fn read_response(&self, status: u16, headers: &HeaderMap) -> ResponseHead;
 
-    /// Has a server go on after the event with this number.
+    /// Asks a server to continue a stream after the event with the id `last_event`.
     fn write_resume(&self, headers: &mut HeaderMap, last_event: u64);
 }
 
-/// What the headers of a caller's request say.
+/// The headers of a caller's request, decoded.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RequestHead {
-    /// What identifies the request; the caller's next try has another.
+    /// The id of the request. A retry by the caller has another one.
     pub attempt_id: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub deadline: Option<Duration>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// The prompt, for a request to a model.
+    /// The tokens of the prompt and its parts, for a request to a model.
     pub prompt: PromptShape,
 }
 
-/// What a server is told beside the caller's own headers.
+/// The values of the headers that are added for a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct UpstreamHead<'a> {
-    /// How long the server may take.
+    /// How long the server may take to respond.
     pub time_left: Duration,
-    /// The name of the server that is meant.
+    /// The name of the server that the request is meant for.
     pub server: &'a str,
-    /// The caller's organisation.
+    /// The name of the caller's organisation.
     pub organisation: Option<&'a str>,
-    /// The tier, for an engine.
+    /// The tier of the request, if the server is an engine.
     pub tier: Option<TierRank>,
-    /// Where another engine keeps what the prompt shares with others.
+    /// The address of another engine from which the server can fetch the cached prompt
+    /// prefix.
     pub fetch_from: Option<SocketAddr>,
 }
 
-/// What the headers of a server's answer say.
+/// The headers of a server's response, decoded.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The request that it answers.
+    /// The id of the request that it responds to.
     pub attempt_id: Option<String>,
-    /// Whether the server vouches for it.
+    /// Whether the response has the seal by which a server confirms that it is its own.
     pub sealed: bool,
-    /// Whether the server says that the request hasn't run.
+    /// Whether the server states that it hasn't run the request.
     pub not_run: bool,
-    /// Whether another server has the address.
+    /// Whether the address now belongs to another server.
     pub replaced: bool,
-    /// For how long the server keeps the connection open.
+    /// How long the server keeps the idle connection open.
     pub keep_alive: Option<Duration>,
-    /// What the server states of itself.
+    /// The server's statement of its load limits and state.
     pub statement: ServerStatement,
 }
--- a/crates/flaxtide-entry/src/contract/duty.rs
+++ b/crates/flaxtide-entry/src/contract/duty.rs
@@ -1,4 +1,4 @@
-//! Duties at the platform that one instance has for all, under a lease.
+//! Calls to the platform for the duties that one instance performs under a lease.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,21 +9,21 @@
 
 use super::feed::FeedError;
 
-/// The platform's part in the duties. Calls block.
+/// The row and the calls of the duties at the platform. All methods block.
 pub trait DutyPlatform: Send + Sync {
-    /// Reads the row of the duties, with its version.
+    /// Reads the duty row with its version.
     ///
     /// # Errors
     ///
     /// Any [`FeedError`].
     fn read_row(&self) -> Result<DutyRead, FeedError>;
 
-    /// Writes the row if the one that is there has a version; nothing means no row. Returns the
-    /// new version, or nothing if another row is there.
+    /// Writes the duty row if its current version is `expected`; `None` means that there
+    /// is no row. Returns the new version, or `None` if the current version is another.
     ///
     /// # Errors
     ///
-    /// Any [`FeedError`]; after [`FeedError::NoAnswer`] it may be written yet.
+    /// Any [`FeedError`]. After [`FeedError::NoAnswer`], it may still be written.
     fn write_row(
         &self,
         expected: Option<StoreVersion>,
@@ -34,19 +34,19 @@
     ///
     /// # Errors
     ///
-    /// Any [`FeedError`]; after [`FeedError::NoAnswer`] it may be carried out yet.
+    /// Any [`FeedError`]. After [`FeedError::NoAnswer`], it may still be applied.
     fn report_usage(
         &self,
         token: &FencingToken,
         report: &UsageReport,
     ) -> Result<DutyAnswer, FeedError>;
 
-    /// Orders backend servers of a service.
+    /// Orders backend servers for a service.
     ///
     /// # Errors
     ///
-    /// Any [`FeedError`]; after [`FeedError::NoAnswer`] it may be carried out yet, after newer
-    /// orders.
+    /// Any [`FeedError`]. After [`FeedError::NoAnswer`], it may still be applied, even
+    /// after newer orders.
     fn order_servers(
         &self,
         token: &FencingToken,
@@ -55,59 +55,61 @@
     ) -> Result<DutyAnswer, FeedError>;
 }
 
-/// What was read of the row of the duties.
+/// The result of reading the duty row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DutyRead {
-    /// The row and its version; nothing if there is none.
+    /// The row and its version, or `None` if there is no row.
     pub row: Option<(DutyRow, StoreVersion)>,
-    /// The era of the store.
+    /// The current era of the store.
     pub era: u64,
 }
 
-/// The row of the duties in the platform's table.
+/// The row in the platform's table that records the holder of the duties and their
+/// progress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DutyRow {
-    /// Who holds them.
+    /// The lease of the holder.
     pub lease: LeaseRow,
-    /// Where the holder hears its peers.
+    /// The address at which the holder listens to its peers.
     pub address: SocketAddr,
-    /// The era of the store in which this was written.
+    /// The era of the store in which the row was written.
     pub era: u64,
-    /// The last report that is settled: its window is reported with these counts only.
+    /// The last settled report. Its window is never reported with other counts.
     pub settled: Option<UsageReport>,
-    /// Whether the platform has acknowledged it.
+    /// Whether the platform has acknowledged the settled report.
     pub acknowledged: bool,
-    /// No window before this one is owed.
+    /// The first window that holders have to report.
     pub owed_from: WindowNumber,
-    /// What instances had told of windows that weren't settled.
+    /// The counts that instances have reported for windows that aren't settled.
     pub drafts: BTreeMap<WindowNumber, UsageCounts>,
 }
 
-/// Who makes a call, under which fencing number.
+/// Identifies the holder that makes a call, so that the platform refuses calls of earlier
+/// holders.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FencingToken {
-    /// The instance.
+    /// The name of the instance.
     pub holder: InstanceName,
-    /// The fencing number.
+    /// The fence, which increases with each holder.
     pub fence: u64,
 }
 
-/// How many requests of each organisation began to run in a window.
+/// The number of requests of each organisation that began to run in a window.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// The window.
+    /// The number of the window.
     pub window: WindowNumber,
-    /// The requests.
+    /// The number of requests by organisation.
     pub counts: BTreeMap<OrganisationName, u32>,
 }
 
-/// What the platform answers a call of a duty.
+/// The platform's answer to a call of a duty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DutyAnswer {
-    /// It is carried out.
+    /// The call was applied.
     Taken,
-    /// A higher fencing number was used, or what is ordered isn't to be had now.
+    /// A higher fence has been used, or the ordered servers aren't available now.
     Refused,
-    /// There are too many calls; nothing was done.
+    /// The platform has too many calls. Nothing was done.
     Busy,
 }
--- a/crates/flaxtide-entry/src/contract/feed.rs
+++ b/crates/flaxtide-entry/src/contract/feed.rs
@@ -1,4 +1,4 @@
-//! What the platform tells: rules and servers.
+//! Access to the rules and the server list at the platform.
 
 use std::time::Duration;
 
@@ -7,9 +7,10 @@
 
 use super::rules::{EntryRules, ServerEntry};
 
-/// Reads and follows what the platform keeps. Calls block.
+/// Reads and follows the platform's rules and server list. Methods that call the platform
+/// block.
 pub trait PlatformFeed: Send + Sync {
-    /// Reads everything of a topic.
+    /// Reads all rows of a topic.
     ///
     /// # Errors
     ///
@@ -20,7 +21,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`FeedError`]; after [`FeedError::HistoryGone`], everything is to be read.
+    /// Any [`FeedError`]. After [`FeedError::HistoryGone`], everything must be read.
     fn follow(
         &self,
         topic: FeedTopic,
@@ -28,81 +29,81 @@
         wait: Duration,
     ) -> Result<FeedBatch, FeedError>;
 
-    /// Returns how many bytes of answers have come for a topic, refusals aside and those of
-    /// an answer that isn't whole yet included. It only grows.
+    /// Returns the total number of bytes received in answers on a topic. It includes
+    /// answers that are still incomplete, but not refusals.
     fn received_bytes(&self, topic: FeedTopic) -> u64;
 
-    /// Understands the text of rules, also when a peer sent it.
+    /// Parses the text of rules, whether from the platform or from a peer.
     ///
     /// # Errors
     ///
-    /// [`FeedError::BadContent`], with what is wrong.
+    /// [`FeedError::BadContent`] with the cause.
     fn parse_rules(&self, text: &str) -> Result<EntryRules, FeedError>;
 
-    /// Understands the text of a server's entry.
+    /// Parses the text of a server's row.
     ///
     /// # Errors
     ///
-    /// [`FeedError::BadContent`], with what is wrong.
+    /// [`FeedError::BadContent`] with the cause.
     fn parse_server(&self, name: &str, text: &str) -> Result<ServerEntry, FeedError>;
 }
 
-/// What can be followed.
+/// A topic that can be followed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum FeedTopic {
-    /// The rules.
+    /// The rules that operators set.
     #[display("rules")]
     Rules,
-    /// The servers.
+    /// The list of backend servers.
     #[display("servers")]
     Servers,
 }
 
-/// Rows of a topic, and up to which version they were read.
+/// Rows of a topic and the version that they reach.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FeedBatch {
     /// The rows, in the order of their changes.
     pub rows: Vec<FeedRow>,
-    /// Up to which version this is.
+    /// The version up to which all changes are included.
     pub version: StoreVersion,
 }
 
-/// A row as it is now.
+/// The current state of a row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FeedRow {
-    /// Its name.
+    /// The key of the row.
     pub name: String,
-    /// Its text; nothing if it is gone.
+    /// The text of the row, or `None` if it was removed.
     pub text: Option<String>,
-    /// The version at which it changed, if that is known: whoever has all rows up to a
-    /// version lacks just those that changed later.
+    /// The version at which the row changed, if it is known. A reader that has all rows
+    /// up to a version lacks exactly those with a higher one.
     pub version: Option<StoreVersion>,
 }
 
-/// Why the platform couldn't be followed.
+/// A failed call, or content that is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum FeedError {
-    /// The changes since then aren't kept any more.
-    #[display("the platform has forgotten this history; read everything anew")]
+    /// The platform no longer has the changes after the given version.
+    #[display("the platform no longer has this history; read everything again")]
     HistoryGone,
-    /// The platform refused the call; nothing was done.
-    #[display("the platform refused with status {status}; try again later")]
+    /// The platform refused the call. Nothing was done.
+    #[display("the platform refused the call with status {status}; try again later")]
     Refused {
-        /// The status.
+        /// The HTTP status.
         status: u16,
     },
-    /// No answer came.
+    /// No answer arrived, or not in time.
     #[display("the platform doesn't answer ({cause}); check its address and the network")]
     NoAnswer {
-        /// What happened.
+        /// The error of the connection or the time-out.
         cause: String,
     },
-    /// The content isn't understood.
-    #[display("{what} isn't understood ({cause}); the last good one stays in force")]
+    /// The content can't be decoded.
+    #[display("{what} can't be decoded ({cause}); the last valid one stays in force")]
     BadContent {
-        /// What.
+        /// A description of the content.
         what: String,
-        /// What is wrong.
+        /// The error of decoding.
         cause: String,
     },
 }
--- a/crates/flaxtide-entry/src/contract/mod.rs
+++ b/crates/flaxtide-entry/src/contract/mod.rs
@@ -1,5 +1,5 @@
-//! What the traffic path needs of the platform that it runs on: its rules, its servers, and
-//! the words of its requests and answers. An adapter implements the traits.
+//! The contract between the traffic path and its platform: rules, server list, duties,
+//! and the headers of requests and responses. An adapter implements the traits.
 
 mod dialect;
 mod duty;
--- a/crates/flaxtide-entry/src/contract/rules.rs
+++ b/crates/flaxtide-entry/src/contract/rules.rs
@@ -1,4 +1,4 @@
-//! The rules in force, and the list of servers.
+//! The rules in force and the entries of the server list.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,136 +9,139 @@
 };
 use flaxtide_policy::ScalingRules;
 
-/// Everything that operators have set, of one version.
+/// All rules that operators have set, of one version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EntryRules {
-    /// The version. Higher ones are newer.
+    /// The version of the rules. Newer ones are higher.
     pub version: SettingsVersion,
-    /// The request classes, each with the paths that select it.
+    /// The request classes, each with the host and path prefix that select it.
     pub classes: Vec<RequestClass>,
-    /// The services behind them.
+    /// The services that handle the classes.
     pub services: Vec<BackendService>,
-    /// The organisations; empty where requests carry no keys.
+    /// The organisations, indexed by [`OrganisationId`]. Empty if requests need no API
+    /// keys.
     pub organisations: Vec<OrganisationRules>,
-    /// Which organisation holds a key.
+    /// The organisation of each API key.
     pub keys: HashMap<String, OrganisationId>,
-    /// What callers may send.
+    /// The limits on callers' requests and connections.
     pub limits: CallerLimits,
 }
 
-/// A request class: what selects it, and what it may expect.
+/// A class of requests, selected by host and path prefix, with its time limits and
+/// targets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestClass {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// The host that its requests name, in lowercase.
+    /// The host of its requests, in lowercase.
     pub host: String,
-    /// How their paths begin.
+    /// The prefix of its paths.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether a request may run again, and whether its response is a stream.
     pub kind: CallKind,
-    /// The longest time that a caller is kept waiting.
+    /// The longest time for which a caller waits for the response.
     pub timeout: Duration,
-    /// Within what time an answer, or a stream's first event, is on time.
+    /// The target for the time until the whole response, or until the first event of a
+    /// stream.
     pub latency_target: Duration,
-    /// Its tier, unless the organisation has one.
+    /// The tier of requests whose organisation has none.
     pub tier: TierRank,
-    /// The services that serve it, with the weights of their parts.
+    /// The services among which its requests are split by weight.
     pub targets: Vec<TargetService>,
-    /// On how many servers one request may run.
+    /// The number of servers on which one request may run.
     pub attempt_limit: u32,
-    /// Whether its requests need no key.
+    /// Whether its requests need no API key.
     pub anonymous: bool,
-    /// The longest pause between two events of a stream that is on time.
+    /// The target for the longest pause between two events of a stream, if there is one.
     pub pause_target: Option<Duration>,
 }
 
-/// A service that serves a part of a class.
+/// A service that handles a share of a class.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetService {
-    /// The service's name.
+    /// The name of the service.
     pub service: String,
-    /// The weight of its part.
+    /// The weight of its share.
     pub weight: u32,
 }
 
-/// What may be repeated.
+/// Whether a request may run again, and the form of its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallKind {
     /// A request that may run more than once.
     Idempotent,
-    /// A request that may run once at most.
+    /// A request that may run at most once.
     NonIdempotent,
-    /// A stream of events.
+    /// A request whose response is a stream of events.
     Stream {
-        /// Whether another server may go on with it after its last event.
+        /// Whether another server can continue the stream after its last event.
         resumable: bool,
     },
 }
 
 impl CallKind {
-    /// Tells whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     #[must_use]
     pub fn repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Tells whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     #[must_use]
     pub fn streams(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// A service: servers that are alike.
+/// A service with equivalent backend servers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BackendService {
-    /// Its name.
+    /// The name of the service.
     pub name: String,
-    /// The most connections that one of its servers takes, from all callers together.
+    /// The most connections that one of its servers accepts, from all clients together.
     pub connection_limit: Option<u32>,
-    /// What its engines can do; nothing for a plain service.
+    /// The properties of its engines, or `None` for a service of plain servers.
     pub engine: Option<ServiceEngine>,
-    /// Within which bounds its servers may be ordered; nothing if they can't be.
+    /// The bounds for ordering servers, or `None` if none can be ordered.
     pub scaling: Option<ScalingRules>,
 }
 
-/// What the engines of a service can do.
+/// The properties of the engines of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceEngine {
-    /// How many requests one works on at once.
+    /// The number of requests that an engine runs at once.
     pub slots: u32,
-    /// Tokens of prompts and answers that fit its memory.
+    /// The number of prompt and answer tokens that fit into an engine's memory.
     pub memory_tokens: u32,
-    /// How many tokens one takes over from another's memory in a millisecond; none if
-    /// they can't.
+    /// The number of tokens per millisecond that an engine can fetch from another
+    /// engine's memory, or `None` if it can't.
     pub fetch_tokens_per_ms: Option<f64>,
 }
 
-/// An organisation.
+/// An organisation whose members call the services.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrganisationRules {
-    /// Its name, which servers are told.
+    /// The name of the organisation, which is sent to servers.
     pub name: String,
-    /// Its tier, which goes before that of the class.
+    /// The tier of its requests, which overrides that of the class.
     pub tier: Option<TierRank>,
 }
 
-/// What callers may send, and how slowly.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The most bytes of a request's head.
+    /// The greatest size of a request's head.
     pub header_bytes: usize,
-    /// The most bytes of a request's body.
+    /// The greatest size of a request's body.
     pub body_bytes: usize,
-    /// How long a head may take to come.
+    /// How long the head of a request may take to arrive.
     pub header_timeout: Duration,
     /// How long a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// The limits before any rules are known: those of a usual web server.
+    /// Returns the limits until rules are known: those of a typical web server.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
@@ -152,28 +155,28 @@
 /// A server in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerEntry {
-    /// What names it. A server may start again under the same name.
+    /// The name of the server, which it keeps when it restarts.
     pub name: ServerName,
-    /// The service that it belongs to.
+    /// The name of the service that it belongs to.
     pub service: String,
-    /// Where it is.
+    /// The address for requests.
     pub address: SocketAddr,
-    /// The data centre in which it stands.
+    /// The data centre of the server.
     pub data_centre: DataCentreName,
-    /// How many requests it works on at once.
+    /// The number of requests that it runs at once, or 0 for the default.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is leaving: it finishes its open requests and takes no new ones.
     pub leaving: bool,
-    /// Whether the platform may take it away, at a notice.
+    /// Whether it is a spot server, which the platform may take away at short notice.
     pub spot: bool,
-    /// When it started, in milliseconds, if it says so. Another time under the same name is
-    /// another start: nothing is left of what it had in memory.
+    /// When it started, in milliseconds, if the row says so. Another time under the same
+    /// name means that the server has restarted and lost all contents of its memory.
     pub started: Option<u64>,
 }
 
 impl ServerEntry {
-    /// Returns what tells this start of the server from others. All that is believed of a
-    /// server, and what peers say of it, belongs to one start.
+    /// Returns the key of this incarnation of the server, which changes when it restarts.
+    /// All that is known about a server, also from peers, applies to one incarnation.
     ///
     /// ```
     /// use flaxtide_entry::ServerEntry;
--- a/crates/flaxtide-entry/src/duty/call_usage.rs
+++ b/crates/flaxtide-entry/src/duty/call_usage.rs
@@ -1,4 +1,4 @@
-//! What a request adds to the usage, on the traffic thread.
+//! Counts a request toward the usage of its organisation, on the traffic thread.
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -8,20 +8,20 @@
 
 use super::shared::SharedDuties;
 
-/// A request, as far as it is counted. Dropping it records that it has ended.
+/// Counts one request. Dropping it records that the request has ended.
 pub(crate) struct CallUsage {
-    /// Where it is counted.
+    /// Holds the counts of this instance.
     duties: Arc<SharedDuties>,
-    /// The service.
+    /// The key of the request's service.
     service: FleetKey,
-    /// The organisation, if it has one.
+    /// The key of the caller's organisation, or `None` if the request has no API key.
     organisation: Option<FleetKey>,
-    /// Whether it has been counted: a request that runs again counts once.
+    /// Whether the request has been counted. A retried request counts once.
     counted: Cell<bool>,
 }
 
 impl CallUsage {
-    /// Records that a request has come.
+    /// Records that a request for a service has arrived.
     pub(crate) fn new(
         duties: &Arc<SharedDuties>,
         service: &str,
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Records that it began to run so long ago.
+    /// Counts the request, which began to run `ago` before now, unless it is counted
+    /// already.
     pub(crate) fn begin(&self, ago: Duration) {
         if let Some(organisation) = self.organisation
             && !self.counted.replace(true)
--- a/crates/flaxtide-entry/src/duty/mod.rs
+++ b/crates/flaxtide-entry/src/duty/mod.rs
@@ -1,12 +1,13 @@
-//! Duties that one instance has for all: to report usage, and to order backend servers.
+//! Duties that one instance performs for all: reporting usage, and ordering backend
+//! servers.
 //!
-//! A few instances stand for them; a lease in the platform's table says which one holds them.
-//! Every instance tells the holder what it has counted ([`SharedDuties`]). The holder's thread
-//! ([`DutyThread`]) keeps the lease, and under it reports ([`ReportDuty`]) and orders
-//! ([`OrderDuty`]).
+//! A few instances are candidates, and a lease in the platform's table determines which
+//! one holds the duties. Every instance reports its counts to the holder
+//! ([`SharedDuties`]). The holder's thread ([`DutyThread`]) keeps the lease, and while it
+//! has it sends reports ([`ReportDuty`]) and orders ([`OrderDuty`]).
 //!
-//! What is to be reported for a window is settled in the row of the lease before it is sent.
-//! The next holder finds it there, and repeats exactly that.
+//! The report of a window is settled, that is, written into the lease's row, before it is
+//! sent. A later holder finds it there and repeats exactly the same report.
 
 mod call_usage;
 mod orders;
--- a/crates/flaxtide-entry/src/duty/orders.rs
+++ b/crates/flaxtide-entry/src/duty/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of backend servers.
+//! Orders backend servers to match demand.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,35 +8,36 @@
 
 use super::shared::{ScaledService, SharedDuties};
 
-/// How often demand is looked at.
+/// How often demand is evaluated.
 const PLAN_PERIOD: Duration = Duration::from_millis(500);
 
-/// An order for a service.
+/// An order of servers for a service.
 #[derive(Debug, Clone)]
 pub(super) struct ServiceOrder {
-    /// The service.
+    /// The name of the service.
     pub(super) service: String,
-    /// The order.
+    /// The number of servers to order, and where.
     pub(super) order: ServerOrder,
 }
 
-/// The holder's part in orders.
+/// Plans orders while this instance holds the duties.
 #[derive(Debug, Default)]
 pub(super) struct OrderDuty {
-    /// The scalers, by service.
+    /// The scalers by the name of their service.
     scalers: BTreeMap<String, ServerScaler>,
-    /// When demand was last looked at.
+    /// When demand was last evaluated.
     planned_at: Option<Duration>,
 }
 
 impl OrderDuty {
-    /// Takes the duty over: what stands counts, and not what was thought before.
+    /// Starts afresh as a new holder: only the current servers and demand count, not what
+    /// this instance planned when it last held the duties.
     pub(super) fn begin(&mut self) {
         self.scalers.clear();
         self.planned_at = None;
     }
 
-    /// Returns the orders that are due.
+    /// Returns the orders that are due, at most once per planning period.
     pub(super) fn due(
         &mut self,
         duties: &SharedDuties,
@@ -53,7 +54,8 @@
             .collect()
     }
 
-    /// Returns the orders that are due for a service.
+    /// Returns the orders that are due for a service. There are none until an instance
+    /// has reported its open requests.
     fn plan(
         &mut self,
         duties: &SharedDuties,
@@ -74,7 +76,7 @@
                 service = service.name, data_centre = order.data_centre, spot = order.spot,
                 count = order.count, open, serving = service.serving(),
                 serving_spot = service.serving_spot();
-                "servers are to be ordered"
+                "servers to be ordered"
             );
         }
         let name = &service.name;
@@ -84,7 +86,7 @@
             .collect()
     }
 
-    /// Records what came of an order.
+    /// Records the outcome of an order.
     pub(super) fn record_outcome(
         &mut self,
         order: &ServiceOrder,
@@ -98,12 +100,12 @@
 }
 
 impl ScaledService {
-    /// Returns how many servers serve.
+    /// Returns the number of serving servers, in all data centres.
     fn serving(&self) -> u32 {
         self.stocks.values().map(|stock| stock.total()).sum()
     }
 
-    /// Returns how many of them may be taken away.
+    /// Returns the number of serving spot servers, which the platform may take away.
     fn serving_spot(&self) -> u32 {
         self.stocks.values().map(|stock| stock.spot).sum()
     }
--- a/crates/flaxtide-entry/src/duty/reports.rs
+++ b/crates/flaxtide-entry/src/duty/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of usage: one for each window.
+//! Reports the usage of each window.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,50 +8,54 @@
 use super::shared::SharedDuties;
 use crate::contract::{DutyRow, UsageReport};
 
-/// How long after its end a window may be settled: instances tell once a second.
+/// How long after its end a window is settled at the earliest. Instances report to the
+/// holder once a second.
 const SETTLE_AFTER: Duration = Duration::from_millis(1500);
 
-/// The part of the time within which a report is due after which a window is settled though
-/// not everyone has told.
+/// The fraction of `due_within` after which a window is settled although some instances
+/// haven't reported all of it.
 const INCOMPLETE_SETTLE_FRACTION: f64 = 0.7;
 
-/// The part after which a new holder doesn't wait for instances to find it any more.
+/// The fraction of `due_within` after which a new holder no longer waits for instances to
+/// find it.
 const FORCED_SETTLE_FRACTION: f64 = 0.93;
 
 /// How long a new holder waits for instances to find it.
 const DISCOVERY_WAIT: Duration = Duration::from_millis(3500);
 
-/// How long the windows of a holder that nobody follows are kept.
+/// The number of past windows for which reports are still sent. Older ones are skipped.
 const KEPT_WINDOWS: u64 = 8;
 
-/// How soon a report is sent again that wasn't taken.
+/// The pause before a report is sent again that the platform didn't accept.
 const RETRY_PERIOD: Duration = Duration::from_millis(400);
 
-/// The holder's part in reports.
+/// Prepares the reports while this instance holds the duties.
 #[derive(Debug)]
 pub(super) struct ReportDuty {
     /// The length of a window.
     window: Duration,
-    /// Within what time after its end a window is to be reported.
+    /// The time after its end within which a window must be reported.
     due_within: Duration,
-    /// The last report that is settled, as the row says.
+    /// The last settled report, as read from or written to the lease's row.
     settled: Option<UsageReport>,
-    /// Whether the platform has acknowledged it.
+    /// Whether the platform has acknowledged the settled report.
     pub(super) acknowledged: bool,
-    /// What the next write of the row is to settle.
+    /// The report that the next write of the row settles.
     next_report: Option<UsageReport>,
-    /// No window before this one is reported.
+    /// The first window that this and later holders report.
     owed_from: WindowNumber,
-    /// What the row last said of windows that aren't settled.
+    /// The counts of windows that aren't settled, as last read from or written to the
+    /// row.
     drafts: BTreeMap<WindowNumber, UsageCounts>,
-    /// Since when this instance holds the duties.
+    /// When this instance took over the duties.
     held_since: Duration,
     /// When a report may be sent again.
     retry_at: Duration,
 }
 
 impl ReportDuty {
-    /// Starts with nothing known.
+    /// Creates the duty before the row has been read. Windows have a length of `window`
+    /// and are reported within `due_within` of their end.
     pub(super) fn new(window: Duration, due_within: Duration) -> Self {
         Self {
             window,
@@ -66,7 +70,7 @@
         }
     }
 
-    /// Records what the row says.
+    /// Records the contents of the row.
     pub(super) fn record_row(&mut self, row: &DutyRow) {
         let same = self.settled == row.settled;
         self.acknowledged = row.acknowledged || (same && self.acknowledged);
@@ -83,9 +87,10 @@
         }
     }
 
-    /// Takes the duty over. `renewed_store` tells that the store has come back from an older copy
-    /// since the row was written: which windows were reported isn't known then, and what may have
-    /// been reported isn't again.
+    /// Starts reporting as a new holder. `store_restored` says that the store was
+    /// restored from a backup after the row was written. It isn't known then which
+    /// windows were reported, so past windows are skipped instead of being reported
+    /// twice.
     pub(super) fn begin(
         &mut self,
         duties: &SharedDuties,
@@ -100,7 +105,8 @@
         duties.begin_holding(self.drafts.clone(), self.next_window(duties));
     }
 
-    /// Writes what is settled into a row.
+    /// Fills in the fields of a row that concern reports. `holds` says whether this
+    /// instance holds the duties.
     pub(super) fn fill(&self, row: &mut DutyRow, duties: &SharedDuties, holds: bool) {
         row.settled = self.next_report.clone().or_else(|| self.settled.clone());
         row.acknowledged = self.acknowledged && self.next_report.is_none();
@@ -108,19 +114,19 @@
         row.drafts = if holds { duties.drafts() } else { self.drafts.clone() };
     }
 
-    /// Returns the report that is to be sent now.
+    /// Returns the settled report if it should be sent now.
     pub(super) fn due(&self, now: Duration) -> Option<UsageReport> {
         let due = !self.acknowledged && now >= self.retry_at;
         due.then(|| self.settled.clone()).flatten()
     }
 
-    /// Puts off a report that wasn't taken.
+    /// Postpones a report that the platform didn't accept.
     pub(super) fn postpone(&mut self, now: Duration) {
         self.retry_at = now + RETRY_PERIOD;
     }
 
-    /// Prepares the next report, once its window is over and told. Returns whether the row is to
-    /// be written for it.
+    /// Prepares the next report once its window has ended and its counts are complete, or
+    /// it is late. Returns whether the row must be written to settle it.
     pub(super) fn settle_next(&mut self, duties: &SharedDuties, now: Duration) -> bool {
         if !self.acknowledged || self.next_report.is_some() {
             return false;
@@ -153,7 +159,7 @@
         true
     }
 
-    /// Returns the window that is to be reported next.
+    /// Returns the next window to settle.
     fn next_window(&self, duties: &SharedDuties) -> WindowNumber {
         let current = window_of(duties.wall_time(), self.window);
         let next = self.settled.as_ref().map_or(0, |report| report.window + 1);
--- a/crates/flaxtide-entry/src/duty/shared.rs
+++ b/crates/flaxtide-entry/src/duty/shared.rs
@@ -1,5 +1,5 @@
-//! What the threads of an instance share for the duties: its own counts, and while it holds
-//! them what its peers have told.
+//! State of the duties that the threads of an instance share: its own counts, and those
+//! of its peers while it holds the duties.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,74 +12,74 @@
     WindowNumber, WindowTotal, window_of,
 };
 
-/// For how long the last word of an instance on its open requests counts.
+/// How long an instance's report of its open requests is valid.
 const OPEN_COUNT_LIFE: Duration = Duration::from_secs(5);
 
 /// A service whose servers may be ordered.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct ScaledService {
-    /// Its name.
+    /// The name of the service.
     pub(crate) name: String,
-    /// Within which bounds.
+    /// The bounds and prices for its servers.
     pub(crate) rules: ScalingRules,
-    /// How many requests a server works on at once.
+    /// The number of requests that a server runs at once.
     pub(crate) slots: u32,
-    /// The servers that serve.
+    /// The serving servers in each data centre.
     pub(crate) stocks: BTreeMap<DataCentreName, ServerStock>,
 }
 
-/// What a holder has to know of the rules and the servers.
+/// A view of the rules and the servers for the holder of the duties.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct DutyView {
-    /// The organisations by their keys.
+    /// The names of the organisations by their keys, to write reports.
     pub(crate) organisations: BTreeMap<FleetKey, OrganisationName>,
     /// The services whose servers may be ordered.
     pub(crate) services: Vec<ScaledService>,
-    /// How many instances are alive.
+    /// The number of live instances.
     pub(crate) live: u32,
 }
 
-/// What the threads share.
+/// The duty state that an instance's threads share.
 #[derive(Debug)]
 pub(crate) struct SharedDuties {
-    /// The clock.
+    /// The clock for the age of peers' reports.
     clock: MilliClock,
-    /// The length of a window.
+    /// The length of a usage window.
     window: Duration,
-    /// What changes.
+    /// The mutable state.
     state: Mutex<DutyState>,
 }
 
-/// What changes.
+/// The mutable state behind the lock.
 #[derive(Debug)]
 struct DutyState {
-    /// The time of day.
+    /// The time of day, which determines a request's usage window.
     wall: WallClock,
-    /// What this instance has counted.
+    /// The counts of this instance that the holder hasn't confirmed.
     ledger: UsageLedger,
-    /// Its requests that run or wait, by service.
+    /// The number of this instance's open requests, running or queued, by service.
     open: BTreeMap<FleetKey, u32>,
-    /// Whether it stands for the duties.
+    /// Whether this instance is a candidate for the duties.
     is_candidate: bool,
-    /// Whether it is stopping.
+    /// Whether the instance is stopping.
     stopping: bool,
-    /// What peers have told, while it holds the duties.
+    /// The counts of all instances, or `None` unless this instance holds the duties.
     peers: Option<PeerUsage>,
-    /// What the traffic thread knows.
+    /// The latest view from the traffic thread.
     view: DutyView,
 }
 
-/// What peers have told a holder.
+/// The counts that instances have reported to the holder.
 #[derive(Debug)]
 struct PeerUsage {
-    /// The counts.
+    /// The usage counts.
     tally: UsageTally,
-    /// The open requests of each instance, and when it told.
+    /// The open requests of each instance by service, and when it reported them.
     open: BTreeMap<FleetKey, (Duration, Vec<(FleetKey, u32)>)>,
 }
 
 impl SharedDuties {
-    /// Starts with nothing counted.
+    /// Creates the state without any counts.
     pub(crate) fn new(window: Duration) -> Self {
         let clock = MilliClock::real();
         let mut wall = WallClock::new(clock.clone());
@@ -106,26 +106,26 @@
         self.lock().wall.sample_system();
     }
 
-    /// Counts a request that began to run so long ago.
+    /// Counts a request that began to run `ago` before now.
     pub(crate) fn count(&self, organisation: FleetKey, ago: Duration) {
         let mut state = self.lock();
         let began = state.wall.now().saturating_sub(ago);
         state.ledger.record(organisation, window_of(began, self.window));
     }
 
-    /// Records that a request for a service has come or ended.
+    /// Records that a request for a service has arrived (`opened`) or ended.
     pub(crate) fn record_open_change(&self, service: FleetKey, opened: bool) {
         let mut state = self.lock();
         let open = state.open.entry(service).or_default();
         *open = if opened { *open + 1 } else { open.saturating_sub(1) };
     }
 
-    /// Sets whether this instance stands for the duties.
+    /// Sets whether this instance is a candidate for the duties.
     pub(crate) fn set_candidate(&self, is_candidate: bool) {
         self.lock().is_candidate = is_candidate;
     }
 
-    /// Returns whether it does.
+    /// Returns whether this instance is a candidate for the duties.
     pub(crate) fn is_candidate(&self) -> bool {
         self.lock().is_candidate
     }
@@ -135,28 +135,30 @@
         self.lock().stopping = true;
     }
 
-    /// Returns whether it is.
+    /// Returns whether the instance is stopping.
     pub(crate) fn is_stopping(&self) -> bool {
         self.lock().stopping
     }
 
-    /// Returns whether a view is worth making: this instance holds the duties, or may soon.
+    /// Returns whether the view is needed, because this instance holds the duties or may
+    /// take them over.
     pub(crate) fn needs_view(&self) -> bool {
         let state = self.lock();
         state.is_candidate || state.peers.is_some()
     }
 
-    /// Shows what the traffic thread knows.
+    /// Sets the view. The traffic thread calls this.
     pub(crate) fn set_view(&self, view: DutyView) {
         self.lock().view = view;
     }
 
-    /// Returns what the traffic thread has shown.
+    /// Returns the latest view.
     pub(crate) fn view(&self) -> DutyView {
         self.lock().view.clone()
     }
 
-    /// Begins to take what peers tell, with what the holder before had been told.
+    /// Starts to collect reports from peers, beginning with the counts that the previous
+    /// holder had collected.
     pub(crate) fn begin_holding(
         &self,
         drafts: BTreeMap<WindowNumber, UsageCounts>,
@@ -167,12 +169,12 @@
         self.lock().peers = Some(PeerUsage { tally, open: BTreeMap::new() });
     }
 
-    /// Stops to take what peers tell. Returns whether it had.
+    /// Stops collecting reports from peers. Returns whether it was collecting.
     pub(crate) fn end_holding(&self) -> bool {
         self.lock().peers.take().is_some()
     }
 
-    /// Returns the sum of a window, and whether everyone has told all of it.
+    /// Returns the total of a window, and whether all instances have reported all of it.
     pub(crate) fn window_total(&self, window: WindowNumber) -> (WindowTotal, bool) {
         let now = self.clock.now();
         let state = self.lock();
@@ -187,7 +189,7 @@
         (total, all_reported && peers.tally.is_complete(window, self.window, now))
     }
 
-    /// Forgets windows up to one.
+    /// Drops the counts of all windows up to and including `window`.
     pub(crate) fn close_window(&self, window: WindowNumber) {
         let now = self.clock.now();
         if let Some(peers) = &mut self.lock().peers {
@@ -195,7 +197,7 @@
         }
     }
 
-    /// Returns the sums of the windows that aren't closed.
+    /// Returns the totals of the windows that aren't closed.
     pub(crate) fn drafts(&self) -> BTreeMap<WindowNumber, UsageCounts> {
         let state = self.lock();
         state
@@ -205,8 +207,8 @@
             .unwrap_or_default()
     }
 
-    /// Returns how many requests of a service run or wait in all instances that have told
-    /// lately; nothing if none has.
+    /// Returns the number of open requests of a service at all instances that have
+    /// reported lately, or `None` if none has.
     pub(crate) fn open_requests(&self, service: FleetKey) -> Option<u32> {
         let now = self.clock.now();
         let state = self.lock();
@@ -222,7 +224,7 @@
         any_recent.then_some(sum)
     }
 
-    /// Locks the state. A panic elsewhere doesn't spoil it.
+    /// Locks the state, even if a thread has panicked while it held the lock.
     fn lock(&self) -> MutexGuard<'_, DutyState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/flaxtide-entry/src/duty/thread.rs
+++ b/crates/flaxtide-entry/src/duty/thread.rs
@@ -1,4 +1,4 @@
-//! The thread that keeps the lease, and does the duties under it.
+//! The thread that keeps the lease and performs the duties while it has it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,58 +19,59 @@
 use crate::fleet::FleetLink;
 use crate::metrics::EntryMetrics;
 
-/// How often the thread looks at what is due.
+/// How often the thread checks what is due.
 const POLL_PERIOD: Duration = Duration::from_millis(100);
 
-/// How soon the platform is called again after a failed call about the lease.
+/// The pause after a failed call that concerns the lease.
 const RETRY_PERIOD: Duration = Duration::from_millis(400);
 
-/// The least time by which a lease is longer than what holders have to keep apart: so long a
-/// call may be under way.
+/// How much longer a lease is than the configured time between two holders: a call of the
+/// previous holder may be in flight for that long.
 const LEASE_MARGIN: Duration = Duration::from_secs(1);
 
-/// A lease is renewed so many times within its term.
+/// How many times a lease is renewed within its term.
 const RENEWALS_PER_TERM: u32 = 3;
 
-/// Fencing numbers of a later era of the store are higher than all of those before.
+/// Fences have the store's era in their upper bits, so those of a later era are higher
+/// than all earlier ones.
 const FENCE_ERA_SHIFT: u32 = 32;
 
-/// What the thread needs.
+/// Keeps the lease and performs the duties.
 pub(crate) struct DutyThread {
-    /// The instance's name.
+    /// The name of this instance.
     name: InstanceName,
-    /// Where it hears its peers.
+    /// The address at which this instance listens to its peers.
     address: SocketAddr,
-    /// The platform.
+    /// The platform's table, and its calls for the duties.
     platform: Arc<dyn DutyPlatform>,
-    /// What the threads share.
+    /// The state shared with the other threads.
     duties: Arc<SharedDuties>,
-    /// The ring to the fleet thread.
+    /// The link to the fleet thread, which announces the holder to peers.
     link: FleetLink,
-    /// The metrics.
+    /// Counts the calls and shows the held fence.
     metrics: Arc<EntryMetrics>,
-    /// What is turned on the duties.
+    /// The enabled duties and their timing.
     config: DutyConfig,
-    /// The clock.
+    /// The clock of the lease.
     clock: MilliClock,
-    /// The lease.
+    /// Decides when to read and write the lease.
     watch: LeaseWatch,
     /// The era of the store, as last read.
     era: u64,
-    /// The era in which the row was written.
+    /// The era of the store in which the row was written.
     row_era: u64,
-    /// When the platform may be called again about the lease.
+    /// When the next call that concerns the lease may be made.
     retry_at: Duration,
-    /// The number under which the duties are held.
+    /// The fence under which the duties are held, or `None` if they aren't.
     held_fence: Option<u64>,
-    /// Reports of usage.
+    /// The reports of usage.
     reports: ReportDuty,
-    /// Orders of servers.
+    /// The orders of servers.
     orders: OrderDuty,
 }
 
 impl DutyThread {
-    /// Makes a thread that holds nothing.
+    /// Creates a thread that doesn't hold the duties.
     pub(crate) fn new(
         entry: &EntryConfig,
         config: DutyConfig,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Does the duties, as long as this process runs.
+    /// Performs the duties for as long as the process runs.
     pub(crate) fn run(mut self) {
         loop {
             thread::sleep(POLL_PERIOD);
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Does what is due now.
     fn run_once(&mut self) {
         if self.held_fence.is_none() && !self.duties.is_candidate() {
             return;
@@ -130,7 +131,8 @@
         }
         if self.config.does(DutyConfig::USAGE) {
             self.send_reports();
-            // A platform that doesn't answer takes the time in which the lease is to be renewed.
+            // If the platform doesn't answer, the report may have taken so long that the
+            // lease must be renewed now.
             self.keep_lease();
         }
         if self.config.does(DutyConfig::SCALING) {
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Looks at the lease, and takes or renews it if that is due.
+    /// Reads the row, and takes or renews the lease if that is due.
     fn keep_lease(&mut self) {
         let now = self.clock.now();
         if now < self.retry_at {
@@ -148,7 +150,7 @@
             self.retry_at = self.clock.now() + RETRY_PERIOD;
             return;
         }
-        // What is decided is decided for the moment of the look.
+        // The decision is made for the moment of the read, not for a later one.
         if let LeaseStep::Write { expected, row } = self.watch.step(now) {
             self.write_lease(expected, &row, now);
         }
@@ -160,7 +162,7 @@
             Ok(read) => read,
             Err(fault) => {
                 self.count("lease", "failed");
-                log::info!(cause = fault.to_string(); "row of the duties not read");
+                log::info!(cause = fault.to_string(); "duty row not read");
                 return false;
             }
         };
@@ -176,7 +178,7 @@
         true
     }
 
-    /// Writes the row.
+    /// Writes the row with a lease.
     fn write_lease(
         &mut self,
         expected: Option<u64>,
@@ -197,7 +199,7 @@
         let version = match written {
             Ok(version) => version,
             Err(fault) => {
-                log::info!(cause = fault.to_string(); "row of the duties may not be written");
+                log::info!(cause = fault.to_string(); "duty row possibly not written");
                 self.retry_at = self.clock.now() + RETRY_PERIOD;
                 None
             }
@@ -208,11 +210,11 @@
             self.reports.record_row(&row);
         }
         if version.is_some() && lease.released {
-            log::info!(fence = lease.fence; "duties given up");
+            log::info!(fence = lease.fence; "duties released");
         }
     }
 
-    /// Notes whether the duties are held, and under which number.
+    /// Records whether the duties are held, and under which fence.
     fn update_holding(&mut self, fence: Option<u64>) {
         if fence.is_none() && self.watch.is_renumbering(self.clock.now()) {
             return;
@@ -238,7 +240,7 @@
         log::info!(fence, era = self.era; "duties held");
     }
 
-    /// Sends the report that is settled, or settles the next one.
+    /// Sends the settled report, or settles the next one.
     fn send_reports(&mut self) {
         let now = self.clock.now();
         if let Some(report) = self.reports.due(now) {
@@ -270,12 +272,12 @@
                 self.duties.close_window(report.window);
             }
             Ok(DutyAnswer::Refused) => self.watch.lose(),
-            // A report that is carried out late says the same.
+            // If it is applied late, the repeated report still has the same counts.
             Ok(DutyAnswer::Busy) | Err(_) => self.reports.postpone(now),
         }
     }
 
-    /// Gives the orders that are due.
+    /// Sends the orders that are due.
     fn send_orders(&mut self) {
         let now = self.clock.now();
         for order in self.orders.due(&self.duties, now) {
@@ -285,7 +287,7 @@
         }
     }
 
-    /// Gives an order. Returns whether others may follow.
+    /// Sends an order. Returns whether further orders may be sent.
     fn send_order(&mut self, order: &ServiceOrder) -> bool {
         let Some(token) = self.fencing_token() else { return false };
         let sent = self.platform.order_servers(&token, &order.service, &order.order);
@@ -299,7 +301,7 @@
         self.count("orders", outcome_text(&sent).as_str());
         let outcome = match sent {
             Ok(DutyAnswer::Taken) => OrderOutcome::Taken,
-            // The next write tells whether the lease is lost.
+            // The next write shows whether the lease is lost.
             Ok(DutyAnswer::Refused) => OrderOutcome::Unavailable,
             Ok(DutyAnswer::Busy) | Err(FeedError::Refused { .. }) => {
                 OrderOutcome::Refused
@@ -315,26 +317,27 @@
             }
             OrderOutcome::Refused => false,
             OrderOutcome::Unknown => {
-                // Carried out later, it is refused: newer ones bear a higher number.
+                // With a higher fence for newer orders, the platform refuses this one if
+                // it arrives later.
                 self.watch.renumber();
                 false
             }
         }
     }
 
-    /// Returns with what a call may be made now.
+    /// Returns the fencing token for a call now, or `None` if the lease isn't held.
     fn fencing_token(&self) -> Option<FencingToken> {
         let fence = self.watch.fence(self.clock.now(), true)?;
         Some(FencingToken { holder: self.name.clone(), fence })
     }
 
-    /// Counts a call.
+    /// Counts a call by its topic and result.
     fn count(&self, topic: &str, result: &str) {
         self.metrics.platform.with_label_values(&[topic, result]).inc();
     }
 }
 
-/// Spells what came of a call.
+/// Returns the outcome of a call as text for log lines and metrics.
 fn outcome_text(sent: &Result<DutyAnswer, FeedError>) -> String {
     match sent {
         Ok(answer) => format!("{answer:?}").to_lowercase(),
--- a/crates/flaxtide-entry/src/duty/view.rs
+++ b/crates/flaxtide-entry/src/duty/view.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread shows the thread of the duties.
+//! Shows the rules and the servers to the thread of the duties.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,8 @@
 use super::shared::{DutyView, ScaledService, SharedDuties};
 use crate::state::TrafficState;
 
-/// Shows the thread of the duties what a holder has to know, if this instance may be one.
+/// Updates the view for the holder of the duties, if this instance is a candidate or the
+/// holder.
 pub(crate) fn update_duty_view(state: &TrafficState, duties: &SharedDuties) {
     if !duties.needs_view() {
         return;
@@ -31,7 +32,8 @@
     });
 }
 
-/// Counts the servers of a service that serve and aren't leaving.
+/// Counts the serving servers of a service in each data centre. Leaving servers don't
+/// count.
 fn count_stocks(
     state: &TrafficState,
     service: &str,
