--- a/crates/flaxtide-entry/src/duty/shared.rs
+++ b/crates/flaxtide-entry/src/duty/shared.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use flaxtide_core::{DataCentreName, MilliClock, OrganisationName, WallClock};
-use flaxtide_fleet::{DutyExchange, FleetKey, UsageNews, UsageNotice, fleet_key};
+use flaxtide_fleet::{FleetKey, UnsentUsage, UsageExchange, UsageNotice, fleet_key};
 use flaxtide_policy::{
-    ScalingRules, ServerStock, UsageCounts, UsageLedger, UsageSource, UsageTally,
+    ScalingRules, ServerCounts, UsageCounts, UsageLedger, UsageSource, UsageTally,
     WindowNumber, WindowTotal, window_of,
 };
 
@@ -25,7 +25,7 @@
     /// The number of requests that a server runs at once.
     pub(crate) slots: u32,
     /// The serving servers in each data centre.
-    pub(crate) stocks: BTreeMap<DataCentreName, ServerStock>,
+    pub(crate) stocks: BTreeMap<DataCentreName, ServerCounts>,
 }
 
 /// A view of the rules and the servers for the holder of the duties.
@@ -230,11 +230,11 @@
     }
 }
 
-impl DutyExchange for SharedDuties {
-    fn news(&self, fence: u64) -> UsageNews {
+impl UsageExchange for SharedDuties {
+    fn unsent(&self, fence: u64) -> UnsentUsage {
         let state = self.lock();
-        let (windows, mark) = state.ledger.news(fence);
-        UsageNews {
+        let (windows, mark) = state.ledger.unconfirmed(fence);
+        UnsentUsage {
             told_until_ms: state.wall.now().as_millis() as u64,
             windows,
             open: state.open.iter().map(|(key, count)| (*key, *count)).collect(),
@@ -246,7 +246,7 @@
         self.lock().ledger.confirm(fence, mark);
     }
 
-    fn hear(&self, notice: UsageNotice) -> bool {
+    fn receive(&self, notice: UsageNotice) -> bool {
         let now = self.clock.now();
         let mut state = self.lock();
         let current = window_of(state.wall.now(), self.window);
@@ -257,7 +257,7 @@
         } else {
             peers.open.insert(name, (now, notice.open));
         }
-        peers.tally.hear(
+        peers.tally.record_report(
             UsageSource { name, epoch: notice.epoch },
             fleet_key(&notice.from.data_centre),
             Duration::from_millis(notice.told_until_ms),
--- a/crates/flaxtide-entry/src/duty/thread.rs
+++ b/crates/flaxtide-entry/src/duty/thread.rs
@@ -129,13 +129,13 @@
         if fence.is_none() {
             return;
         }
-        if self.config.does(DutyConfig::USAGE) {
+        if self.config.has_task(DutyConfig::USAGE) {
             self.send_reports();
             // If the platform doesn't answer, the report may have taken so long that the
             // lease must be renewed now.
             self.keep_lease();
         }
-        if self.config.does(DutyConfig::SCALING) {
+        if self.config.has_task(DutyConfig::SCALING) {
             self.send_orders();
         }
     }
@@ -146,7 +146,7 @@
         if now < self.retry_at {
             return;
         }
-        if self.watch.step(now) == LeaseStep::Look && !self.read_lease(now) {
+        if self.watch.step(now) == LeaseStep::Read && !self.read_lease(now) {
             self.retry_at = self.clock.now() + RETRY_PERIOD;
             return;
         }
@@ -168,13 +168,13 @@
         };
         self.count("lease", "read");
         self.era = self.era.max(read.era);
-        self.watch.raise_floor(self.era << FENCE_ERA_SHIFT);
+        self.watch.raise_min_fence(self.era << FENCE_ERA_SHIFT);
         let lease = read.row.as_ref().map(|(row, version)| (row.lease.clone(), *version));
         if let Some((row, _)) = &read.row {
             self.row_era = row.era;
             self.reports.record_row(row);
         }
-        self.watch.saw(lease, now);
+        self.watch.record_read(lease, now);
         true
     }
 
@@ -205,7 +205,7 @@
             }
         };
         self.count("lease", if version.is_some() { "written" } else { "failed" });
-        self.watch.wrote(lease, version, asked_at);
+        self.watch.record_write(lease, version, asked_at);
         if version.is_some() {
             self.reports.record_row(&row);
         }
@@ -216,7 +216,7 @@
 
     /// Records whether the duties are held, and under which fence.
     fn update_holding(&mut self, fence: Option<u64>) {
-        if fence.is_none() && self.watch.is_renumbering(self.clock.now()) {
+        if fence.is_none() && self.watch.is_advancing_fence(self.clock.now()) {
             return;
         }
         if fence == self.held_fence {
@@ -271,7 +271,7 @@
                 self.reports.acknowledged = true;
                 self.duties.close_window(report.window);
             }
-            Ok(DutyAnswer::Refused) => self.watch.lose(),
+            Ok(DutyAnswer::Refused) => self.watch.record_lost(),
             // If it is applied late, the repeated report still has the same counts.
             Ok(DutyAnswer::Busy) | Err(_) => self.reports.postpone(now),
         }
@@ -300,7 +300,7 @@
         );
         self.count("orders", outcome_text(&sent).as_str());
         let outcome = match sent {
-            Ok(DutyAnswer::Taken) => OrderOutcome::Taken,
+            Ok(DutyAnswer::Taken) => OrderOutcome::Accepted,
             // The next write shows whether the lease is lost.
             Ok(DutyAnswer::Refused) => OrderOutcome::Unavailable,
             Ok(DutyAnswer::Busy) | Err(FeedError::Refused { .. }) => {
@@ -310,7 +310,7 @@
         };
         self.orders.record_outcome(order, outcome, now);
         match outcome {
-            OrderOutcome::Taken => true,
+            OrderOutcome::Accepted => true,
             OrderOutcome::Unavailable => {
                 self.watch.renew();
                 true
@@ -319,7 +319,7 @@
             OrderOutcome::Unknown => {
                 // With a higher fence for newer orders, the platform refuses this one if
                 // it arrives later.
-                self.watch.renumber();
+                self.watch.advance_fence();
                 false
             }
         }
@@ -333,7 +333,7 @@
 
     /// Counts a call by its topic and result.
     fn count(&self, topic: &str, result: &str) {
-        self.metrics.platform.with_label_values(&[topic, result]).inc();
+        self.metrics.platform_calls.with_label_values(&[topic, result]).inc();
     }
 }
 
--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -11,11 +11,11 @@
 use flaxtide_core::{InstanceName, MilliClock, ServerId, SettingsVersion};
 use flaxtide_fleet::{
     DutyHolder, FleetEvent, FleetKey, FleetNode, FleetNotice, FleetThread, FleetTiming,
-    FleetUpdate, LinkBytes, NodeDemand, OwnLoad, PartRead, PeerInfo, RowQuestion,
+    FleetUpdate, LinkBytes, NodeStatus, OwnLoad, PartRead, PeerInfo, RowQuestion,
     SettingsCopy, fleet_key,
 };
 use flaxtide_policy::{
-    CrashReport, PartKey, PeerLoad, PushbackReport, ReadNote, ServerLoad,
+    CrashReport, PartKey, PeerLoad, PrefillRecord, PushbackReport, ServerLoad,
 };
 use tokio::sync::mpsc;
 
@@ -40,7 +40,7 @@
 /// The largest fleet in which all instances exchange full state, whatever their data
 /// centres. With more, heartbeats at their longest period would exceed the 17 KB/s for
 /// control traffic.
-const JOINT_LIMIT: u32 = 58;
+const SINGLE_GROUP_LIMIT: u32 = 58;
 
 /// The sending end of the queue to the fleet thread.
 #[derive(Debug, Clone)]
@@ -59,7 +59,7 @@
     /// Announces a new version of the rules to peers.
     pub(crate) fn announce(&self, version: SettingsVersion) {
         self.update(move |node, _| node.set_version(version));
-        self.send(FleetEvent::Urgent);
+        self.send(FleetEvent::SendHeartbeats);
     }
 
     /// Tells the fleet thread that rules from a peer can't be put in force.
@@ -70,12 +70,12 @@
     /// Announces to peers that this instance is stopping.
     pub(crate) fn leave(&self) {
         self.update(|node, _| node.leave());
-        self.send(FleetEvent::Urgent);
+        self.send(FleetEvent::SendHeartbeats);
     }
 
     /// Announces to peers that this instance holds the duties.
     pub(crate) fn announce_duty(&self, holder: DutyHolder) {
-        self.update(move |node, _| node.hear_duty(Some(holder)));
+        self.update(move |node, _| node.record_duty_holder(Some(holder)));
     }
 
     /// Asks a peer for the rows that it has read.
@@ -173,10 +173,12 @@
             Some(SettingsCopy { version: copy.version, tree: copy.text })
         },
         |_| {
-            let timing =
-                FleetTiming { joint_limit: JOINT_LIMIT, ..FleetTiming::default() };
+            let timing = FleetTiming {
+                single_group_limit: SINGLE_GROUP_LIMIT,
+                ..FleetTiming::default()
+            };
             let mut node = FleetNode::new(own, rand::random(), timing);
-            node.set_list(None, Duration::ZERO);
+            node.set_instance_list(None, Duration::ZERO);
             node.set_seeds(seeds);
             node
         },
@@ -186,7 +188,7 @@
         address: config.fleet,
         cause,
     })?;
-    fleet.share_rows(list.clone());
+    fleet.set_row_source(list.clone());
     Ok(fleet)
 }
 
@@ -265,7 +267,7 @@
         let received = self.feed.received_bytes(FeedTopic::Rules);
         if received != self.received {
             self.received = received;
-            link.update(FleetNode::hear_source);
+            link.update(FleetNode::record_source_progress);
         }
     }
 }
@@ -277,12 +279,12 @@
     link: &FleetLink,
     events: &mpsc::Sender<FeedEvent>,
 ) {
-    let loads = state.ask(|core, now| core.own_loads(now));
+    let loads = state.with_router(|core, now| core.own_loads(now));
     let loads = loads.iter().filter_map(|load| to_own_load(state, load)).collect();
-    let notes = state.ask(|core, now| core.own_reads(now));
+    let notes = state.with_router(|core, now| core.recent_prefills(now));
     let reads: Vec<(Duration, PartRead)> =
         notes.iter().filter_map(|note| to_part_read(state, note)).collect();
-    let silent = state.ask(|core, now| core.silent_servers(now));
+    let silent = state.with_router(|core, now| core.silent_servers(now));
     let silent: Vec<FleetKey> =
         silent.iter().filter_map(|server| state.server_key(*server)).collect();
     let events = events.clone();
@@ -298,12 +300,12 @@
         let recent = node.period() + PUBLISH_PERIOD * 2;
         let reads = reads.iter().filter(|(age, _)| *age < recent).map(|(_, read)| *read);
         let reads = reads.collect();
-        node.set_demand(
-            NodeDemand {
+        node.set_status(
+            NodeStatus {
                 loads,
                 reads,
                 unresponsive: silent,
-                ..NodeDemand::default()
+                ..NodeStatus::default()
             },
             now,
         );
@@ -312,13 +314,13 @@
         if source.set_plan(plan) {
             log::info!(reader:? = reader, standby; "server list reader changed");
         }
-        node.set_told_by_peers(source.reader_answered_lately());
+        node.set_follows_peers(source.reader_answered_lately());
         if let Some(duties) = duties {
-            duties.set_candidate(node.stands_for_duties(now));
+            duties.set_candidate(node.is_duty_candidate(now));
         }
         let live = node.fleet_size(now);
-        let newest_rules = node.newest_known(now);
-        let knows_crashes = node.knows_crashes();
+        let newest_rules = node.newest_known_version(now);
+        let knows_crashes = node.has_synced_crashes();
         let group = node.instance_group(now);
         // A dropped event is repeated with the next update.
         let _ = events.try_send(FeedEvent::Fleet {
@@ -331,7 +333,10 @@
 }
 
 /// Converts a prefill of a server to the form for peers, with its age.
-fn to_part_read(state: &TrafficState, note: &ReadNote) -> Option<(Duration, PartRead)> {
+fn to_part_read(
+    state: &TrafficState,
+    note: &PrefillRecord,
+) -> Option<(Duration, PartRead)> {
     let server = state.server_key(note.server)?;
     Some((note.age, PartRead { server, part: note.part }))
 }
@@ -340,7 +345,7 @@
 pub(crate) fn apply_peer_unresponsive(state: &TrafficState, servers: &[FleetKey]) {
     let known: Vec<ServerId> =
         servers.iter().filter_map(|key| state.server_with_key(*key)).collect();
-    state.ask(|core, now| core.hear_rumours(&known, now));
+    state.with_router(|core, now| core.record_silence_reports(&known, now));
 }
 
 /// Applies peers' reports of prompt parts that servers have prefilled.
@@ -350,7 +355,7 @@
         Some((server, read.part))
     });
     let known: Vec<(ServerId, PartKey)> = known.collect();
-    state.ask(|core, now| core.hear_reads(&known, now));
+    state.with_router(|core, now| core.record_peer_prefills(&known, now));
 }
 
 /// Converts the load at a server to the form for peers.
@@ -359,7 +364,7 @@
         server: state.server_key(load.server)?,
         short: u8::try_from(load.short).unwrap_or(u8::MAX),
         long: u8::try_from(load.long).unwrap_or(u8::MAX),
-        unread: load.unread.map(|tokens| {
+        unread: load.pending_prefill.map(|tokens| {
             u16::try_from(tokens / TOKENS_PER_LOAD_UNIT).unwrap_or(u16::MAX)
         }),
     })
@@ -378,9 +383,11 @@
             server,
             short: u32::from(load.short),
             long: u32::from(load.long),
-            unread: load.unread.map(|units| u32::from(units) * TOKENS_PER_LOAD_UNIT),
+            pending_prefill: load
+                .unread
+                .map(|units| u32::from(units) * TOKENS_PER_LOAD_UNIT),
         })
     });
     let known: Vec<PeerLoad> = known.collect();
-    state.ask(|core, now| core.hear_peer(peer, &known, now));
+    state.with_router(|core, now| core.set_peer_loads(peer, &known, now));
 }
--- a/crates/flaxtide-entry/src/reader.rs
+++ b/crates/flaxtide-entry/src/reader.rs
@@ -168,7 +168,7 @@
         Some(state.answer(version))
     }
 
-    fn changed(&self) -> Arc<Notify> {
+    fn change_notifier(&self) -> Arc<Notify> {
         self.changed.clone()
     }
 }
--- a/crates/flaxtide-entry/src/source.rs
+++ b/crates/flaxtide-entry/src/source.rs
@@ -10,10 +10,10 @@
 use flaxtide_core::{MilliClock, SettingsVersion, StoreVersion};
 use flaxtide_fleet::{ListPlan, ListReader, RowAnswer, RowChanges, RowQuestion};
 
+use crate::backoff::PeerBackoff;
 use crate::fleet::FleetLink;
 use crate::follow::first_call_window;
 use crate::lag::RulesLag;
-use crate::pauses::PeerPauses;
 use crate::reader::MAX_AGE_FRACTION;
 
 /// How long a question to a reader waits for changes, as a fraction of `leave_within`.
@@ -59,7 +59,7 @@
     /// The readers, as assigned in the group.
     plan: ListPlan,
     /// Which peers couldn't answer, and until when they aren't asked.
-    pauses: PeerPauses,
+    backoff: PeerBackoff,
     /// When a peer last answered.
     last_answer: Option<Duration>,
     /// How long the rules in force have been older than those that peers have announced.
@@ -75,7 +75,7 @@
         let startup_wait = if has_peers { STARTUP_WAIT } else { Duration::ZERO };
         let state = SourceState {
             plan: ListPlan::default(),
-            pauses: PeerPauses::new(leave_within.mul_f64(UNABLE_PAUSE_FRACTION)),
+            backoff: PeerBackoff::new(leave_within.mul_f64(UNABLE_PAUSE_FRACTION)),
             last_answer: None,
             lag: RulesLag::default(),
         };
@@ -94,7 +94,7 @@
         if state.plan == plan {
             return false;
         }
-        state.pauses.draw(&peers_of(&plan), now);
+        state.backoff.set_peers(&peers_of(&plan), now);
         state.plan = plan;
         true
     }
@@ -151,7 +151,7 @@
     pub(crate) fn call_window(&self) -> Duration {
         let now = self.clock.now();
         let state = self.lock();
-        let readers_answer = state.pauses.show_trouble(now);
+        let readers_answer = state.backoff.suggest_outage(now);
         first_call_window(state.plan.standby, readers_answer, self.leave_within)
     }
 
@@ -175,7 +175,7 @@
         let now = self.clock.now();
         let state = self.lock();
         let mut peers = peers_of(&state.plan);
-        peers.retain(|peer| state.pauses.may_ask(*peer, now));
+        peers.retain(|peer| state.backoff.may_ask(*peer, now));
         peers
     }
 
@@ -204,11 +204,11 @@
         while let Ok((peer, answer)) = receiver.recv_timeout(self.time_until(deadline)) {
             unanswered.retain(|other| *other != peer);
             match answer {
-                RowAnswer::Told(changes) => {
+                RowAnswer::Changes(changes) => {
                     self.record_answer(peer);
                     return Some(changes);
                 }
-                RowAnswer::Unable => self.record_no_rows(peer, true),
+                RowAnswer::Unavailable => self.record_no_rows(peer, true),
                 RowAnswer::Unreachable => self.record_no_rows(peer, false),
             }
         }
@@ -228,17 +228,17 @@
         let now = self.clock.now();
         let mut state = self.lock();
         state.last_answer = Some(now);
-        state.pauses.record_told(peer);
+        state.backoff.record_success(peer);
     }
 
     /// Records that a peer couldn't answer with changes, and whether it responded at all.
     fn record_no_rows(&self, peer: SocketAddr, answers: bool) {
         log::info!(peer = peer.to_string(), answers; "peer can't answer with the server list");
         let now = self.clock.now();
-        let pauses = &mut self.lock().pauses;
+        let backoff = &mut self.lock().backoff;
         match answers {
-            true => pauses.record_unable(peer, now),
-            false => pauses.record_unreachable(peer, now),
+            true => backoff.record_unable(peer, now),
+            false => backoff.record_unreachable(peer, now),
         }
     }
 
--- a/crates/flaxtide-fleet/src/lib.rs
+++ b/crates/flaxtide-fleet/src/lib.rs
@@ -26,11 +26,11 @@
 mod wire;
 
 pub use self::counted::LinkBytes;
-pub use self::duty::{DutyExchange, UsageNews};
+pub use self::duty::{UnsentUsage, UsageExchange};
 pub use self::info::PeerInfo;
 pub use self::key::{FleetKey, fleet_key};
 pub use self::node::{
-    FleetNode, FleetNotice, FleetServer, FleetTiming, NodeDemand, OutgoingCrashes,
+    FleetNode, FleetNotice, FleetServer, FleetTiming, NodeStatus, OutgoingCrashes,
     OutgoingHeartbeat, OutgoingHello, OutgoingPushback, SettingsSource,
 };
 pub use self::rate::rate_part;
--- a/crates/flaxtide-fleet/src/usage.rs
+++ b/crates/flaxtide-fleet/src/usage.rs
@@ -29,7 +29,7 @@
 impl UsageRound {
     /// Tells the holder if that is due: at once if there is a new one.
     pub(crate) fn tell_if_due(&mut self, shared: &Arc<FleetShared>, now: Duration) {
-        let Some(holder) = shared.node().duty() else { return };
+        let Some(holder) = shared.node().duty_holder() else { return };
         if self.under_way.as_ref().is_some_and(|task| !task.is_finished()) {
             self.due = self.due.min(now + RETRY_PERIOD);
             return;
@@ -46,11 +46,11 @@
 /// Tells a holder what it hasn't heard.
 async fn tell(shared: Arc<FleetShared>, holder: DutyHolder) {
     let Some(exchange) = shared.duties.get() else { return };
-    let news = exchange.news(holder.fence);
+    let news = exchange.unsent(holder.fence);
     let mark = news.mark;
     let notice = shared.node().usage_notice(news);
     if holder.address == notice.from.address {
-        if exchange.hear(notice) {
+        if exchange.receive(notice) {
             exchange.confirm(holder.fence, mark);
         }
         return;
--- a/crates/flaxtide-lab/tests/rate.rs
+++ b/crates/flaxtide-lab/tests/rate.rs
@@ -156,7 +156,11 @@
                 || now >= until + delay
         };
         let members = (0..self.cores.len()).filter(seen).map(member).collect();
-        InstanceGroup { own: member(observer), members, others: vec![] }
+        InstanceGroup {
+            own: member(observer),
+            members,
+            other_data_centres: vec![],
+        }
     }
 
     /// Has the answers come that are due.
@@ -172,7 +176,7 @@
             self.answers.pop();
             let core = &mut self.cores[number];
             let statement = ServerStatement { rate, ..ServerStatement::default() };
-            core.hear_statement(server, statement, sent, now);
+            core.record_statement(server, statement, sent, now);
             let actions = core.finish(request, now);
             self.take(number, &actions, now);
         }
@@ -201,7 +205,7 @@
     fn take(&mut self, number: usize, actions: &[RouteAction], now: Duration) {
         for action in actions {
             if let RouteAction::Dispatch { request, choice, .. } = action
-                && self.cores[number].passes_gate(*request, now)
+                && self.cores[number].permit_send(*request, now)
             {
                 self.arrivals.entry(choice.server).or_default().push(now);
                 let answer = (now + WORK, number, *request, choice.server, now);
@@ -244,7 +248,7 @@
     for server in 0..pattern.data_centres as u32 {
         let rate = RequestRate::from_per_second(pattern.rate);
         let heard = Duration::from_millis(1);
-        core.hear_peer_rate(server, rate, heard, heard);
+        core.record_peer_rate(server, rate, heard, heard);
     }
     core
 }
