--- a/crates/flaxtide-entry/src/contract/duty.rs
+++ b/crates/flaxtide-entry/src/contract/duty.rs
@@ -37,7 +37,7 @@
     /// Any [`FeedError`]. After [`FeedError::NoAnswer`], it may still be applied.
     fn report_usage(
         &self,
-        token: &FencingToken,
+        credentials: &DutyCredentials,
         report: &UsageReport,
     ) -> Result<DutyAnswer, FeedError>;
 
@@ -49,7 +49,7 @@
     /// after newer orders.
     fn order_servers(
         &self,
-        token: &FencingToken,
+        credentials: &DutyCredentials,
         service: &str,
         order: &ServerOrder,
     ) -> Result<DutyAnswer, FeedError>;
@@ -87,7 +87,7 @@
 /// Identifies the holder that makes a call, so that the platform refuses calls of earlier
 /// holders.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FencingToken {
+pub struct DutyCredentials {
     /// The name of the instance.
     pub holder: InstanceName,
     /// The fence, which increases with each holder.
--- a/crates/flaxtide-entry/src/contract/mod.rs
+++ b/crates/flaxtide-entry/src/contract/mod.rs
@@ -8,7 +8,7 @@
 
 pub use self::dialect::{RequestHead, ResponseHead, UpstreamHead, WireDialect};
 pub use self::duty::{
-    DutyAnswer, DutyPlatform, DutyRead, DutyRow, FencingToken, UsageReport,
+    DutyAnswer, DutyCredentials, DutyPlatform, DutyRead, DutyRow, UsageReport,
 };
 pub use self::feed::{FeedBatch, FeedError, FeedRow, FeedTopic, PlatformFeed};
 pub use self::rules::{
--- a/crates/flaxtide-entry/src/duty/orders.rs
+++ b/crates/flaxtide-entry/src/duty/orders.rs
@@ -70,7 +70,8 @@
             .entry(service.name.clone())
             .or_insert_with(|| ServerScaler::new(ScalerOptions::default()));
         scaler.record_demand(open, now);
-        let orders = scaler.plan(&service.rules, &service.stocks, service.slots, now);
+        let orders =
+            scaler.plan(&service.rules, &service.server_counts, service.slots, now);
         for order in &orders {
             log::info!(
                 service = service.name, data_centre = order.data_centre, spot = order.spot,
@@ -102,11 +103,11 @@
 impl ScaledService {
     /// Returns the number of serving servers, in all data centres.
     fn serving(&self) -> u32 {
-        self.stocks.values().map(|stock| stock.total()).sum()
+        self.server_counts.values().map(|counts| counts.total()).sum()
     }
 
     /// Returns the number of serving spot servers, which the platform may take away.
     fn serving_spot(&self) -> u32 {
-        self.stocks.values().map(|stock| stock.spot).sum()
+        self.server_counts.values().map(|counts| counts.spot).sum()
     }
 }
--- a/crates/flaxtide-entry/src/duty/shared.rs
+++ b/crates/flaxtide-entry/src/duty/shared.rs
@@ -25,7 +25,7 @@
     /// The number of requests that a server runs at once.
     pub(crate) slots: u32,
     /// The serving servers in each data centre.
-    pub(crate) stocks: BTreeMap<DataCentreName, ServerCounts>,
+    pub(crate) server_counts: BTreeMap<DataCentreName, ServerCounts>,
 }
 
 /// A view of the rules and the servers for the holder of the duties.
--- a/crates/flaxtide-entry/src/duty/thread.rs
+++ b/crates/flaxtide-entry/src/duty/thread.rs
@@ -14,7 +14,7 @@
 use super::shared::SharedDuties;
 use crate::config::{DutyConfig, EntryConfig};
 use crate::contract::{
-    DutyAnswer, DutyPlatform, DutyRow, FeedError, FencingToken, UsageReport,
+    DutyAnswer, DutyCredentials, DutyPlatform, DutyRow, FeedError, UsageReport,
 };
 use crate::fleet::FleetLink;
 use crate::metrics::EntryMetrics;
@@ -258,11 +258,11 @@
 
     /// Sends a report.
     fn send_report(&mut self, report: &UsageReport) {
-        let Some(token) = self.fencing_token() else { return };
-        let sent = self.platform.report_usage(&token, report);
+        let Some(credentials) = self.credentials() else { return };
+        let sent = self.platform.report_usage(&credentials, report);
         let now = self.clock.now();
         log::info!(
-            window = report.window, fence = token.fence, outcome = outcome_text(&sent);
+            window = report.window, fence = credentials.fence, outcome = outcome_text(&sent);
             "usage reported"
         );
         self.count("usage", outcome_text(&sent).as_str());
@@ -289,12 +289,14 @@
 
     /// Sends an order. Returns whether further orders may be sent.
     fn send_order(&mut self, order: &ServiceOrder) -> bool {
-        let Some(token) = self.fencing_token() else { return false };
-        let sent = self.platform.order_servers(&token, &order.service, &order.order);
+        let Some(credentials) = self.credentials() else { return false };
+        let sent =
+            self.platform
+                .order_servers(&credentials, &order.service, &order.order);
         let now = self.clock.now();
         log::info!(
             service = order.service, data_centre = order.order.data_centre,
-            spot = order.order.spot, count = order.order.count, fence = token.fence,
+            spot = order.order.spot, count = order.order.count, fence = credentials.fence,
             outcome = outcome_text(&sent);
             "servers ordered"
         );
@@ -325,10 +327,10 @@
         }
     }
 
-    /// Returns the fencing token for a call now, or `None` if the lease isn't held.
-    fn fencing_token(&self) -> Option<FencingToken> {
+    /// Returns the credentials for a call now, or `None` if the lease isn't held.
+    fn credentials(&self) -> Option<DutyCredentials> {
         let fence = self.watch.fence(self.clock.now(), true)?;
-        Some(FencingToken { holder: self.name.clone(), fence })
+        Some(DutyCredentials { holder: self.name.clone(), fence })
     }
 
     /// Counts a call by its topic and result.
--- a/crates/flaxtide-entry/src/duty/view.rs
+++ b/crates/flaxtide-entry/src/duty/view.rs
@@ -22,7 +22,7 @@
             name: service.name.clone(),
             rules: service.scaling.clone()?,
             slots: service.engine.map_or(1, |engine| engine.slots),
-            stocks: count_stocks(state, &service.name),
+            server_counts: count_servers(state, &service.name),
         })
     });
     duties.set_view(DutyView {
@@ -34,21 +34,21 @@
 
 /// Counts the serving servers of a service in each data centre. Leaving servers don't
 /// count.
-fn count_stocks(
+fn count_servers(
     state: &TrafficState,
     service: &str,
 ) -> BTreeMap<DataCentreName, ServerCounts> {
-    let mut stocks: BTreeMap<DataCentreName, ServerCounts> = BTreeMap::new();
+    let mut server_counts: BTreeMap<DataCentreName, ServerCounts> = BTreeMap::new();
     for listed in state.directory.borrow().of_service(service) {
         let entry = &listed.entry;
-        let stock = stocks.entry(entry.data_centre.clone()).or_default();
+        let counts = server_counts.entry(entry.data_centre.clone()).or_default();
         if entry.leaving || listed.lapsed() {
             continue;
         }
         match entry.spot {
-            true => stock.spot += 1,
-            false => stock.regular += 1,
+            true => counts.spot += 1,
+            false => counts.regular += 1,
         }
     }
-    stocks
+    server_counts
 }
--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -281,9 +281,11 @@
 ) {
     let loads = state.with_router(|core, now| core.own_loads(now));
     let loads = loads.iter().filter_map(|load| to_own_load(state, load)).collect();
-    let notes = state.with_router(|core, now| core.recent_prefills(now));
-    let reads: Vec<(Duration, PartRead)> =
-        notes.iter().filter_map(|note| to_part_read(state, note)).collect();
+    let prefills = state.with_router(|core, now| core.recent_prefills(now));
+    let reads: Vec<(Duration, PartRead)> = prefills
+        .iter()
+        .filter_map(|prefill| to_part_read(state, prefill))
+        .collect();
     let silent = state.with_router(|core, now| core.silent_servers(now));
     let silent: Vec<FleetKey> =
         silent.iter().filter_map(|server| state.server_key(*server)).collect();
@@ -335,10 +337,10 @@
 /// Converts a prefill of a server to the form for peers, with its age.
 fn to_part_read(
     state: &TrafficState,
-    note: &PrefillRecord,
+    prefill: &PrefillRecord,
 ) -> Option<(Duration, PartRead)> {
-    let server = state.server_key(note.server)?;
-    Some((note.age, PartRead { server, part: note.part }))
+    let server = state.server_key(prefill.server)?;
+    Some((prefill.age, PartRead { server, part: prefill.part }))
 }
 
 /// Applies a peer's report of unresponsive servers.
--- a/crates/flaxtide-entry/src/follower.rs
+++ b/crates/flaxtide-entry/src/follower.rs
@@ -72,7 +72,7 @@
             return pushed.then_some(PeerUpdate::Pushed);
         };
         let changes = self.source.fetch_changes(link, after)?;
-        list.clear_log();
+        list.clear();
         self.count("peer");
         let row =
             |row: RowCopy| FeedRow { name: row.name, text: row.text, version: None };
--- a/crates/flaxtide-entry/src/lib.rs
+++ b/crates/flaxtide-entry/src/lib.rs
@@ -48,8 +48,8 @@
 pub use self::backoff::PeerBackoff;
 pub use self::config::{DutyConfig, EntryConfig};
 pub use self::contract::{
-    BackendService, CallKind, CallerLimits, DutyAnswer, DutyPlatform, DutyRead, DutyRow,
-    EntryRules, FeedBatch, FeedError, FeedRow, FeedTopic, FencingToken,
+    BackendService, CallKind, CallerLimits, DutyAnswer, DutyCredentials, DutyPlatform,
+    DutyRead, DutyRow, EntryRules, FeedBatch, FeedError, FeedRow, FeedTopic,
     OrganisationRules, PlatformFeed, RequestClass, RequestHead, ResponseHead,
     ServerEntry, ServiceEngine, TargetService, UpstreamHead, UsageReport, WireDialect,
 };
--- a/crates/flaxtide-entry/src/reader.rs
+++ b/crates/flaxtide-entry/src/reader.rs
@@ -128,7 +128,7 @@
 
     /// Clears the log after rows came from a peer instead of the platform: what was read
     /// before them can't be continued any more.
-    pub(crate) fn clear_log(&self) {
+    pub(crate) fn clear(&self) {
         *self.lock() = LogState::default();
     }
 
@@ -139,11 +139,11 @@
         reader: ListReader,
         usual_pause: Duration,
     ) -> Option<(Duration, Duration)> {
-        let chunk = |chunk| self.leave_within.mul_f64(chunk);
+        let span = |fraction| self.leave_within.mul_f64(fraction);
         match reader {
             ListReader::Alone => None,
             ListReader::ForPeers => {
-                Some((chunk(READER_WAIT_FRACTION), chunk(READER_PAUSE_FRACTION)))
+                Some((span(READER_WAIT_FRACTION), span(READER_PAUSE_FRACTION)))
             }
             ListReader::Peer(_) => Some((FALLBACK_WAIT, usual_pause)),
         }
