--- a/crates/flaxtide-entry/src/duty/thread.rs
+++ b/crates/flaxtide-entry/src/duty/thread.rs
@@ -178,7 +178,7 @@
         true
     }
 
-    /// Writes the row with a lease.
+    /// Writes the row with a lease. `asked_at` is the time for which the write was decided.
     fn write_lease(
         &mut self,
         expected: Option<u64>,
--- a/crates/flaxtide-entry/src/relay.rs
+++ b/crates/flaxtide-entry/src/relay.rs
@@ -73,9 +73,9 @@
             match bytes {
                 Ok(Some(bytes)) => {
                     self.record_pause();
-                    let whole = self.splitter.push(&bytes);
-                    if !whole.is_empty() {
-                        return Ok(Some(whole));
+                    let complete = self.splitter.push(&bytes);
+                    if !complete.is_empty() {
+                        return Ok(Some(complete));
                     }
                 }
                 Ok(None) => return Ok(self.finish()),
@@ -147,8 +147,8 @@
         loop {
             let decision = state.await_decision(self.call.request);
             let resumable = self.resumable();
-            let verdict = self.call.handle_fault(&self.request, fault, resumable).await;
-            if verdict == RetryDecision::Stop {
+            let retry = self.call.handle_fault(&self.request, fault, resumable).await;
+            if retry == RetryDecision::Stop {
                 return Err(self.abort("stream_broken"));
             }
             let decided = state.wait_until(self.call.deadline, decision).await;
@@ -213,11 +213,11 @@
     fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.partial.extend_from_slice(bytes);
         let Some(end) = last_event_end(&self.partial) else { return Bytes::new() };
-        let whole = self.partial.split_to(end).freeze();
-        if let Some(id) = last_event_id(&whole) {
+        let complete = self.partial.split_to(end).freeze();
+        if let Some(id) = last_event_id(&complete) {
             self.last_event = Some(id);
         }
-        whole
+        complete
     }
 
     /// Drops the incomplete event.
