--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -90,7 +90,7 @@
     let received_at = state.now();
     let (parts, body) = request.into_parts();
     let head = state.dialect.read_request(&parts.headers);
-    let attempt_id = head.attempt.clone().unwrap_or_default();
+    let attempt_id = head.attempt_id.clone().unwrap_or_default();
     let reject = |reply| (reply, attempt_id.clone());
     let matched = match_rules(state, &parts, &head).map_err(reject)?;
     let MatchedRules { class, caller, tier, level, max_body_bytes, .. } = matched;
@@ -108,7 +108,7 @@
         uri: parts.uri,
         headers,
         body,
-        attempt_id: head.attempt.clone(),
+        attempt_id: head.attempt_id.clone(),
         organisation: caller.name.clone(),
         tier: is_engine.then_some(tier),
         tokens: head.prompt.tokens,
--- a/crates/flaxtide-entry/src/duty/orders.rs
+++ b/crates/flaxtide-entry/src/duty/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of backend servers.
+//! Orders backend servers to match demand.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,59 +8,61 @@
 
 use super::shared::{ScaledService, SharedDuties};
 
-/// How often demand is looked at.
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
+/// How often demand is evaluated.
+const PLAN_PERIOD: Duration = Duration::from_millis(500);
 
-/// An order for a service.
+/// An order of servers for a service.
 #[derive(Debug, Clone)]
 pub(super) struct ServiceOrder {
-    /// The service.
+    /// The name of the service.
     pub(super) service: String,
-    /// The order.
+    /// The number of servers to order, and where.
     pub(super) order: ServerOrder,
 }
 
-/// The holder's part in orders.
+/// Plans orders while this instance holds the duties.
 #[derive(Debug, Default)]
 pub(super) struct OrderDuty {
-    /// The scalers, by service.
+    /// The scalers by the name of their service.
     scalers: BTreeMap<String, ServerScaler>,
-    /// When demand was last looked at.
-    looked: Option<Duration>,
+    /// When demand was last evaluated.
+    planned_at: Option<Duration>,
 }
 
 impl OrderDuty {
-    /// Takes the duty over: what stands counts, and not what was thought before.
+    /// Starts afresh as a new holder: only the current servers and demand count, not what
+    /// this instance planned when it last held the duties.
     pub(super) fn begin(&mut self) {
         self.scalers.clear();
-        self.looked = None;
+        self.planned_at = None;
     }
 
-    /// Returns the orders that are due.
+    /// Returns the orders that are due, at most once per planning period.
     pub(super) fn due(
         &mut self,
-        board: &SharedDuties,
+        duties: &SharedDuties,
         now: Duration,
     ) -> Vec<ServiceOrder> {
-        if self.looked.is_some_and(|at| now < at + LOOK_PERIOD) {
+        if self.planned_at.is_some_and(|at| now < at + PLAN_PERIOD) {
             return vec![];
         }
-        self.looked = Some(now);
-        let services = board.view().services;
+        self.planned_at = Some(now);
+        let services = duties.view().services;
         services
             .iter()
-            .flat_map(|service| self.plan(board, service, now))
+            .flat_map(|service| self.plan(duties, service, now))
             .collect()
     }
 
-    /// Returns the orders that are due for a service.
+    /// Returns the orders that are due for a service. There are none until an instance
+    /// has reported its open requests.
     fn plan(
         &mut self,
-        board: &SharedDuties,
+        duties: &SharedDuties,
         service: &ScaledService,
         now: Duration,
     ) -> Vec<ServiceOrder> {
-        let Some(open) = board.open_requests(fleet_key(&service.name)) else {
+        let Some(open) = duties.open_requests(fleet_key(&service.name)) else {
             return vec![];
         };
         let scaler = self
@@ -68,13 +70,14 @@
             .entry(service.name.clone())
             .or_insert_with(|| ServerScaler::new(ScalerOptions::default()));
         scaler.record_demand(open, now);
-        let orders = scaler.plan(&service.rules, &service.stocks, service.slots, now);
+        let orders =
+            scaler.plan(&service.rules, &service.server_counts, service.slots, now);
         for order in &orders {
             log::info!(
                 service = service.name, data_centre = order.data_centre, spot = order.spot,
                 count = order.count, open, serving = service.serving(),
                 serving_spot = service.serving_spot();
-                "servers are to be ordered"
+                "servers to be ordered"
             );
         }
         let name = &service.name;
@@ -84,8 +87,8 @@
             .collect()
     }
 
-    /// Records what came of an order.
-    pub(super) fn record(
+    /// Records the outcome of an order.
+    pub(super) fn record_outcome(
         &mut self,
         order: &ServiceOrder,
         outcome: OrderOutcome,
@@ -98,13 +101,13 @@
 }
 
 impl ScaledService {
-    /// Returns how many servers serve.
+    /// Returns the number of serving servers, in all data centres.
     fn serving(&self) -> u32 {
-        self.stocks.values().map(|stock| stock.total()).sum()
+        self.server_counts.values().map(|counts| counts.total()).sum()
     }
 
-    /// Returns how many of them may be taken away.
+    /// Returns the number of serving spot servers, which the platform may take away.
     fn serving_spot(&self) -> u32 {
-        self.stocks.values().map(|stock| stock.spot).sum()
+        self.server_counts.values().map(|counts| counts.spot).sum()
     }
 }
--- a/crates/flaxtide-entry/src/duty/shared.rs
+++ b/crates/flaxtide-entry/src/duty/shared.rs
@@ -1,5 +1,5 @@
-//! What the threads of an instance share for the duties: its own counts, and while it holds
-//! them what its peers have told.
+//! State of the duties that the threads of an instance share: its own counts, and those
+//! of its peers while it holds the duties.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,74 +12,74 @@
     WindowNumber, WindowTotal, window_of,
 };
 
-/// For how long the last word of an instance on its open requests counts.
-const OPEN_LIFE: Duration = Duration::from_secs(5);
+/// How long an instance's report of its open requests is valid.
+const OPEN_COUNT_LIFE: Duration = Duration::from_secs(5);
 
 /// A service whose servers may be ordered.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct ScaledService {
-    /// Its name.
+    /// The name of the service.
     pub(crate) name: String,
-    /// Within which bounds.
+    /// The bounds and prices for its servers.
     pub(crate) rules: ScalingRules,
-    /// How many requests a server works on at once.
+    /// The number of requests that a server runs at once.
     pub(crate) slots: u32,
-    /// The servers that serve.
-    pub(crate) stocks: BTreeMap<DataCentreName, ServerCounts>,
+    /// The serving servers in each data centre.
+    pub(crate) server_counts: BTreeMap<DataCentreName, ServerCounts>,
 }
 
-/// What a holder has to know of the rules and the servers.
+/// A view of the rules and the servers for the holder of the duties.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct DutyView {
-    /// The organisations by their keys.
+    /// The names of the organisations by their keys, to write reports.
     pub(crate) organisations: BTreeMap<FleetKey, OrganisationName>,
     /// The services whose servers may be ordered.
     pub(crate) services: Vec<ScaledService>,
-    /// How many instances are alive.
+    /// The number of live instances.
     pub(crate) live: u32,
 }
 
-/// What the threads share.
+/// The duty state that an instance's threads share.
 #[derive(Debug)]
 pub(crate) struct SharedDuties {
-    /// The clock.
+    /// The clock for the age of peers' reports.
     clock: MilliClock,
-    /// The length of a window.
+    /// The length of a usage window.
     window: Duration,
-    /// What changes.
+    /// The mutable state.
     state: Mutex<DutyState>,
 }
 
-/// What changes.
+/// The mutable state behind the lock.
 #[derive(Debug)]
 struct DutyState {
-    /// The time of day.
+    /// The time of day, which determines a request's usage window.
     wall: WallClock,
-    /// What this instance has counted.
+    /// The counts of this instance that the holder hasn't confirmed.
     ledger: UsageLedger,
-    /// Its requests that run or wait, by service.
+    /// The number of this instance's open requests, running or queued, by service.
     open: BTreeMap<FleetKey, u32>,
-    /// Whether it stands for the duties.
-    stands: bool,
-    /// Whether it is stopping.
+    /// Whether this instance is a candidate for the duties.
+    is_candidate: bool,
+    /// Whether the instance is stopping.
     stopping: bool,
-    /// What peers have told, while it holds the duties.
-    heard: Option<HeardUsage>,
-    /// What the traffic thread knows.
+    /// The counts of all instances, or `None` unless this instance holds the duties.
+    peers: Option<PeerUsage>,
+    /// The latest view from the traffic thread.
     view: DutyView,
 }
 
-/// What peers have told a holder.
+/// The counts that instances have reported to the holder.
 #[derive(Debug)]
-struct HeardUsage {
-    /// The counts.
+struct PeerUsage {
+    /// The usage counts.
     tally: UsageTally,
-    /// The open requests of each instance, and when it told.
+    /// The open requests of each instance by service, and when it reported them.
     open: BTreeMap<FleetKey, (Duration, Vec<(FleetKey, u32)>)>,
 }
 
 impl SharedDuties {
-    /// Starts with nothing counted.
+    /// Creates the state without any counts.
     pub(crate) fn new(window: Duration) -> Self {
         let clock = MilliClock::real();
         let mut wall = WallClock::new(clock.clone());
@@ -88,9 +88,9 @@
             wall,
             ledger: UsageLedger::default(),
             open: BTreeMap::new(),
-            stands: false,
+            is_candidate: false,
             stopping: false,
-            heard: None,
+            peers: None,
             view: DutyView::default(),
         });
         Self { clock, window, state }
@@ -106,28 +106,28 @@
         self.lock().wall.sample_system();
     }
 
-    /// Counts a request that began to run so long ago.
+    /// Counts a request that began to run `ago` before now.
     pub(crate) fn count(&self, organisation: FleetKey, ago: Duration) {
         let mut state = self.lock();
         let began = state.wall.now().saturating_sub(ago);
         state.ledger.record(organisation, window_of(began, self.window));
     }
 
-    /// Records that a request for a service has come or ended.
-    pub(crate) fn change_open(&self, service: FleetKey, more: bool) {
+    /// Records that a request for a service has arrived (`opened`) or ended.
+    pub(crate) fn record_open_change(&self, service: FleetKey, opened: bool) {
         let mut state = self.lock();
         let open = state.open.entry(service).or_default();
-        *open = if more { *open + 1 } else { open.saturating_sub(1) };
+        *open = if opened { *open + 1 } else { open.saturating_sub(1) };
     }
 
-    /// Sets whether this instance stands for the duties.
-    pub(crate) fn set_stands(&self, stands: bool) {
-        self.lock().stands = stands;
+    /// Sets whether this instance is a candidate for the duties.
+    pub(crate) fn set_candidate(&self, is_candidate: bool) {
+        self.lock().is_candidate = is_candidate;
     }
 
-    /// Returns whether it does.
-    pub(crate) fn stands(&self) -> bool {
-        self.lock().stands
+    /// Returns whether this instance is a candidate for the duties.
+    pub(crate) fn is_candidate(&self) -> bool {
+        self.lock().is_candidate
     }
 
     /// Records that the instance is stopping.
@@ -135,28 +135,30 @@
         self.lock().stopping = true;
     }
 
-    /// Returns whether it is.
+    /// Returns whether the instance is stopping.
     pub(crate) fn is_stopping(&self) -> bool {
         self.lock().stopping
     }
 
-    /// Returns whether a view is worth making: this instance holds the duties, or may soon.
-    pub(crate) fn wants_view(&self) -> bool {
+    /// Returns whether the view is needed, because this instance holds the duties or may
+    /// take them over.
+    pub(crate) fn needs_view(&self) -> bool {
         let state = self.lock();
-        state.stands || state.heard.is_some()
+        state.is_candidate || state.peers.is_some()
     }
 
-    /// Shows what the traffic thread knows.
+    /// Sets the view. The traffic thread calls this.
     pub(crate) fn set_view(&self, view: DutyView) {
         self.lock().view = view;
     }
 
-    /// Returns what the traffic thread has shown.
+    /// Returns the latest view.
     pub(crate) fn view(&self) -> DutyView {
         self.lock().view.clone()
     }
 
-    /// Begins to take what peers tell, with what the holder before had been told.
+    /// Starts to collect reports from peers, beginning with the counts that the previous
+    /// holder had collected.
     pub(crate) fn begin_holding(
         &self,
         drafts: BTreeMap<WindowNumber, UsageCounts>,
@@ -164,61 +166,65 @@
     ) {
         let mut tally = UsageTally::default();
         tally.inherit(drafts, open_from);
-        self.lock().heard = Some(HeardUsage { tally, open: BTreeMap::new() });
+        self.lock().peers = Some(PeerUsage { tally, open: BTreeMap::new() });
     }
 
-    /// Stops to take what peers tell. Returns whether it had.
+    /// Stops collecting reports from peers. Returns whether it was collecting.
     pub(crate) fn end_holding(&self) -> bool {
-        self.lock().heard.take().is_some()
+        self.lock().peers.take().is_some()
     }
 
-    /// Returns the sum of a window, and whether everyone has told all of it.
+    /// Returns the total of a window, and whether all instances have reported all of it.
     pub(crate) fn window_total(&self, window: WindowNumber) -> (WindowTotal, bool) {
         let now = self.clock.now();
         let state = self.lock();
-        let Some(heard) = &state.heard else { return (WindowTotal::default(), false) };
-        let total = heard.tally.total(window, self.window, now);
-        let told = heard.open.values().filter(|(at, _)| now < *at + OPEN_LIFE).count();
-        let all = told as u32 >= state.view.live;
-        (total, all && heard.tally.is_complete(window, self.window, now))
+        let Some(peers) = &state.peers else { return (WindowTotal::default(), false) };
+        let total = peers.tally.total(window, self.window, now);
+        let reporting = peers
+            .open
+            .values()
+            .filter(|(at, _)| now < *at + OPEN_COUNT_LIFE)
+            .count();
+        let all_reported = reporting as u32 >= state.view.live;
+        (total, all_reported && peers.tally.is_complete(window, self.window, now))
     }
 
-    /// Forgets windows up to one.
+    /// Drops the counts of all windows up to and including `window`.
     pub(crate) fn close_window(&self, window: WindowNumber) {
         let now = self.clock.now();
-        if let Some(heard) = &mut self.lock().heard {
-            heard.tally.close(window, now);
+        if let Some(peers) = &mut self.lock().peers {
+            peers.tally.close(window, now);
         }
     }
 
-    /// Returns the sums of the windows that aren't closed.
+    /// Returns the totals of the windows that aren't closed.
     pub(crate) fn drafts(&self) -> BTreeMap<WindowNumber, UsageCounts> {
         let state = self.lock();
         state
-            .heard
+            .peers
             .as_ref()
-            .map(|heard| heard.tally.drafts())
+            .map(|peers| peers.tally.drafts())
             .unwrap_or_default()
     }
 
-    /// Returns how many requests of a service run or wait in all instances that have told
-    /// lately; nothing if none has.
+    /// Returns the number of open requests of a service at all instances that have
+    /// reported lately, or `None` if none has.
     pub(crate) fn open_requests(&self, service: FleetKey) -> Option<u32> {
         let now = self.clock.now();
         let state = self.lock();
-        let heard = state.heard.as_ref()?;
-        let fresh = heard.open.values().filter(|(at, _)| now < *at + OPEN_LIFE);
-        let mut any = false;
+        let peers = state.peers.as_ref()?;
+        let recent = peers.open.values().filter(|(at, _)| now < *at + OPEN_COUNT_LIFE);
+        let mut any_recent = false;
         let mut sum = 0;
-        for (_, open) in fresh {
-            any = true;
+        for (_, open) in recent {
+            any_recent = true;
             let of_service = open.iter().filter(|(key, _)| *key == service);
             sum += of_service.map(|(_, count)| count).sum::<u32>();
         }
-        any.then_some(sum)
+        any_recent.then_some(sum)
     }
 
-    /// Locks the state. A panic elsewhere doesn't spoil it.
+    /// Locks the state, even if a thread has panicked while it held the lock.
     fn lock(&self) -> MutexGuard<'_, DutyState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -244,14 +250,14 @@
         let now = self.clock.now();
         let mut state = self.lock();
         let current = window_of(state.wall.now(), self.window);
-        let Some(heard) = &mut state.heard else { return false };
+        let Some(peers) = &mut state.peers else { return false };
         let name = fleet_key(&notice.from.name);
         if notice.leaving {
-            heard.open.remove(&name);
+            peers.open.remove(&name);
         } else {
-            heard.open.insert(name, (now, notice.open));
+            peers.open.insert(name, (now, notice.open));
         }
-        heard.tally.record_report(
+        peers.tally.record_report(
             UsageSource { name, epoch: notice.epoch },
             fleet_key(&notice.from.data_centre),
             Duration::from_millis(notice.told_until_ms),
@@ -259,7 +265,7 @@
             notice.windows,
             now,
         );
-        heard.tally.expire(current, now);
+        peers.tally.expire(current, now);
         true
     }
 }
--- a/crates/flaxtide-entry/src/exchange.rs
+++ b/crates/flaxtide-entry/src/exchange.rs
@@ -246,13 +246,13 @@
     response: Response<Incoming>,
 ) -> Result<ResponseStart, RouteFault> {
     let (parts, body) = response.into_parts();
-    let head = state.dialect.read_answer(parts.status.as_u16(), &parts.headers);
+    let head = state.dialect.read_response(parts.status.as_u16(), &parts.headers);
     if head.replaced {
         return Err(RouteFault::Replaced);
     }
     // A response to another request shows that the connection is out of step.
-    let matches_request = head.attempt == request.attempt_id;
-    if matches_request || (head.not_run && head.attempt.is_none()) {
+    let matches_request = head.attempt_id == request.attempt_id;
+    if matches_request || (head.not_run && head.attempt_id.is_none()) {
         let mut statement = head.statement;
         let is_sealed_success = parts.status.is_success() && head.sealed;
         if statement.rate == StatedRate::Unlimited && !is_sealed_success {
@@ -260,7 +260,7 @@
         }
         state.pushback.apply_statement(state, server, statement, sent_at);
     }
-    if head.not_run && (matches_request || head.attempt.is_none()) {
+    if head.not_run && (matches_request || head.attempt_id.is_none()) {
         let connection = Some(connection);
         let keep_alive = head.keep_alive;
         drain_refusal(state, UpstreamBody { body, connection, server, keep_alive });
--- a/crates/flaxtide-entry/src/lib.rs
+++ b/crates/flaxtide-entry/src/lib.rs
@@ -50,9 +50,9 @@
 pub use self::backoff::PeerBackoff;
 pub use self::config::{DutyConfig, EntryConfig};
 pub use self::contract::{
-    AnswerHead, BackendService, CallKind, CallerLimits, DutyAnswer, DutyPlatform,
+    BackendService, CallKind, CallerLimits, DutyAnswer, DutyCredentials, DutyPlatform,
     DutyRead, DutyRow, EntryRules, FeedBatch, FeedError, FeedRow, FeedTopic,
-    FencingToken, OrganisationRules, PlatformFeed, RequestClass, RequestHead,
+    OrganisationRules, PlatformFeed, RequestClass, RequestHead, ResponseHead,
     ServerEntry, ServiceEngine, TargetService, UpstreamHead, UsageReport, WireDialect,
 };
 pub use self::directory::ServerDirectory;
