--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -1,4 +1,4 @@
-//! One request, from its head to the start of its answer.
+//! The path of one request from its head to the start of the response.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -17,95 +17,98 @@
 
 use crate::contract::RequestHead;
 use crate::duty::CallUsage;
-use crate::exchange::{CallerRequest, strip_hop_headers};
-use crate::open_call::{AttemptOutcome, LATEST_RETRY, OpenCall, RETRY_PART};
+use crate::exchange::{CallerRequest, strip_hop_by_hop_headers};
+use crate::open_call::{AttemptOutcome, MAX_RETRY_AFTER, OpenCall, RETRY_DIVISOR};
 use crate::reply::{CallerResponse, LocalReply};
-use crate::response::{Received, begin_stream, receive};
+use crate::response::{ReceivedResponse, receive_response, start_stream};
 use crate::routes::{CallerIdentity, ClassMatch};
-use crate::state::{LifePhase, TrafficState};
+use crate::state::{ShutdownPhase, TrafficState};
 
-/// An organisation's number for requests without one.
+/// Stands for the organisation of requests that have none.
 const NO_ORGANISATION: u16 = u16::MAX;
 
-/// Answers one request of a caller.
-pub(crate) async fn serve(
+/// Responds to one request of a caller.
+pub(crate) async fn serve_request(
     state: Rc<TrafficState>,
     request: Request<Incoming>,
 ) -> CallerResponse {
-    // The HTTP library drops a length beside chunks. What follows such a request may be a
-    // part of its body to whoever sent it, so it is never read as another request.
+    // hyper ignores Content-Length beside chunked encoding. The sender may regard the bytes
+    // after such a request as part of its body, so they must not be read as another request
+    // (request smuggling): the connection is closed.
     let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-    let mut answer = match answer(&state, request).await {
-        Ok(answer) => answer,
-        Err((reply, attempt)) => {
-            let reply = reply.under_rules(state.behind());
+    let mut response = match handle_request(&state, request).await {
+        Ok(response) => response,
+        Err((reply, attempt_id)) => {
+            let reply = reply.defer_to_newer_rules(state.has_outdated_rules());
             state.metrics.ends.with_label_values(&[reply.name()]).inc();
             let version = state.table().map(|table| table.version);
             log::info!(
-                request = attempt, outcome = reply.name(), rules_version = version.unwrap_or_default();
+                request = attempt_id, outcome = reply.name(), rules_version = version.unwrap_or_default();
                 "turned away"
             );
             let retry_after = match reply {
-                LocalReply::NoRules | LocalReply::OldRules => Some(LATEST_RETRY),
+                LocalReply::NoRules | LocalReply::OutdatedRules => Some(MAX_RETRY_AFTER),
                 LocalReply::Stopping => Some(Duration::ZERO),
                 _ => None,
             };
-            reply.answer(retry_after)
+            reply.into_response(retry_after)
         }
     };
-    if chunked || state.phase() >= LifePhase::Closing {
-        answer
+    if chunked || state.phase() >= ShutdownPhase::Closing {
+        response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    answer
+    response
 }
 
-/// A request that is turned away before it is a call: why, and what identifies it.
-type TurnedAway = (LocalReply, String);
+/// Why a request is rejected before it becomes a call, and the caller's attempt ID.
+type Rejection = (LocalReply, String);
 
-/// What the rules say of a request.
+/// What the rules in force say about a request.
 struct MatchedRules {
-    /// Its class.
+    /// The request class.
     class: ClassMatch,
-    /// Who sends it.
+    /// The caller, as its key identifies it.
     caller: CallerIdentity,
-    /// Its tier.
+    /// The tier of the request, from its class and its organisation.
     tier: TierRank,
-    /// How urgent its class is.
+    /// The urgency of the class among all classes; 0 is the most urgent.
     level: u8,
-    /// The service that gets it, and whether its servers are engines; nothing if its class
-    /// has none.
+    /// The service that gets the request, and whether its servers are engines; `None` if the
+    /// class has no service.
     service: Option<(String, bool)>,
-    /// The most bytes of its body.
-    body_bytes: usize,
+    /// The largest body that is accepted.
+    max_body_bytes: usize,
 }
 
-/// Reads a request, and has it served.
-async fn answer(
+/// Reads a request, matches it against the rules and runs it.
+async fn handle_request(
     state: &Rc<TrafficState>,
     request: Request<Incoming>,
-) -> Result<CallerResponse, TurnedAway> {
-    let received = state.now();
+) -> Result<CallerResponse, Rejection> {
+    let received_at = state.now();
     let (parts, body) = request.into_parts();
     let head = state.dialect.read_request(&parts.headers);
-    let attempt = head.attempt.clone().unwrap_or_default();
-    let turn_away = |reply| (reply, attempt.clone());
-    let found = look_up(state, &parts, &head).map_err(turn_away)?;
-    let MatchedRules { class, caller, tier, level, body_bytes, .. } = found;
+    let attempt_id = head.attempt_id.clone().unwrap_or_default();
+    let reject = |reply| (reply, attempt_id.clone());
+    let matched = match_rules(state, &parts, &head).map_err(reject)?;
+    let MatchedRules { class, caller, tier, level, max_body_bytes, .. } = matched;
     let wait = head.deadline.unwrap_or(class.class().timeout);
-    let body = state.wait_until(received + wait, read_body(body, body_bytes)).await;
-    let body = body.unwrap_or(Err(LocalReply::BodyTooSlow)).map_err(turn_away)?;
+    let body = state
+        .wait_until(received_at + wait, read_body(body, max_body_bytes))
+        .await;
+    let body = body.unwrap_or(Err(LocalReply::BodyTooSlow)).map_err(reject)?;
     let mut headers = parts.headers;
-    strip_hop_headers(&mut headers);
+    strip_hop_by_hop_headers(&mut headers);
     let (service, is_engine) =
-        found.service.ok_or_else(|| turn_away(LocalReply::UnknownTarget))?;
+        matched.service.ok_or_else(|| reject(LocalReply::UnknownTarget))?;
     let request = CallerRequest {
         method: parts.method,
         uri: parts.uri,
         headers,
         body,
-        attempt: head.attempt.clone(),
+        attempt_id: head.attempt_id.clone(),
         organisation: caller.name.clone(),
         tier: is_engine.then_some(tier),
         tokens: head.prompt.tokens,
@@ -115,11 +118,11 @@
     let usage = state
         .duties
         .as_ref()
-        .map(|board| CallUsage::new(board, &service, caller.name.as_deref()));
-    let call = OpenCall::new(state, class, attempt, &head, received, usage);
-    let order = RouteCall {
-        request: call.request,
-        pool: state.pool(&service),
+        .map(|duties| CallUsage::new(duties, &service, caller.name.as_deref()));
+    let call = OpenCall::new(state, class, attempt_id, &head, received_at, usage);
+    let route_call = RouteCall {
+        request: call.request_id,
+        pool: state.pool_id(&service),
         class: call.class.id,
         organisation: caller.organisation.unwrap_or(NO_ORGANISATION),
         tier,
@@ -127,18 +130,19 @@
         target: call.class.class().latency_target,
         give_up: call
             .deadline
-            .min(received + call.class.class().latency_target / QUEUE_WAIT_DIVISOR),
+            .min(received_at + call.class.class().latency_target / QUEUE_WAIT_DIVISOR),
         deadline: call.deadline,
         repeatable: call.class.class().kind.repeatable(),
         run_limit: call.class.class().attempt_limit,
         prompt: head.prompt,
     };
-    Ok(lead(call, request, order).await)
+    Ok(run_attempts(call, request, route_call).await)
 }
 
-/// Looks up what the rules in force say of a request. They aren't held any longer than
-/// that: newer ones may come while the request is open.
-fn look_up(
+/// Matches a request against the rules in force. The result keeps no reference to the route
+/// table, which would otherwise stay in memory until the request ends, although newer rules
+/// may have replaced it.
+fn match_rules(
     state: &TrafficState,
     parts: &Parts,
     head: &RequestHead,
@@ -146,29 +150,31 @@
     let table = state.table().ok_or(LocalReply::NoRules)?;
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host.ok_or(LocalReply::Malformed)?;
-    let class = table.find(host, parts.uri.path()).ok_or(LocalReply::UnknownTarget)?;
-    let caller = table.admit(class.class(), head.key.as_deref());
+    let class = table
+        .find_class(host, parts.uri.path())
+        .ok_or(LocalReply::UnknownTarget)?;
+    let caller = table.authenticate(class.class(), head.key.as_deref());
     let caller = caller.ok_or(LocalReply::UnknownKey)?;
-    if state.ends_too_soon(class.class().kind.streams()) {
+    if state.is_too_late_to_start(class.class().kind.streams()) {
         return Err(LocalReply::Stopping);
     }
-    let drawn = class.draw_service(&mut *state.random.borrow_mut()).map(str::to_owned);
+    let service = class.draw_service(&mut *state.rng.borrow_mut()).map(str::to_owned);
     Ok(MatchedRules {
-        tier: table.tier(&caller, class.class()),
-        level: table.level(class.class()),
-        service: drawn.map(|service| {
+        tier: table.request_tier(&caller, class.class()),
+        level: table.urgency_level(class.class()),
+        service: service.map(|service| {
             let is_engine = table.is_engine(&service);
             (service, is_engine)
         }),
-        body_bytes: table.limits.body_bytes,
+        max_body_bytes: table.limits.body_bytes,
         class,
         caller,
     })
 }
 
-/// Reads a body whole.
-async fn read_body(body: Incoming, most: usize) -> Result<Bytes, LocalReply> {
-    let read = Limited::new(body, most).collect().await;
+/// Reads a whole body.
+async fn read_body(body: Incoming, max_len: usize) -> Result<Bytes, LocalReply> {
+    let read = Limited::new(body, max_len).collect().await;
     let collected =
         read.map_err(|fault| match fault.is::<http_body_util::LengthLimitError>() {
             true => LocalReply::BodyTooLarge,
@@ -177,18 +183,18 @@
     Ok(collected.to_bytes())
 }
 
-/// Leads a call through its tries to the start of its answer.
-async fn lead(
+/// Runs the attempts of a call until a response starts or the request is given up.
+async fn run_attempts(
     call: OpenCall,
     request: CallerRequest,
-    order: RouteCall,
+    route_call: RouteCall,
 ) -> CallerResponse {
     let state = call.state.clone();
-    if state.quarantine.holds(&request) {
-        return call.quarantine(&request);
+    if state.quarantine.is_quarantined(&request) {
+        return call.reply_quarantined(&request);
     }
-    let mut decision = state.await_decision(call.request);
-    state.run_router(|core, now| core.arrive(order, now));
+    let mut decision = state.await_decision(call.request_id);
+    state.run_router(|core, now| core.arrive(route_call, now));
     loop {
         let decided = state.wait_until(call.deadline, decision).await;
         let (choice, silence_timeout) = match decided {
@@ -196,37 +202,38 @@
                 (choice, silence_timeout)
             }
             Some(Ok(RouteAction::Refuse { reason, retry_after, expected, .. })) => {
-                return refuse(&call, reason, retry_after, expected);
+                return reply_refused(&call, reason, retry_after, expected);
             }
-            // The router forgets nobody, but an answer is owed all the same.
-            Some(Err(_)) | None => return call.time_over(),
+            // The router decides on every request; this guarantees a response in any case.
+            Some(Err(_)) | None => return call.reply_timed_out(),
         };
-        // Whoever is told to try again waits for the next decision.
-        decision = state.await_decision(call.request);
+        // Registered before the attempt, so that a decision to retry can't be missed.
+        decision = state.await_decision(call.request_id);
         let fault = match call.try_server(&request, &choice, silence_timeout, None).await
         {
-            AttemptOutcome::Started(start) => match receive(&call, &request, start).await
-            {
-                Ok(Received::Whole(answer)) => return answer,
-                Ok(Received::Stream(start, first)) => {
-                    return begin_stream(call, request, start, first);
+            AttemptOutcome::Started(start) => {
+                match receive_response(&call, &request, start).await {
+                    Ok(ReceivedResponse::Whole(response)) => return response,
+                    Ok(ReceivedResponse::Stream(start, first)) => {
+                        return start_stream(call, request, start, first);
+                    }
+                    Ok(ReceivedResponse::Retry) => continue,
+                    Err(AttemptOutcome::Fault(fault)) => fault,
+                    Err(_) => return call.reply_timed_out(),
                 }
-                Ok(Received::Again) => continue,
-                Err(AttemptOutcome::Fault(fault)) => fault,
-                Err(_) => return call.time_over(),
-            },
+            }
             AttemptOutcome::Fault(fault) => fault,
-            AttemptOutcome::TimedOut => return call.time_over(),
-            AttemptOutcome::Quarantined => return call.quarantine(&request),
+            AttemptOutcome::TimedOut => return call.reply_timed_out(),
+            AttemptOutcome::Quarantined => return call.reply_quarantined(&request),
         };
         if call.handle_fault(&request, fault, false).await == RetryDecision::Stop {
-            return call.give_up(fault);
+            return call.reply_failed(fault);
         }
     }
 }
 
-/// Answers a request that the router refuses.
-fn refuse(
+/// Responds to a request that the router refuses.
+fn reply_refused(
     call: &OpenCall,
     cause: RefusalCause,
     retry_after: Duration,
@@ -234,18 +241,18 @@
 ) -> CallerResponse {
     let class = call.class.class();
     log::info!(
-        request = call.attempt, class = class.name, cause:? = cause,
+        request = call.attempt_id, class = class.name, cause:? = cause,
         expected_ms = expected.map_or(-1, |span| span.as_millis() as i64),
         target_ms = class.latency_target.as_millis() as u64,
         retry_after_ms = retry_after.as_millis() as u64;
         "refusal"
     );
     if call.may_have_run.get() {
-        return call.reply(LocalReply::ServerFailed, None);
+        return call.reply_locally(LocalReply::ServerFailed, None);
     }
     let reply = match cause {
         RefusalCause::NoServer => LocalReply::NoServer,
         RefusalCause::TooLate => LocalReply::TooLate,
     };
-    call.reply(reply, Some(retry_after.min(call.time_left() / RETRY_PART)))
+    call.reply_locally(reply, Some(retry_after.min(call.time_left() / RETRY_DIVISOR)))
 }
--- a/crates/flaxtide-entry/src/duty/call_usage.rs
+++ b/crates/flaxtide-entry/src/duty/call_usage.rs
@@ -1,4 +1,4 @@
-//! What a request adds to the usage, on the traffic thread.
+//! Counts a request toward the usage of its organisation, on the traffic thread.
 
 use std::cell::Cell;
 use std::sync::Arc;
@@ -8,47 +8,48 @@
 
 use super::shared::SharedDuties;
 
-/// A request, as far as it is counted. Dropping it records that it has ended.
+/// Counts one request. Dropping it records that the request has ended.
 pub(crate) struct CallUsage {
-    /// Where it is counted.
-    board: Arc<SharedDuties>,
-    /// The service.
+    /// Holds the counts of this instance.
+    duties: Arc<SharedDuties>,
+    /// The key of the request's service.
     service: FleetKey,
-    /// The organisation, if it has one.
+    /// The key of the caller's organisation, or `None` if the request has no API key.
     organisation: Option<FleetKey>,
-    /// Whether it has been counted: a request that runs again counts once.
+    /// Whether the request has been counted. A retried request counts once.
     counted: Cell<bool>,
 }
 
 impl CallUsage {
-    /// Records that a request has come.
+    /// Records that a request for a service has arrived.
     pub(crate) fn new(
-        board: &Arc<SharedDuties>,
+        duties: &Arc<SharedDuties>,
         service: &str,
         organisation: Option<&str>,
     ) -> Self {
         let service = fleet_key(service);
-        board.change_open(service, true);
+        duties.record_open_change(service, true);
         Self {
-            board: board.clone(),
+            duties: duties.clone(),
             service,
             organisation: organisation.map(fleet_key),
             counted: Cell::new(false),
         }
     }
 
-    /// Records that it began to run so long ago.
+    /// Counts the request, which began to run `ago` before now, unless it is counted
+    /// already.
     pub(crate) fn begin(&self, ago: Duration) {
         if let Some(organisation) = self.organisation
             && !self.counted.replace(true)
         {
-            self.board.count(organisation, ago);
+            self.duties.count(organisation, ago);
         }
     }
 }
 
 impl Drop for CallUsage {
     fn drop(&mut self) {
-        self.board.change_open(self.service, false);
+        self.duties.record_open_change(self.service, false);
     }
 }
--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -1,4 +1,4 @@
-//! A request that is being answered: its tries at servers, and how it ends.
+//! An open call: one caller's request, its attempts at backend servers, and its outcome.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,201 +8,211 @@
 use flaxtide_policy::{RetryDecision, RouteChoice, RouteFault};
 
 use crate::contract::RequestHead;
-use crate::crash::server_has_ended;
+use crate::crash::server_has_exited;
 use crate::duty::CallUsage;
-use crate::exchange::{CallerRequest, ResponseStart, ServerTry, exchange};
+use crate::exchange::{CallerRequest, ResponseStart, ServerAttempt, exchange};
 use crate::reply::{CallerResponse, LocalReply};
 use crate::routes::ClassMatch;
 use crate::state::TrafficState;
 
-/// When a caller is asked to come back at the latest.
-pub(crate) const LATEST_RETRY: Duration = Duration::from_secs(1);
+/// The longest `Retry-After` that a caller is given.
+pub(crate) const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The part of the time that is left after which a caller is told at the latest to come
-/// back, so that its next try has time.
-pub(crate) const RETRY_PART: u32 = 3;
+/// A caller is told to retry after at most the remaining time divided by this, so that the
+/// retry can still finish before the deadline.
+pub(crate) const RETRY_DIVISOR: u32 = 3;
 
-/// A request that is being answered. Dropping it tells the router that it has ended.
+/// A request in progress. Dropping it tells the router that the request has ended.
 pub(crate) struct OpenCall {
-    /// The state of the traffic thread.
+    /// The state shared by all tasks of the traffic thread.
     pub(crate) state: Rc<TrafficState>,
-    /// The request.
-    pub(crate) request: RequestId,
-    /// What identifies it to its caller.
-    pub(crate) attempt: String,
-    /// Its class.
+    /// The ID under which the router knows the request.
+    pub(crate) request_id: RequestId,
+    /// The caller's ID of this attempt; empty if it sent none. Used in log lines.
+    pub(crate) attempt_id: String,
+    /// The request class that it matched.
     pub(crate) class: ClassMatch,
-    /// When it came.
-    pub(crate) received: Duration,
-    /// When its caller, or its class, stops waiting.
+    /// When its head was received.
+    pub(crate) received_at: Duration,
+    /// When the caller gives up, or the time-out of the class ends, whichever is earlier.
     pub(crate) deadline: Duration,
-    /// Whether it may have run at a server.
+    /// Whether any server may have run the request.
     pub(crate) may_have_run: Cell<bool>,
     /// The server that it was last sent to.
     server: Cell<Option<ServerId>>,
-    /// Whether a connection of it went silent or broke: the next try opens a new one.
-    doubted: Cell<bool>,
-    /// When the first of its answer came.
-    first: Cell<Option<Duration>>,
-    /// The longest time between two pieces of its answer.
+    /// Whether a connection used for it went silent or broke. If so, the next attempt opens
+    /// a new connection.
+    connection_suspect: Cell<bool>,
+    /// The time from receipt to the first event of the response, or to the whole response.
+    first_event_after: Cell<Option<Duration>>,
+    /// The longest pause between two pieces of the response.
     pub(crate) longest_pause: Cell<Duration>,
-    /// Whether its end has been logged.
-    ended: Cell<bool>,
+    /// Whether [`Self::record_end`] has been called.
+    end_recorded: Cell<bool>,
     /// When it was last sent to a server.
-    sent: Cell<Duration>,
-    /// What it adds to the usage.
+    sent_at: Cell<Duration>,
+    /// Counts it in the usage report; `None` if usage isn't reported.
     usage: Option<CallUsage>,
 }
 
-/// What became of one try.
+/// The outcome of one attempt at a server.
 pub(crate) enum AttemptOutcome {
-    /// The answer has started.
+    /// The server has begun to respond.
     Started(ResponseStart),
-    /// A server failed it.
+    /// The attempt failed.
     Fault(RouteFault),
-    /// Its time is over.
+    /// The deadline of the call has passed.
     TimedOut,
-    /// It isn't sent: servers end under it.
+    /// The request was not sent, because it crashes servers.
     Quarantined,
 }
 
 impl OpenCall {
-    /// Opens a call.
+    /// Opens a call and counts it as open.
     pub(crate) fn new(
         state: &Rc<TrafficState>,
         class: ClassMatch,
-        attempt: String,
+        attempt_id: String,
         head: &RequestHead,
-        received: Duration,
+        received_at: Duration,
         usage: Option<CallUsage>,
     ) -> Self {
         let timeout = class.class().timeout;
         let wait = head.deadline.map_or(timeout, |deadline| deadline.min(timeout));
-        state.open.set(state.open.get() + 1);
-        state.metrics.open_calls.set(state.open.get() as i64);
+        state.open_calls.set(state.open_calls.get() + 1);
+        state.metrics.open_calls.set(state.open_calls.get() as i64);
         Self {
             state: state.clone(),
-            request: state.number(),
-            attempt,
+            request_id: state.next_request_id(),
+            attempt_id,
             class,
-            received,
-            deadline: received + wait,
+            received_at,
+            deadline: received_at + wait,
             may_have_run: Cell::new(false),
             server: Cell::new(None),
-            doubted: Cell::new(false),
-            first: Cell::new(None),
+            connection_suspect: Cell::new(false),
+            first_event_after: Cell::new(None),
             longest_pause: Cell::new(Duration::ZERO),
-            ended: Cell::new(false),
-            sent: Cell::new(received),
+            end_recorded: Cell::new(false),
+            sent_at: Cell::new(received_at),
             usage,
         }
     }
 
-    /// Logs how the request ended, once.
+    /// Logs and counts the outcome of the request. Only the first call has an effect.
     pub(crate) fn record_end(&self, end: &'static str, status: u16) {
-        if self.ended.replace(true) {
+        if self.end_recorded.replace(true) {
             return;
         }
         let state = &self.state;
         state.metrics.ends.with_label_values(&[end]).inc();
-        let spent = state.now().saturating_sub(self.received).as_millis() as u64;
-        let first = self.first.get().map_or(-1, |first| first.as_millis() as i64);
+        let spent = state.now().saturating_sub(self.received_at).as_millis() as u64;
+        let first = self
+            .first_event_after
+            .get()
+            .map_or(-1, |first| first.as_millis() as i64);
         log::info!(
-            request = self.attempt, class = self.class.class().name, outcome = end,
+            request = self.attempt_id, class = self.class.class().name, outcome = end,
             status, late = self.late_cause().unwrap_or_default(),
             target_ms = self.class.class().latency_target.as_millis() as u64, first_ms = first, pause_ms = self.longest_pause.get().as_millis() as u64, spent_ms = spent, may_have_run = self.may_have_run.get();
             "end"
         );
     }
 
-    /// Counts a whole answer that missed its target.
+    /// Counts a complete response that missed its latency target.
     pub(crate) fn record_missed_target(&self) {
         if let Some(cause) = self.late_cause() {
             self.state.metrics.late.with_label_values(&[cause]).inc();
         }
     }
 
-    /// Returns by what an answer missed its target: its first event, or a pause.
+    /// Returns which target the response missed: `first` (time to the first event) or `pause`
+    /// (between two events).
     fn late_cause(&self) -> Option<&'static str> {
         let class = self.class.class();
-        if self.first.get().is_some_and(|first| first > class.latency_target) {
+        if self
+            .first_event_after
+            .get()
+            .is_some_and(|first| first > class.latency_target)
+        {
             return Some("first");
         }
-        let paused =
-            class.pause_target.is_some_and(|most| self.longest_pause.get() > most);
+        let paused = class
+            .pause_target
+            .is_some_and(|limit| self.longest_pause.get() > limit);
         paused.then_some("pause")
     }
 
-    /// Records that the answer, or its first event, has come.
-    pub(crate) fn note_first(&self) {
-        let spent = self.state.now().saturating_sub(self.received);
-        self.first.set(Some(spent));
-        self.state.metrics.latency.observe(spent.as_secs_f64());
+    /// Records the arrival of the response, or of its first event if it is a stream.
+    pub(crate) fn record_first_event(&self) {
+        let elapsed = self.state.now().saturating_sub(self.received_at);
+        self.first_event_after.set(Some(elapsed));
+        self.state.metrics.latency.observe(elapsed.as_secs_f64());
         self.count_usage();
     }
 
-    /// Counts the request among those that began to run: a stream with its first event, another
-    /// one when it was sent.
+    /// Counts the request in the usage report: a stream as of its first event, any other
+    /// request as of when it was sent.
     fn count_usage(&self) {
         let Some(usage) = &self.usage else { return };
         let streams = self.class.class().kind.streams();
-        let ago = self.state.now().saturating_sub(self.sent.get());
+        let ago = self.state.now().saturating_sub(self.sent_at.get());
         usage.begin(if streams { Duration::ZERO } else { ago });
     }
 
-    /// Returns how much time is left.
+    /// Returns the time left until the deadline.
     pub(crate) fn time_left(&self) -> Duration {
         self.deadline.saturating_sub(self.state.now())
     }
 
-    /// Makes an answer of the instance's own, which ends the request.
-    pub(crate) fn reply(
+    /// Builds a response of the instance itself and records the end of the request.
+    pub(crate) fn reply_locally(
         &self,
         reply: LocalReply,
         retry_after: Option<Duration>,
     ) -> CallerResponse {
-        let answer = reply.answer(retry_after);
-        self.record_end(reply.name(), answer.status().as_u16());
-        answer
+        let response = reply.into_response(retry_after);
+        self.record_end(reply.name(), response.status().as_u16());
+        response
     }
 
-    /// Answers a request that a server failed and that isn't tried again.
-    pub(crate) fn give_up(&self, fault: RouteFault) -> CallerResponse {
+    /// Responds to a request whose last attempt failed and that isn't retried.
+    pub(crate) fn reply_failed(&self, fault: RouteFault) -> CallerResponse {
         if self.may_have_run.get() {
             let reply = match fault {
                 RouteFault::Silent => LocalReply::TimedOut,
                 _ => LocalReply::ServerFailed,
             };
-            return self.reply(reply, None);
+            return self.reply_locally(reply, None);
         }
-        let retry_after = self.time_left() / RETRY_PART;
-        self.reply(LocalReply::NoServer, Some(retry_after.min(LATEST_RETRY)))
+        let retry_after = self.time_left() / RETRY_DIVISOR;
+        self.reply_locally(LocalReply::NoServer, Some(retry_after.min(MAX_RETRY_AFTER)))
     }
 
-    /// Answers a request under which servers end.
-    pub(crate) fn quarantine(&self, request: &CallerRequest) -> CallerResponse {
+    /// Responds to a request that crashes servers.
+    pub(crate) fn reply_quarantined(&self, request: &CallerRequest) -> CallerResponse {
         self.state.quarantine.renew(&self.state, request);
         log::info!(
-            request = self.attempt, class = self.class.class().name,
+            request = self.attempt_id, class = self.class.class().name,
             fingerprint = format!("{:032x}", request.fingerprint());
             "quarantined"
         );
         if self.may_have_run.get() {
-            return self.reply(LocalReply::ServerFailed, None);
+            return self.reply_locally(LocalReply::ServerFailed, None);
         }
-        self.reply(LocalReply::Quarantined, None)
+        self.reply_locally(LocalReply::Quarantined, None)
     }
 
-    /// Answers a request whose time is over.
-    pub(crate) fn time_over(&self) -> CallerResponse {
+    /// Responds to a request whose deadline has passed.
+    pub(crate) fn reply_timed_out(&self) -> CallerResponse {
         if self.may_have_run.get() {
-            return self.reply(LocalReply::TimedOut, None);
+            return self.reply_locally(LocalReply::TimedOut, None);
         }
-        self.reply(LocalReply::TooLate, Some(LATEST_RETRY))
+        self.reply_locally(LocalReply::TooLate, Some(MAX_RETRY_AFTER))
     }
 
-    /// Sends the request to a server and waits for the start of the answer, as long as the
-    /// router is patient.
+    /// Sends the request to a server and waits for the start of the response. After
+    /// each `silence_timeout`, the router decides whether to abort the attempt.
     pub(crate) async fn try_server(
         &self,
         request: &CallerRequest,
@@ -210,41 +220,48 @@
         silence_timeout: Option<Duration>,
         last_event: Option<u64>,
     ) -> AttemptOutcome {
-        let left = self.time_left();
-        if left.is_zero() {
+        let time_left = self.time_left();
+        if time_left.is_zero() {
             return AttemptOutcome::TimedOut;
         }
-        // It may have been found to crash servers while it waited.
-        if self.state.quarantine.holds(request) {
+        // It may have been quarantined while it waited in the queue.
+        if self.state.quarantine.is_quarantined(request) {
             return AttemptOutcome::Quarantined;
         }
         self.server.set(Some(choice.server));
-        self.sent.set(self.state.now());
+        self.sent_at.set(self.state.now());
         log::info!(
-            request = self.attempt, class = self.class.class().name,
+            request = self.attempt_id, class = self.class.class().name,
             server = self.state.server_name(choice.server).unwrap_or_default(),
             reason:? = choice.reason, cost_ms = choice.cost_ms as u64, expected_ms = choice.expected.as_millis() as u64,
             running = choice.running, uncached = choice.uncached, taken_over = choice.fetch.map_or(0, |fetch| fetch.tokens), tokens = request.tokens, tier = request.tier.unwrap_or_default(),
-            eligible = choice.eligible, left_ms = left.as_millis() as u64,
+            eligible = choice.eligible, left_ms = time_left.as_millis() as u64,
             resume = last_event.unwrap_or_default();
             "dispatch"
         );
         let reason = format!("{:?}", choice.reason);
         self.state.metrics.dispatches.with_label_values(&[&reason]).inc();
-        let (number, fresh) = (self.request, self.doubted.get());
-        let attempt = ServerTry { number, choice, left, last_event, fresh };
+        let (request_id, new_connection) =
+            (self.request_id, self.connection_suspect.get());
+        let attempt = ServerAttempt {
+            request_id,
+            choice,
+            time_left,
+            last_event,
+            new_connection,
+        };
         let sent = exchange(&self.state, request, attempt);
         let mut sent = std::pin::pin!(sent);
         loop {
-            let left = self.time_left();
+            let time_left = self.time_left();
             let wait =
-                silence_timeout.map_or(left, |silence_timeout| silence_timeout.min(left));
+                silence_timeout.map_or(time_left, |timeout| timeout.min(time_left));
             let until = self.state.now() + wait;
             match self.state.wait_until(until, &mut sent).await {
                 Some(Ok(start)) => return AttemptOutcome::Started(start),
                 Some(Err(fault)) => return AttemptOutcome::Fault(fault),
-                None if wait < left && !self.time_left().is_zero() => {
-                    if self.may_break_off(false) {
+                None if wait < time_left && !self.time_left().is_zero() => {
+                    if self.may_abort_silent(false) {
                         return AttemptOutcome::Fault(RouteFault::Silent);
                     }
                 }
@@ -256,67 +273,70 @@
         }
     }
 
-    /// Tells whether the request may leave a server that is silent.
-    pub(crate) fn may_break_off(&self, resumable: bool) -> bool {
-        self.state
-            .with_router(|core, now| core.may_abort_silent(self.request, resumable, now))
+    /// Returns whether the request may be taken from a server that is silent.
+    pub(crate) fn may_abort_silent(&self, resumable: bool) -> bool {
+        self.state.with_router(|core, now| {
+            core.may_abort_silent(self.request_id, resumable, now)
+        })
     }
 
-    /// Records it if the server of a request has ended under it.
-    async fn note_crash(&self, request: &CallerRequest, fault: RouteFault) {
+    /// Adds to the crash log if the server exited while it ran this request.
+    async fn record_crash(&self, request: &CallerRequest, fault: RouteFault) {
         let (RouteFault::Broken, Some(server)) = (fault, self.server.get()) else {
             return;
         };
-        let progress = self.state.with_router(|core, _| core.progress(self.request));
+        let progress = self.state.with_router(|core, _| core.progress(self.request_id));
         let Some(progress) = progress else { return };
-        if server_has_ended(&self.state, server).await {
-            self.state.quarantine.record(&self.state, request, server, progress);
+        if server_has_exited(&self.state, server).await {
+            self.state
+                .quarantine
+                .record_crash(&self.state, request, server, progress);
         }
     }
 
-    /// Tells the router of a fault. Returns whether the request is tried again.
+    /// Reports a failed attempt to the router. Returns whether the request is retried.
     pub(crate) async fn handle_fault(
         &self,
         request: &CallerRequest,
         fault: RouteFault,
         resumable: bool,
     ) -> RetryDecision {
-        self.note_crash(request, fault).await;
+        self.record_crash(request, fault).await;
         if !fault.not_run() {
             self.may_have_run.set(true);
-            self.doubted.set(true);
+            self.connection_suspect.set(true);
         }
         if let (RouteFault::Silent, Some(server)) = (fault, self.server.get()) {
-            self.state.links.doubt(server);
+            self.state.connections.close_idle_of(server);
         }
-        let mut verdict = RetryDecision::Stop;
-        let quarantined = self.state.quarantine.holds(request);
+        let mut decision = RetryDecision::Stop;
+        let quarantined = self.state.quarantine.is_quarantined(request);
         self.state.run_router(|core, now| {
             if quarantined {
-                return core.fail_without_retry(self.request, fault, now);
+                return core.fail_without_retry(self.request_id, fault, now);
             }
-            let (decided, actions) = core.fail(self.request, fault, resumable, now);
-            verdict = decided;
+            let (decided, actions) = core.fail(self.request_id, fault, resumable, now);
+            decision = decided;
             actions
         });
         let label = format!("{fault:?}");
         self.state.metrics.faults.with_label_values(&[&label]).inc();
         let server = self.server.get().and_then(|server| self.state.server_name(server));
         log::info!(
-            request = self.attempt, server = server.unwrap_or_default(), fault = label, again = verdict == RetryDecision::Retry,
+            request = self.attempt_id, server = server.unwrap_or_default(), fault = label, again = decision == RetryDecision::Retry,
             left_ms = self.time_left().as_millis() as u64;
             "fault"
         );
-        verdict
+        decision
     }
 }
 
 impl Drop for OpenCall {
     fn drop(&mut self) {
         self.record_end("caller_left", 0);
-        self.state.forget(self.request);
-        self.state.run_router(|core, now| core.cancel(self.request, now));
-        self.state.open.set(self.state.open.get() - 1);
-        self.state.metrics.open_calls.set(self.state.open.get() as i64);
+        self.state.remove_waiter(self.request_id);
+        self.state.run_router(|core, now| core.cancel(self.request_id, now));
+        self.state.open_calls.set(self.state.open_calls.get() - 1);
+        self.state.metrics.open_calls.set(self.state.open_calls.get() as i64);
     }
 }
--- a/crates/flaxtide-entry/src/relay.rs
+++ b/crates/flaxtide-entry/src/relay.rs
@@ -1,5 +1,5 @@
-//! A stream of events on its way to a caller. Only whole events are passed on, so that
-//! another server can go on after the last.
+//! Relays a stream of server-sent events to a caller. It passes on complete events only,
+//! so that another server can continue after the last one if the stream breaks.
 
 use std::io;
 use std::time::Duration;
@@ -16,85 +16,85 @@
 use crate::open_call::{AttemptOutcome, OpenCall};
 use crate::reply::ResponseBody;
 
-/// A server that is silent for this long in the midst of a stream that another one can go
-/// on with is left. Callers wait two seconds at least.
-const STALLED: Duration = Duration::from_millis(1000);
+/// A server that sends nothing for this long in the middle of a resumable stream is
+/// replaced by another. It lies below the two seconds for which callers wait at least.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// A stream that is passed on.
+/// A stream of events from a server to a caller.
 pub(crate) struct StreamRelay {
-    /// The request.
+    /// The call that the stream answers.
     call: OpenCall,
-    /// What the caller sent, to be sent again if the stream breaks.
+    /// The caller's request, sent again to another server if the stream breaks.
     request: CallerRequest,
-    /// The server's answer.
+    /// The body of the server's response, or `None` between two servers.
     source: Option<UpstreamBody>,
-    /// What has come of an event that isn't whole.
-    events: EventCutter,
-    /// What came before the first poll.
-    first: Option<Bytes>,
-    /// When the last bytes came.
-    last_piece: Duration,
-    /// Whether the end has been passed on.
+    /// Holds back the bytes of an incomplete event.
+    splitter: EventSplitter,
+    /// The bytes that had arrived before the relay was created.
+    first_bytes: Option<Bytes>,
+    /// When the last bytes arrived.
+    last_received: Duration,
+    /// Whether the end of the stream has been recorded, and nothing more follows.
     ended: bool,
 }
 
 impl StreamRelay {
-    /// Starts with the first bytes of a stream.
+    /// Creates a relay that begins with the first bytes of a stream.
     pub(crate) fn new(
         call: OpenCall,
         request: CallerRequest,
         source: UpstreamBody,
-        first: Bytes,
+        first_bytes: Bytes,
     ) -> Self {
-        let last_piece = call.state.now();
+        let last_received = call.state.now();
         Self {
             call,
             request,
             source: Some(source),
-            events: EventCutter::default(),
-            first: Some(first),
-            last_piece,
+            splitter: EventSplitter::default(),
+            first_bytes: Some(first_bytes),
+            last_received,
             ended: false,
         }
     }
 
-    /// Tells whether another server may go on.
+    /// Returns whether another server can continue the stream.
     fn resumable(&self) -> bool {
         self.call.class.class().kind == (CallKind::Stream { resumable: true })
     }
 
-    /// Returns the next whole events; nothing at the end.
+    /// Returns the next complete events, or `None` at the end.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
         loop {
-            let bytes = match self.first.take() {
+            let bytes = match self.first_bytes.take() {
                 Some(bytes) => Ok(Some(bytes)),
                 None => self.receive().await,
             };
             match bytes {
                 Ok(Some(bytes)) => {
-                    self.record_piece();
-                    let whole = self.events.push(&bytes);
-                    if !whole.is_empty() {
-                        return Ok(Some(whole));
+                    self.record_pause();
+                    let complete = self.splitter.push(&bytes);
+                    if !complete.is_empty() {
+                        return Ok(Some(complete));
                     }
                 }
                 Ok(None) => return Ok(self.finish()),
                 Err(AttemptOutcome::Fault(fault)) => self.resume(fault).await?,
-                Err(_) => return Err(self.cut("timed_out")),
+                Err(_) => return Err(self.abort("timed_out")),
             }
         }
     }
 
-    /// Notes how long nothing came before these bytes.
-    fn record_piece(&mut self) {
+    /// Records the pause before the bytes that have just arrived.
+    fn record_pause(&mut self) {
         let now = self.call.state.now();
-        let pause = now.saturating_sub(self.last_piece);
-        self.last_piece = now;
+        let pause = now.saturating_sub(self.last_received);
+        self.last_received = now;
         let longest = self.call.longest_pause.get().max(pause);
         self.call.longest_pause.set(longest);
     }
 
-    /// Receives the next bytes.
+    /// Receives the next bytes from the server, or `None` at the end of its response.
     async fn receive(&mut self) -> Result<Option<Bytes>, AttemptOutcome> {
         let resumable = self.resumable();
         let Some(source) = &mut self.source else {
@@ -103,12 +103,12 @@
         let state = self.call.state.clone();
         loop {
             let left = self.call.time_left();
-            let wait = if resumable { left.min(STALLED) } else { left };
+            let wait = if resumable { left.min(STALL_TIMEOUT) } else { left };
             let until = state.now() + wait;
             match state.wait_until(until, source.next(&state)).await {
                 Some(Ok(Some(bytes))) => {
                     state.run_router(|core, now| {
-                        core.record_response_data(self.call.request, now);
+                        core.record_response_data(self.call.request_id, now);
                         vec![]
                     });
                     return Ok(Some(bytes));
@@ -116,7 +116,7 @@
                 Some(Ok(None)) => return Ok(None),
                 Some(Err(fault)) => return Err(AttemptOutcome::Fault(fault)),
                 None if wait < left && !self.call.time_left().is_zero() => {
-                    if self.call.may_break_off(resumable) {
+                    if self.call.may_abort_silent(resumable) {
                         return Err(AttemptOutcome::Fault(RouteFault::Silent));
                     }
                 }
@@ -125,38 +125,38 @@
         }
     }
 
-    /// Ends a whole stream. Returns what is left of it.
+    /// Finishes a complete stream. Returns the bytes that are left, if any.
     fn finish(&mut self) -> Option<Bytes> {
         self.call
             .state
-            .run_router(|core, now| core.finish(self.call.request, now));
+            .run_router(|core, now| core.finish(self.call.request_id, now));
         self.call.state.quarantine.clear(&self.call.state, &self.request);
         self.call.record_missed_target();
         self.call.record_end("streamed", 200);
         self.ended = true;
-        let rest = self.events.take_rest();
-        (!rest.is_empty()).then_some(rest)
+        let partial = self.splitter.take_partial();
+        (!partial.is_empty()).then_some(partial)
     }
 
-    /// Has another server go on after the last whole event.
+    /// Lets another server continue after the last complete event.
     async fn resume(&mut self, fault: RouteFault) -> io::Result<()> {
         self.source = None;
-        self.events.drop_rest();
+        self.splitter.clear_partial();
         let state = self.call.state.clone();
         let mut fault = fault;
         loop {
-            let decision = state.await_decision(self.call.request);
+            let decision = state.await_decision(self.call.request_id);
             let resumable = self.resumable();
-            let verdict = self.call.handle_fault(&self.request, fault, resumable).await;
-            if verdict == RetryDecision::Stop {
-                return Err(self.cut("stream_broken"));
+            let retry = self.call.handle_fault(&self.request, fault, resumable).await;
+            if retry == RetryDecision::Stop {
+                return Err(self.abort("stream_broken"));
             }
             let decided = state.wait_until(self.call.deadline, decision).await;
             let Some(Ok(RouteAction::Dispatch { choice, silence_timeout, .. })) = decided
             else {
-                return Err(self.cut("stream_broken"));
+                return Err(self.abort("stream_broken"));
             };
-            let last = self.events.last_event;
+            let last = self.splitter.last_event;
             match self
                 .call
                 .try_server(&self.request, &choice, silence_timeout, last)
@@ -168,22 +168,22 @@
                 }
                 AttemptOutcome::Started(_) => fault = RouteFault::Failed,
                 AttemptOutcome::Fault(next) => fault = next,
-                AttemptOutcome::TimedOut => return Err(self.cut("timed_out")),
-                AttemptOutcome::Quarantined => return Err(self.cut("stream_broken")),
+                AttemptOutcome::TimedOut => return Err(self.abort("timed_out")),
+                AttemptOutcome::Quarantined => return Err(self.abort("stream_broken")),
             }
         }
     }
 
-    /// Breaks the stream off, so that it doesn't look complete.
-    fn cut(&mut self, end: &'static str) -> io::Error {
+    /// Aborts the stream with an error, so that the caller doesn't take it for complete.
+    fn abort(&mut self, end: &'static str) -> io::Error {
         self.source = None;
         self.ended = true;
         self.call.record_end(end, 200);
-        io::Error::other("the stream broke")
+        io::Error::other("stream aborted")
     }
 }
 
-/// Makes the body of an answer out of a stream.
+/// Turns a relay into the body of a response.
 pub(crate) fn relay_body(relay: StreamRelay) -> ResponseBody {
     let pieces = stream::unfold(relay, |mut relay| async move {
         if relay.ended {
@@ -199,47 +199,47 @@
     Either::Right(StreamBody::new(pieces.boxed_local()))
 }
 
-/// Cuts a stream into whole events.
+/// Splits a stream of bytes after its last complete event.
 #[derive(Debug, Default)]
-struct EventCutter {
-    /// What has come of an event that isn't whole.
-    rest: BytesMut,
-    /// The number of the last whole event.
+struct EventSplitter {
+    /// The beginning of an event that isn't complete yet.
+    partial: BytesMut,
+    /// The id of the last complete event, if it had a number as its id.
     last_event: Option<u64>,
 }
 
-impl EventCutter {
-    /// Takes in bytes. Returns the events that are whole now.
+impl EventSplitter {
+    /// Adds received bytes. Returns the events that are complete now.
     fn push(&mut self, bytes: &[u8]) -> Bytes {
-        self.rest.extend_from_slice(bytes);
-        let Some(end) = last_boundary(&self.rest) else { return Bytes::new() };
-        let whole = self.rest.split_to(end).freeze();
-        if let Some(number) = last_number(&whole) {
-            self.last_event = Some(number);
+        self.partial.extend_from_slice(bytes);
+        let Some(end) = last_event_end(&self.partial) else { return Bytes::new() };
+        let complete = self.partial.split_to(end).freeze();
+        if let Some(id) = last_event_id(&complete) {
+            self.last_event = Some(id);
         }
-        whole
+        complete
     }
 
-    /// Drops what isn't whole.
-    fn drop_rest(&mut self) {
-        self.rest.clear();
+    /// Drops the incomplete event.
+    fn clear_partial(&mut self) {
+        self.partial.clear();
     }
 
-    /// Returns what isn't whole.
-    fn take_rest(&mut self) -> Bytes {
-        std::mem::take(&mut self.rest).freeze()
+    /// Removes and returns the incomplete event.
+    fn take_partial(&mut self) -> Bytes {
+        std::mem::take(&mut self.partial).freeze()
     }
 }
 
-/// Returns where the last whole event ends.
-fn last_boundary(bytes: &[u8]) -> Option<usize> {
-    let place = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
-    Some(place + 2)
+/// Returns the end of the last complete event.
+fn last_event_end(bytes: &[u8]) -> Option<usize> {
+    let idx = bytes.windows(2).rposition(|pair| pair == b"\n\n")?;
+    Some(idx + 2)
 }
 
-/// Returns the number of the last event.
-fn last_number(events: &[u8]) -> Option<u64> {
+/// Returns the id of the last event that has one, if it is a number.
+fn last_event_id(events: &[u8]) -> Option<u64> {
     let lines = events.split(|byte| *byte == b'\n').rev();
-    let number = lines.filter_map(|line| line.strip_prefix(b"id:")).next()?;
-    std::str::from_utf8(number).ok()?.trim().parse().ok()
+    let id = lines.filter_map(|line| line.strip_prefix(b"id:")).next()?;
+    std::str::from_utf8(id).ok()?.trim().parse().ok()
 }
--- a/crates/flaxtide-entry/src/response.rs
+++ b/crates/flaxtide-entry/src/response.rs
@@ -1,4 +1,4 @@
-//! A server's answer, from its head to the whole of it, or to the start of a stream.
+//! Receives a server's response: all of it, or the start of a stream.
 
 use bytes::{Bytes, BytesMut};
 use flaxtide_policy::{RetryDecision, RouteFault};
@@ -8,28 +8,28 @@
 use crate::exchange::{CallerRequest, ResponseStart};
 use crate::open_call::{AttemptOutcome, OpenCall};
 use crate::relay::{StreamRelay, relay_body};
-use crate::reply::{CallerResponse, whole};
+use crate::reply::{CallerResponse, full_body};
 
-/// An answer that has come, or has started to.
-pub(crate) enum Received {
-    /// It is whole.
+/// What has been received of a response.
+pub(crate) enum ReceivedResponse {
+    /// The whole response, ready for the caller.
     Whole(CallerResponse),
-    /// It is a stream, whose first bytes these are.
+    /// The head and the first bytes of a stream.
     Stream(ResponseStart, Bytes),
-    /// It is a server's error, and the router tries the request elsewhere.
-    Again,
+    /// A server error, after which the router retries the request.
+    Retry,
 }
 
-/// Receives an answer: all of it, or the first bytes of a stream.
-pub(crate) async fn receive(
+/// Receives a whole response, or the first bytes of a stream.
+pub(crate) async fn receive_response(
     call: &OpenCall,
     request: &CallerRequest,
     mut start: ResponseStart,
-) -> Result<Received, AttemptOutcome> {
+) -> Result<ReceivedResponse, AttemptOutcome> {
     let state = &call.state;
     if start.status.is_server_error() && call.class.class().kind == CallKind::Idempotent {
-        // Another server may answer it. If none may, this answer is lost, so it is kept.
-        return receive_failure(call, request, start).await;
+        // The request may be retried elsewhere. The error is kept, to be passed on if not.
+        return receive_server_error(call, request, start).await;
     }
     let streams = request.streams && start.status.is_success();
     let mut collected = BytesMut::new();
@@ -42,29 +42,34 @@
         match next.map_err(AttemptOutcome::Fault)? {
             Some(bytes) if streams => {
                 state.run_router(|core, now| {
-                    core.record_response_data(call.request, now);
+                    core.record_response_data(call.request_id, now);
                     vec![]
                 });
-                return Ok(Received::Stream(start, bytes));
+                return Ok(ReceivedResponse::Stream(start, bytes));
             }
             Some(bytes) => collected.extend_from_slice(&bytes),
             None => break,
         }
     }
-    state.run_router(|core, now| core.finish(call.request, now));
+    state.run_router(|core, now| core.finish(call.request_id, now));
     if start.status.is_success() {
         state.quarantine.clear(state, request);
     }
-    Ok(Received::Whole(deliver(call, start.status, start.headers, collected.freeze())))
+    Ok(ReceivedResponse::Whole(complete_response(
+        call,
+        start.status,
+        start.headers,
+        collected.freeze(),
+    )))
 }
 
-/// Receives a server's own error for a request that may be tried elsewhere. One that breaks off
-/// is no answer of the server's.
-async fn receive_failure(
+/// Receives the error response of a server to a request that may be retried elsewhere. An
+/// error response that breaks off counts as a broken connection.
+async fn receive_server_error(
     call: &OpenCall,
     request: &CallerRequest,
     mut start: ResponseStart,
-) -> Result<Received, AttemptOutcome> {
+) -> Result<ReceivedResponse, AttemptOutcome> {
     let mut collected = BytesMut::new();
     loop {
         let next = call
@@ -83,42 +88,47 @@
     }
     if call.handle_fault(request, RouteFault::Failed, false).await == RetryDecision::Retry
     {
-        return Ok(Received::Again);
+        return Ok(ReceivedResponse::Retry);
     }
     let (status, headers) = (start.status, start.headers);
-    Ok(Received::Whole(deliver(call, status, headers, collected.freeze())))
+    Ok(ReceivedResponse::Whole(complete_response(
+        call,
+        status,
+        headers,
+        collected.freeze(),
+    )))
 }
 
-/// Makes an answer out of a server's whole one.
-fn deliver(
+/// Builds the caller's response from a server's complete one and records the end of the call.
+fn complete_response(
     call: &OpenCall,
     status: StatusCode,
     headers: hyper::HeaderMap,
     body: Bytes,
 ) -> CallerResponse {
-    call.note_first();
+    call.record_first_event();
     call.record_missed_target();
-    let mut answer = Response::new(whole(body));
-    *answer.status_mut() = status;
-    *answer.headers_mut() = headers;
+    let mut response = Response::new(full_body(body));
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
     call.may_have_run.set(true);
     call.record_end("answered", status.as_u16());
-    answer
+    response
 }
 
-/// Starts to pass a stream on.
-pub(crate) fn begin_stream(
+/// Starts to pass a stream on to the caller.
+pub(crate) fn start_stream(
     call: OpenCall,
     request: CallerRequest,
     start: ResponseStart,
     first: Bytes,
 ) -> CallerResponse {
-    call.note_first();
+    call.record_first_event();
     call.may_have_run.set(true);
     let (status, headers) = (start.status, start.headers);
     let relay = StreamRelay::new(call, request, start.body, first);
-    let mut answer = Response::new(relay_body(relay));
-    *answer.status_mut() = status;
-    *answer.headers_mut() = headers;
-    answer
+    let mut response = Response::new(relay_body(relay));
+    *response.status_mut() = status;
+    *response.headers_mut() = headers;
+    response
 }
--- a/crates/flaxtide-entry/src/stop.rs
+++ b/crates/flaxtide-entry/src/stop.rs
@@ -1,4 +1,4 @@
-//! Signals: a planned stop, and a changed instance file.
+//! Signals: a planned stop, and a reload of the instance file.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -9,34 +9,34 @@
 use tokio::sync::mpsc::{Receiver, Sender};
 
 use crate::config::EntryConfig;
-use crate::state::{LifePhase, TrafficState};
+use crate::state::{ShutdownPhase, TrafficState};
 
-/// How long a stopping instance goes on as before, so that the balancer, which asks once a
-/// second and believes the second miss, has noticed.
-const BALANCER_NOTICE: Duration = Duration::from_millis(2300);
+/// How long a stopping instance goes on serving as before. The load balancer checks readiness
+/// once a second and acts on the second failed check.
+const BALANCER_REACTION_TIME: Duration = Duration::from_millis(2300);
 
-/// A stream that starts later than this may not end before the process must.
-const LAST_STREAMS: Duration = Duration::from_millis(2800);
+/// A stream that starts later than this after the signal may not end before the process must.
+const LAST_STREAM_START: Duration = Duration::from_millis(2800);
 
-/// A call that starts with less time than this before the process must end is refused.
-pub(crate) const LAST_CALLS: Duration = Duration::from_millis(2000);
+/// A request that starts less than this before the process must end is refused.
+pub(crate) const LAST_CALL_MARGIN: Duration = Duration::from_millis(2000);
 
-/// What is left of the time for a stop when the last requests are cut.
-const STOP_SLACK: Duration = Duration::from_millis(350);
+/// The part of the time allowed for a stop that is left when the last requests are cut off.
+const STOP_MARGIN: Duration = Duration::from_millis(350);
 
-/// How often a stopping instance looks whether it is done.
-const DRAIN_PERIOD: Duration = Duration::from_millis(50);
+/// How often a stopping instance checks whether all requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a signal asks for.
+/// The action that a signal requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SignalEvent {
-    /// To stop.
+    /// Stop the instance.
     Stop,
-    /// To read the instance file anew.
+    /// Reload the instance file.
     Reload,
 }
 
-/// Waits for signals until nobody listens.
+/// Forwards signals until the receiver is dropped.
 pub(crate) fn watch_signals(mut signals: Signals, events: &Sender<SignalEvent>) {
     for signal in signals.forever() {
         let event =
@@ -47,35 +47,35 @@
     }
 }
 
-/// Registers for the signals of an instance.
+/// Registers the signal handlers of an instance.
 ///
 /// # Errors
 ///
-/// Returns the fault if they can't be had.
+/// Returns an error if the handlers can't be registered.
 pub(crate) fn register_signals() -> std::io::Result<Signals> {
     Signals::new([SIGTERM, SIGINT, SIGHUP])
 }
 
-/// Takes in signals; returns once the instance has stopped.
+/// Handles signals. Returns once the instance has stopped.
 pub(crate) async fn handle_signals(
     state: &Rc<TrafficState>,
     path: &Path,
     events: &mut Receiver<SignalEvent>,
 ) {
     while let Some(SignalEvent::Reload) = events.recv().await {
-        reload(state, path, "signal");
+        reload_config(state, path, "signal");
     }
     stop(state).await;
 }
 
-/// Reads the instance file anew, if it differs.
-pub(crate) fn reload(state: &TrafficState, path: &Path, cause: &'static str) {
+/// Reloads the instance file, if it has changed.
+pub(crate) fn reload_config(state: &TrafficState, path: &Path, cause: &'static str) {
     match EntryConfig::read(path) {
         Ok(config) if config == **state.config.borrow() => {}
         Ok(config) => {
             *state.config.borrow_mut() = Rc::new(config);
             state.update_router_servers();
-            log::info!(cause; "instance file in force");
+            log::info!(cause; "instance file reloaded");
         }
         Err(fault) => {
             log::error!(cause, fault = fault.to_string(); "instance file rejected");
@@ -83,31 +83,32 @@
     }
 }
 
-/// Stops in order: not ready, then no kept connections, then nothing in flight.
+/// Stops gracefully: reports not ready, closes idle connections, then waits for open requests.
 async fn stop(state: &Rc<TrafficState>) {
     let start = state.now();
-    let most = start + state.config().stop_within.saturating_sub(STOP_SLACK);
-    log::info!(open = state.open.get() as u64; "stopping: not ready any more");
-    state.enter(LifePhase::Leaving);
+    let deadline = start + state.config().stop_within.saturating_sub(STOP_MARGIN);
+    log::info!(open = state.open_calls.get() as u64; "stopping: readiness withdrawn");
+    state.set_phase(ShutdownPhase::Leaving);
     state.fleet.leave();
-    if let Some(board) = &state.duties {
-        board.stop();
+    if let Some(duties) = &state.duties {
+        duties.stop();
     }
-    tokio::time::sleep(BALANCER_NOTICE).await;
-    state.enter(LifePhase::Closing);
-    tokio::time::sleep(LAST_STREAMS - BALANCER_NOTICE).await;
-    state.end_by.set(Some(most));
+    tokio::time::sleep(BALANCER_REACTION_TIME).await;
+    state.set_phase(ShutdownPhase::Closing);
+    tokio::time::sleep(LAST_STREAM_START - BALANCER_REACTION_TIME).await;
+    state.stop_deadline.set(Some(deadline));
     loop {
-        while state.open.get() > 0 && state.now() < most {
-            tokio::time::sleep(DRAIN_PERIOD).await;
+        while state.open_calls.get() > 0 && state.now() < deadline {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
-        // Answers leave the sockets. What comes meanwhile is refused, and so isn't cut.
-        state.end_by.set(Some(state.now()));
-        tokio::time::sleep(DRAIN_PERIOD).await;
-        if state.open.get() == 0 || state.now() >= most {
+        // Gives sockets time to send the last responses. Requests that arrive meanwhile are
+        // refused, so none is cut off.
+        state.stop_deadline.set(Some(state.now()));
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
+        if state.open_calls.get() == 0 || state.now() >= deadline {
             break;
         }
     }
     let spent = state.now().saturating_sub(start).as_millis() as u64;
-    log::info!(cut = state.open.get() as u64, spent_ms = spent; "stopped");
+    log::info!(cut = state.open_calls.get() as u64, spent_ms = spent; "stopped");
 }
--- a/crates/flaxtide-fleet/src/shared.rs
+++ b/crates/flaxtide-fleet/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the fleet thread share, and their calls to peers.
+//! The state shared by the tasks of the fleet thread, and calls to peers.
 
 use std::future::Future;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -10,7 +10,7 @@
 
 use crate::duty::UsageExchange;
 use crate::info::PeerInfo;
-use crate::links::{PeerLinks, call};
+use crate::links::{PeerLinks, call_with_timeout};
 use crate::node::{FleetNode, FleetNotice};
 use crate::partial::PartialCopy;
 use crate::rows::RowSource;
@@ -20,87 +20,87 @@
 /// How long a peer may take to answer.
 pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the fleet thread passes on: what peers have told, or settings.
+/// What the fleet thread passes on to the rest of the instance.
 pub(crate) enum FleetOutput {
-    /// What peers have told, as it came in one message.
+    /// The notices from one message of a peer.
     Notices(Vec<FleetNotice>),
-    /// The settings that a peer sent.
+    /// Settings fetched from peers.
     Settings(SettingsCopy),
 }
 
-/// Takes what the fleet thread passes on.
-type TakeOutput = Box<dyn Fn(FleetOutput) + Send + Sync>;
+/// Receives the output of the fleet thread.
+type OutputHandler = Box<dyn Fn(FleetOutput) + Send + Sync>;
 
-/// Gives the settings in force, if newer than a version.
-type GiveSettings = Box<dyn Fn(SettingsVersion) -> Option<SettingsCopy> + Send + Sync>;
+/// Returns the settings in force if they are newer than a version.
+type SettingsLookup = Box<dyn Fn(SettingsVersion) -> Option<SettingsCopy> + Send + Sync>;
 
-/// What all tasks of the fleet thread share.
+/// The state shared by all tasks of the fleet thread.
 pub(crate) struct FleetShared {
-    /// The node.
+    /// The instance's state in the fleet.
     node: Mutex<FleetNode>,
-    /// The clock.
+    /// The clock of all times that the node is given.
     pub(crate) clock: MilliClock,
-    /// Takes what is heard.
-    pub(crate) output: TakeOutput,
-    /// Gives the settings in force to peers.
-    pub(crate) settings: GiveSettings,
-    /// What this instance has read from the platform for peers, once it does.
-    pub(crate) rows: OnceLock<Arc<dyn RowSource>>,
-    /// What this instance counts for the one that holds the duties, if there are any.
-    pub(crate) duties: OnceLock<Arc<dyn UsageExchange>>,
+    /// Receives notices and fetched settings.
+    pub(crate) output: OutputHandler,
+    /// Returns the settings to send to a peer, if it has older ones.
+    pub(crate) settings_newer_than: SettingsLookup,
+    /// The rows that this instance has read from the platform for its peers, once set.
+    pub(crate) row_source: OnceLock<Arc<dyn RowSource>>,
+    /// The exchange of usage counts with the duty holder, once set.
+    pub(crate) usage_exchange: OnceLock<Arc<dyn UsageExchange>>,
     /// The open links to peers.
     pub(crate) links: PeerLinks,
-    /// Gives the settings to a few peers at a time.
+    /// Sends settings to a few peers at a time.
     pub(crate) provider: Mutex<PieceProvider>,
-    /// What has come of the settings that are being fetched. It outlasts a fetch that ends
-    /// before they are whole.
+    /// The settings being fetched. Pieces outlast a fetch that ends before the settings are
+    /// complete.
     partial: Mutex<PartialCopy>,
 }
 
 /// Why a peer hasn't answered a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallFault {
-    /// There was no link to it.
+    /// There was no link to the peer, and none could be opened.
     NoLink,
-    /// No answer came in time.
-    Late,
-    /// The call broke its link.
+    /// No answer arrived in time.
+    TimedOut,
+    /// The call broke the link.
     Broken,
 }
 
 impl FleetShared {
-    /// Starts without links or rows to give.
+    /// Creates the state without links, row source and usage exchange.
     pub(crate) fn new(
         node: FleetNode,
         clock: MilliClock,
-        output: TakeOutput,
-        settings: GiveSettings,
+        output: OutputHandler,
+        settings_newer_than: SettingsLookup,
     ) -> Self {
         Self {
             node: Mutex::new(node),
             clock,
             output,
-            settings,
-            rows: OnceLock::new(),
-            duties: OnceLock::new(),
+            settings_newer_than,
+            row_source: OnceLock::new(),
+            usage_exchange: OnceLock::new(),
             links: PeerLinks::default(),
             provider: Mutex::default(),
             partial: Mutex::default(),
         }
     }
 
-    /// Locks the node. A panic elsewhere doesn't spoil it.
+    /// Locks the node. It stays usable after a panic in another task.
     pub(crate) fn node(&self) -> MutexGuard<'_, FleetNode> {
         self.node.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Locks what has come of settings.
+    /// Locks the settings being fetched.
     pub(crate) fn partial(&self) -> MutexGuard<'_, PartialCopy> {
         self.partial.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Calls a peer over its link, which is closed unless an answer comes in time. Returns
-    /// nothing without an answer.
+    /// Calls a peer and returns its answer. Without an answer in time, closes the link and
+    /// returns `None`.
     pub(crate) async fn call_peer<Answer, Call>(
         &self,
         peer: &PeerInfo,
@@ -113,7 +113,7 @@
         self.try_call_peer(peer, timeout, ask).await.ok()
     }
 
-    /// The same.
+    /// Calls a peer and returns its answer. Without an answer in time, closes the link.
     ///
     /// # Errors
     ///
@@ -129,18 +129,18 @@
     {
         let link = self.links.open(peer.address).await.ok_or(CallFault::NoLink)?;
         let client = link.client.clone();
-        match call(timeout, |context| ask(client, context)).await {
+        match call_with_timeout(timeout, |context| ask(client, context)).await {
             Ok(answer) => Ok(answer),
             Err(cause) => {
                 log::debug!("no answer from {}: {cause}", peer.name);
                 self.links.close(peer.address, &link).await;
-                let late = matches!(cause, RpcError::DeadlineExceeded);
-                Err(if late { CallFault::Late } else { CallFault::Broken })
+                let timed_out = matches!(cause, RpcError::DeadlineExceeded);
+                Err(if timed_out { CallFault::TimedOut } else { CallFault::Broken })
             }
         }
     }
 
-    /// Passes on what has been heard.
+    /// Passes notices on to the rest of the instance.
     pub(crate) fn notify(&self, notices: Vec<FleetNotice>) {
         if !notices.is_empty() {
             (self.output)(FleetOutput::Notices(notices));
--- a/crates/flaxtide-policy/src/router/pushback.rs
+++ b/crates/flaxtide-policy/src/router/pushback.rs
@@ -1,46 +1,48 @@
-//! What servers say of themselves in their answers: every request passes this gate right before
-//! it is written to a server.
+//! Pushback in the router: applies the rate limits and backoffs that servers state in
+//! their responses, and checks every request against them right before it is sent.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use flaxtide_core::{RequestId, ServerId};
 
-use super::call::{CallPlace, RoutedCall};
+use super::call::{CallPhase, RoutedCall};
 use super::server::RoutedServer;
 use super::{RefusalCause, RouteAction, RouteCore, find_server};
 use crate::pushback::{InstanceGroup, ReportEffect, RequestRate, ServerStatement};
 use crate::rendezvous::rendezvous_weight;
 
-/// The part of the time until a server may be sent a request by which callers are spread that
-/// are asked to come back then.
-const RETURN_SPREAD: f64 = 0.25;
+/// The maximum random extension of a retry-after time, as a fraction of it. It keeps the
+/// callers that wait for the same server from returning at once.
+const RETRY_AFTER_JITTER: f64 = 0.25;
 
-/// What was learnt from what a server states.
+/// What changed by a server's statement.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StatementChange {
-    /// The rate that it takes from all instances.
+    /// The rate that the server accepts from all instances together, or `None` if it
+    /// states no limit.
     pub rate: Option<RequestRate>,
-    /// This instance's part of it, in requests a second.
+    /// This instance's share of the rate, in requests per second.
     pub share: Option<f64>,
-    /// Whether the rate is another one than before.
+    /// Whether the rate differs from the one before.
     pub rate_changed: bool,
-    /// For how long it wants nothing from this instance, if that is new.
+    /// How long the server asks this instance to send nothing, if that extends its
+    /// backoff.
     pub new_backoff: Option<Duration>,
 }
 
-/// How many servers ask for less.
+/// The number of servers that limit their requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PushbackCount {
     /// Servers that state a rate.
     pub limited: usize,
-    /// Servers that want nothing from this instance now.
+    /// Servers that currently ask this instance to send nothing.
     pub backing_off: usize,
 }
 
 impl RouteCore {
-    /// Sets which instances are seen alive. To be called often: larger parts of rates are taken
-    /// with a delay.
+    /// Sets the instances that are alive. Must be called periodically: an increased share
+    /// of a rate takes effect only after a delay.
     pub fn set_group(&mut self, group: Arc<InstanceGroup>, now: Duration) {
         let known = self.group.as_ref() == Some(&group);
         for server in self.pools.values_mut().flat_map(|pool| pool.servers.values_mut()) {
@@ -49,14 +51,15 @@
                 continue;
             }
             let facts = &server.facts;
-            let part = |rate| group.rate_share(facts.name_hash, facts.data_centre, rate);
-            server.pushback.update_share(part, now);
+            let rate_share =
+                |rate| group.rate_share(facts.name_hash, facts.data_centre, rate);
+            server.pushback.update_share(rate_share, now);
         }
         self.group = Some(group);
     }
 
-    /// Records what a server states in an answer to a request that was sent at `sent`. Returns
-    /// what is new, if anything is.
+    /// Applies the statement in a server's response to a request that was sent at `sent`.
+    /// Returns what changed, if anything.
     pub fn record_statement(
         &mut self,
         server: ServerId,
@@ -66,11 +69,12 @@
     ) -> Option<StatementChange> {
         let group = self.group.as_deref();
         let server = find_server(&mut self.pools, server)?;
-        let part = |rate| own_part(group, &server.facts, rate);
+        let rate_share = |rate| own_rate_share(group, &server.facts, rate);
         let pushback = &mut server.pushback;
-        let rest = statement.backoff.map(|rest| rest.min(self.options.longest_rest));
-        let new_backoff = rest.filter(|rest| pushback.back_off(*rest, now));
-        let rate_changed = pushback.apply_statement(statement.rate, part, sent, now);
+        let backoff = statement.backoff.map(|span| span.min(self.options.longest_rest));
+        let new_backoff = backoff.filter(|span| pushback.back_off(*span, now));
+        let rate_changed =
+            pushback.apply_statement(statement.rate, rate_share, sent, now);
         let (rate, share) = (pushback.rate(), pushback.share());
         (rate_changed || new_backoff.is_some()).then_some(StatementChange {
             rate,
@@ -80,23 +84,23 @@
         })
     }
 
-    /// Records that a peer heard a server state a rate, or none, at `heard`. Returns what that
-    /// does to what is known; nothing if the server isn't known.
+    /// Applies the rate, or the absence of one, that a peer received from a server at
+    /// `heard_at`. Returns `None` if the server isn't known.
     pub fn record_peer_rate(
         &mut self,
         server: ServerId,
         rate: Option<RequestRate>,
-        heard: Duration,
+        heard_at: Duration,
         now: Duration,
     ) -> Option<ReportEffect> {
         let group = self.group.as_deref();
         let server = find_server(&mut self.pools, server)?;
-        let part = |rate| own_part(group, &server.facts, rate);
-        Some(server.pushback.apply_report(rate, part, heard, now))
+        let rate_share = |rate| own_rate_share(group, &server.facts, rate);
+        Some(server.pushback.apply_report(rate, rate_share, heard_at, now))
     }
 
-    /// Returns the rate that a server states, or none, and when that was last heard; nothing if
-    /// the server isn't known.
+    /// Returns the rate that a server states, if any, and when it was last received.
+    /// `None` if the server isn't known.
     #[must_use]
     pub fn stated_rate(
         &self,
@@ -107,7 +111,8 @@
         Some((server.pushback.rate(), server.pushback.rate_heard_at()))
     }
 
-    /// Returns how many servers state a rate, and how many want nothing from this instance now.
+    /// Returns how many servers state a rate, and how many currently ask this instance to
+    /// send nothing.
     #[must_use]
     pub fn count_pushback(&self, now: Duration) -> PushbackCount {
         let mut count = PushbackCount::default();
@@ -118,26 +123,27 @@
         count
     }
 
-    /// Returns whether a request may be written now to the server that it was given. Between the
-    /// choice of the server and this moment the server may have asked for less.
+    /// Returns whether a request may now be written to its chosen server, and counts it
+    /// against the server's rate unless that was done at dispatch. The server may have
+    /// lowered its rate or asked for a backoff since it was chosen.
     pub fn permit_send(&mut self, request: RequestId, now: Duration) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
-        let CallPlace::Running { server, .. } = call.place else { return false };
-        let pool = self.pools.get_mut(&call.call.pool);
+        let CallPhase::Running { server, .. } = call.phase else { return false };
+        let pool = self.pools.get_mut(&call.details.pool);
         let Some(server) = pool.and_then(|pool| pool.servers.get_mut(&server)) else {
             return false;
         };
         if !server.facts.in_service() || server.pushback.is_backing_off(now) {
             return false;
         }
-        let counted = call.counted || server.pushback.rate().is_none();
+        let counted = call.rate_counted || server.pushback.rate().is_none();
         counted || server.pushback.take(now)
     }
 
-    /// Returns when the first server takes a request.
-    fn opens_at(&self, call: &RoutedCall, now: Duration) -> ServerOpening {
-        let Some(state) = self.pools.get(&call.call.pool) else {
-            return ServerOpening::Now;
+    /// Returns when the first server accepts a request.
+    fn next_ready(&self, call: &RoutedCall, now: Duration) -> NextReady {
+        let Some(state) = self.pools.get(&call.details.pool) else {
+            return NextReady::Now;
         };
         let servers = state.servers.values();
         let usable = servers.filter(|server| {
@@ -148,39 +154,40 @@
         for server in usable {
             let Some(at) = server.pushback.ready_at(now) else { continue };
             if at <= now {
-                return ServerOpening::Now;
+                return NextReady::Now;
             }
             first = Some(first.map_or(at, |first: Duration| first.min(at)));
         }
-        first.map_or(ServerOpening::Unknown, ServerOpening::At)
+        first.map_or(NextReady::Unknown, NextReady::At)
     }
 
-    /// Returns whether no server takes a request before a time.
-    pub(super) fn opens_after(
+    /// Returns whether no server accepts a request before `time`.
+    pub(super) fn no_server_before(
         &self,
         call: &RoutedCall,
         time: Duration,
         now: Duration,
     ) -> bool {
-        match self.opens_at(call, now) {
-            ServerOpening::Now => false,
-            ServerOpening::At(at) => at >= time,
-            ServerOpening::Unknown => true,
+        match self.next_ready(call, now) {
+            NextReady::Now => false,
+            NextReady::At(at) => at >= time,
+            NextReady::Unknown => true,
         }
     }
 
-    /// Returns whether no server takes a request that waits before it would be given up.
-    pub(super) fn opens_too_late(&self, request: RequestId, now: Duration) -> bool {
+    /// Returns whether no server accepts a waiting request before its give-up time.
+    pub(super) fn no_server_in_time(&self, request: RequestId, now: Duration) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
-        self.opens_after(call, call.call.give_up, now)
+        self.no_server_before(call, call.details.give_up, now)
     }
 
-    /// Refuses a request that no server takes in time. Its caller is told when one does.
-    pub(super) fn refuse_closed(&mut self, request: RequestId, now: Duration) {
+    /// Refuses a request that no server accepts in time. The retry-after time tells the
+    /// caller when one does.
+    pub(super) fn refuse_unavailable(&mut self, request: RequestId, now: Duration) {
         let Some(call) = self.calls.remove(&request) else { return };
-        let retry_after = match self.opens_at(&call, now) {
-            ServerOpening::At(at) => self.spread(request, at.saturating_sub(now)),
-            ServerOpening::Now | ServerOpening::Unknown => self.options.no_server_retry,
+        let retry_after = match self.next_ready(&call, now) {
+            NextReady::At(at) => self.add_jitter(request, at.saturating_sub(now)),
+            NextReady::Now | NextReady::Unknown => self.options.no_server_retry,
         };
         let longest = self.options.longest_retry;
         self.actions.push(RouteAction::Refuse {
@@ -191,27 +198,26 @@
         });
     }
 
-    /// Lengthens a time for some requests, so that their callers don't come back together.
-    fn spread(&self, request: RequestId, wait: Duration) -> Duration {
+    /// Extends a time by a random amount that depends on the request.
+    fn add_jitter(&self, request: RequestId, wait: Duration) -> Duration {
         let draw = rendezvous_weight(request, self.seed) as f64;
-        wait.mul_f64(1.0 + RETURN_SPREAD * draw / u64::MAX as f64)
+        wait.mul_f64(1.0 + RETRY_AFTER_JITTER * draw / u64::MAX as f64)
     }
 }
 
-/// When the first server of a pool takes a request.
+/// When the first server of a pool accepts a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ServerOpening {
-    /// One does already, though it may have no room.
+enum NextReady {
+    /// A server accepts requests now, though it may have no room.
     Now,
-    /// At this time.
+    /// The first server accepts requests at this time.
     At(Duration),
-    /// That can't be told.
+    /// The time isn't known.
     Unknown,
 }
 
-/// Returns this instance's part of a server's rate. One that doesn't know yet who else is there
-/// has none.
-pub(super) fn own_part(
+/// Returns this instance's share of a server's rate. It is 0 until membership is known.
+pub(super) fn own_rate_share(
     group: Option<&InstanceGroup>,
     facts: &RoutedServer,
     rate: RequestRate,
