--- a/crates/flaxtide-fleet/src/changes.rs
+++ b/crates/flaxtide-fleet/src/changes.rs
@@ -38,8 +38,8 @@
     }
 
     /// Returns the keys that changed after a change number.
-    pub(crate) fn after(&self, told: u64) -> impl Iterator<Item = Key> {
-        let later = self.entries.iter().filter(move |(number, _)| *number > told);
+    pub(crate) fn after(&self, acknowledged: u64) -> impl Iterator<Item = Key> {
+        let later = self.entries.iter().filter(move |(number, _)| *number > acknowledged);
         later.map(|(_, key)| *key)
     }
 }
--- a/crates/flaxtide-fleet/src/node/crashes.rs
+++ b/crates/flaxtide-fleet/src/node/crashes.rs
@@ -47,16 +47,16 @@
     /// The requests with new reports for peers, in order.
     changes: ChangeQueue<Fingerprint>,
     /// When the log was last due for a comparison, and how often it has been.
-    compared: (Duration, u64),
+    last_comparison: (Duration, u64),
     /// Whether a peer has answered a comparison since the start.
     has_synced: bool,
 }
 
 impl CrashState {
     /// Returns the reports of requests that changed after a change number.
-    fn changed_reports(&self, recipients: u64, now: Duration) -> Vec<CrashReport> {
-        let news = self.changes.after(recipients);
-        let reports = news.flat_map(|request| self.log.reports_of(request, now));
+    fn changed_reports(&self, acknowledged: u64, now: Duration) -> Vec<CrashReport> {
+        let requests = self.changes.after(acknowledged);
+        let reports = requests.flat_map(|request| self.log.reports_of(request, now));
         reports.take(MAX_REPORTS).collect()
     }
 }
@@ -99,8 +99,8 @@
             let Some(peer) = self.peers.get_mut(&name) else { continue };
             let state = &mut peer.crash_notices;
             let compares = state.needs_comparison && free > 0;
-            let has_news = state.acknowledged < last || state.needs_all;
-            if !(compares || has_news) {
+            let has_reports = state.acknowledged < last || state.needs_all;
+            if !(compares || has_reports) {
                 continue;
             }
             let reports = if state.needs_all {
@@ -131,12 +131,12 @@
         now: Duration,
     ) -> (CrashReply, Vec<FleetNotice>) {
         let forwards = !notice.to_all && !self.in_own_data_centre(&notice.from);
-        let news = self.apply_crash_reports(&notice.reports, forwards, now);
+        let notices = self.apply_crash_reports(&notice.reports, forwards, now);
         let digest = self.crashes.log.digest();
         let differs = notice.digest.is_some_and(|other| other != digest);
         let reports =
             if differs { self.crashes.log.reports(MAX_REPORTS, now) } else { vec![] };
-        (CrashReply { reports, digest }, news)
+        (CrashReply { reports, digest }, notices)
     }
 
     /// Handles the reply to a notice. Returns notices of the reports that are new.
@@ -150,15 +150,15 @@
         let Some(notice) = peer.crash_notices.record_answer() else { return vec![] };
         let info = peer.info.clone();
         let forwards = !self.group.is_single && !self.in_own_data_centre(&info);
-        let news = self.apply_crash_reports(&reply.reports, forwards, now);
+        let notices = self.apply_crash_reports(&reply.reports, forwards, now);
         if notice.compares {
             self.crashes.has_synced = true;
-            let lacks_some = self.crashes.log.digest() != reply.digest;
+            let logs_differ = self.crashes.log.digest() != reply.digest;
             if let Some(peer) = self.peers.get_mut(from) {
-                peer.crash_notices.needs_all = lacks_some;
+                peer.crash_notices.needs_all = logs_differ;
             }
         }
-        news
+        notices
     }
 
     /// Records that a notice couldn't be sent because there is no link to the peer.
@@ -184,32 +184,36 @@
         forwards: bool,
         now: Duration,
     ) -> Vec<FleetNotice> {
-        let mut news = vec![];
+        let mut new_reports = vec![];
         for report in reports {
             if !self.crashes.log.apply(report, now) {
                 continue;
             }
-            news.push(*report);
+            new_reports.push(*report);
             if forwards {
                 self.crashes.changes.push(report.fingerprint);
             }
         }
-        if news.is_empty() { vec![] } else { vec![FleetNotice::Crashes(news)] }
+        if new_reports.is_empty() {
+            vec![]
+        } else {
+            vec![FleetNotice::Crashes(new_reports)]
+        }
     }
 
     /// Marks the next peer for a comparison once the comparison period is over.
     fn schedule_comparison(&mut self, now: Duration) {
-        let (at, turn) = self.crashes.compared;
+        let (at, round) = self.crashes.last_comparison;
         if now < at + COMPARE_PERIOD || self.crashes.log.is_empty() {
             return;
         }
-        self.crashes.compared = (now, turn + 1);
+        self.crashes.last_comparison = (now, round + 1);
         self.crashes.log.expire(now);
         let names = self.peers_to_notify(now, |peer| &peer.crash_notices, |_| true);
         if names.is_empty() {
             return;
         }
-        let name = &names[turn as usize % names.len()];
+        let name = &names[round as usize % names.len()];
         if let Some(peer) = self.peers.get_mut(name) {
             peer.crash_notices.needs_comparison = true;
         }
--- a/crates/flaxtide-fleet/src/node/group.rs
+++ b/crates/flaxtide-fleet/src/node/group.rs
@@ -165,7 +165,7 @@
     /// Keeps a few contacts of each other data centre, preferably ones that have been heard
     /// from.
     fn forget_surplus_contacts(&mut self) {
-        let mut kept: BTreeMap<DataCentreName, usize> = BTreeMap::new();
+        let mut counts: BTreeMap<DataCentreName, usize> = BTreeMap::new();
         let mut remote: Vec<&PeerRecord> = self
             .peers
             .values()
@@ -176,7 +176,7 @@
             (peer.heard_at.is_none(), fleet_key(&peer.info.name) ^ own_key)
         });
         let surplus = remote.into_iter().filter(|peer| {
-            let count = kept.entry(peer.info.data_centre.clone()).or_default();
+            let count = counts.entry(peer.info.data_centre.clone()).or_default();
             *count += 1;
             *count > CONTACTS_PER_GROUP
         });
--- a/crates/flaxtide-fleet/src/node/heartbeats.rs
+++ b/crates/flaxtide-fleet/src/node/heartbeats.rs
@@ -202,8 +202,8 @@
         let can_query =
             |peer: &&PeerRecord| !self.uses_digests() || self.in_own_group(peer);
         let peers = || self.peers.values().filter(can_query);
-        let turn = self.rounds % peers().count().max(1) as u64;
-        peers().nth(turn as usize).map(|peer| &peer.info.name)
+        let index = self.rounds % peers().count().max(1) as u64;
+        peers().nth(index as usize).map(|peer| &peer.info.name)
     }
 
     /// Builds the reply to a heartbeat.
--- a/crates/flaxtide-fleet/src/node/pushback.rs
+++ b/crates/flaxtide-fleet/src/node/pushback.rs
@@ -64,8 +64,8 @@
                 .filter_map(|server| log.report_of(server, now))
                 .collect();
             if state.needs_all {
-                let known = log.reports(MAX_REPORTS, now);
-                let missing = known.into_iter().filter(|report| {
+                let all = log.reports(MAX_REPORTS, now);
+                let missing = all.into_iter().filter(|report| {
                     !reports.iter().any(|other| other.server == report.server)
                 });
                 let missing: Vec<PushbackReport> = missing.collect();
@@ -96,21 +96,25 @@
         now: Duration,
     ) -> Vec<FleetNotice> {
         let forwards = !notice.to_all && !self.in_own_data_centre(&notice.from);
-        let mut news = vec![];
+        let mut new_reports = vec![];
         for report in &notice.reports {
             match self.pushback.log.apply(report, now) {
                 ReportEffect::Known => {}
                 // This instance has a newer report than the peer, and sends it.
                 ReportEffect::Outdated => self.pushback.changes.push(report.server),
                 ReportEffect::Changed => {
-                    news.push(*report);
+                    new_reports.push(*report);
                     if forwards {
                         self.pushback.changes.push(report.server);
                     }
                 }
             }
         }
-        if news.is_empty() { vec![] } else { vec![FleetNotice::Pushback(news)] }
+        if new_reports.is_empty() {
+            vec![]
+        } else {
+            vec![FleetNotice::Pushback(new_reports)]
+        }
     }
 
     /// Records that a peer has acknowledged the last notice.
--- a/crates/flaxtide-fleet/src/settings/provider.rs
+++ b/crates/flaxtide-fleet/src/settings/provider.rs
@@ -95,8 +95,9 @@
     fn piece(&self, question: PieceQuestion) -> SettingsPiece {
         let tree = &*self.copy.tree;
         let offset = question.offset as usize;
-        let current = question.version == self.copy.version;
-        let begin = if current && tree.is_char_boundary(offset) { offset } else { 0 };
+        let same_version = question.version == self.copy.version;
+        let begin =
+            if same_version && tree.is_char_boundary(offset) { offset } else { 0 };
         let end = tree.floor_char_boundary((begin + MAX_PIECE_BYTES).min(tree.len()));
         SettingsPiece {
             version: self.copy.version,
--- a/crates/flaxtide-fleet/src/thread.rs
+++ b/crates/flaxtide-fleet/src/thread.rs
@@ -103,7 +103,7 @@
         let node = node(listener.local_addr()?);
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let output = move |output: FleetOutput| match output {
-            FleetOutput::Notices(heard) => notices(heard),
+            FleetOutput::Notices(received) => notices(received),
             FleetOutput::Settings(copy) => adopt(copy),
         };
         let shared = FleetShared::new(node, clock, Box::new(output), Box::new(settings));
--- a/crates/flaxtide-fleet/tests/crashes.rs
+++ b/crates/flaxtide-fleet/tests/crashes.rs
@@ -99,7 +99,10 @@
             assert!(fleet.now < start + STABLE, "of {instances}");
             fleet.run(Duration::from_millis(500));
         }
-        println!("{instances} instances: known {:?} after the cut", fleet.now - start);
+        println!(
+            "{instances} instances: known {:?} after the partition",
+            fleet.now - start
+        );
     }
 }
 
@@ -138,7 +141,7 @@
     for (instances, data_centres) in SIZES {
         let mut fleet = informed_fleet(instances, data_centres);
         let due = |node: &mut FleetNode| node.due_crashes(fleet.now).len();
-        let said: usize = fleet.nodes.values_mut().map(due).sum();
-        assert_eq!(said, 0, "of {instances}");
+        let sent: usize = fleet.nodes.values_mut().map(due).sum();
+        assert_eq!(sent, 0, "of {instances}");
     }
 }
--- a/crates/flaxtide-fleet/tests/groups.rs
+++ b/crates/flaxtide-fleet/tests/groups.rs
@@ -58,7 +58,7 @@
     fleet.run(Duration::from_secs(5));
     assert!(fleet.nodes.values().all(|node| node.live().len() == 9));
     assert!(fleet.nodes.values().all(|node| node.fleet_size(fleet.now) == 9));
-    assert!(fleet.sums.is_empty(), "each hears each itself");
+    assert!(fleet.sums.is_empty(), "loads arrive in heartbeats");
 }
 
 #[test]
@@ -115,13 +115,13 @@
 fn newer_settings_of_one_data_centre_are_known_in_all() {
     let mut fleet = Fleet::new(300, 6);
     fleet.run_until_informed(Duration::from_secs(12));
-    let home: Vec<SocketAddr> = fleet
+    let addresses: Vec<SocketAddr> = fleet
         .nodes
         .keys()
         .copied()
         .filter(|at| fleet.data_centres[at] == "dc1")
         .collect();
-    for address in home {
+    for address in addresses {
         fleet.nodes.get_mut(&address).unwrap().set_version(7);
     }
     fleet.run(Duration::from_secs(4));
--- a/crates/flaxtide-fleet/tests/news.rs
+++ b/crates/flaxtide-fleet/tests/news.rs
@@ -64,7 +64,7 @@
     node.due_heartbeats(Duration::from_secs(1));
     let soon = Duration::from_millis(1050);
     node.set_status(status_with_unread(10), soon);
-    assert!(node.due_heartbeats(soon).is_empty(), "a little more is no news");
+    assert!(node.due_heartbeats(soon).is_empty(), "a small increase is no update");
     let later = Duration::from_millis(1100);
     node.set_status(status_with_unread(200), later);
     assert_eq!(node.due_heartbeats(later).len(), 8);
--- a/crates/flaxtide-fleet/tests/node.rs
+++ b/crates/flaxtide-fleet/tests/node.rs
@@ -68,7 +68,7 @@
     }
 
     /// Separates two data centres or two instances from each other.
-    fn cut(&mut self, one: &str, other: &str) {
+    fn partition(&mut self, one: &str, other: &str) {
         self.partitions.insert((one.into(), other.into()));
         self.partitions.insert((other.into(), one.into()));
     }
@@ -221,7 +221,7 @@
     let mut net = Net::new(1, 4, 12);
     net.run(Duration::from_secs(2));
     for other in ["dc0-1", "dc0-2", "dc0-3"] {
-        net.cut("dc0-0", other);
+        net.partition("dc0-0", other);
     }
     net.run(Duration::from_secs(3));
     assert_eq!(net.live("dc0-0"), 1);
@@ -234,7 +234,7 @@
     net.run(Duration::from_secs(3));
     assert!(
         net.nodes.values().all(|node| node.live().len() == 4),
-        "joined by themselves"
+        "rejoined without help"
     );
 }
 
@@ -257,7 +257,7 @@
 fn a_partitioned_data_centre_rejoins_without_reverting_settings() {
     let mut net = Net::new(2, 3, 6);
     net.run(Duration::from_secs(2));
-    net.cut("dc0", "dc1");
+    net.partition("dc0", "dc1");
     net.nodes.get_mut("dc0-0").unwrap().set_version(5);
     net.run(Duration::from_secs(5));
     let versions = |net: &Net, centre: &str| -> Vec<u64> {
@@ -266,7 +266,10 @@
     };
     assert_eq!(versions(&net, "dc0"), [5, 5, 5]);
     assert_eq!(versions(&net, "dc1"), [0, 0, 0]);
-    assert!(net.nodes.values().all(|node| node.live().len() == 3), "both sides go on");
+    assert!(
+        net.nodes.values().all(|node| node.live().len() == 3),
+        "both sides keep running"
+    );
     net.partitions.clear();
     net.run(Duration::from_secs(3));
     assert_eq!(versions(&net, "dc1"), [5, 5, 5]);
--- a/crates/flaxtide-fleet/tests/settings.rs
+++ b/crates/flaxtide-fleet/tests/settings.rs
@@ -190,10 +190,10 @@
     };
     let cases: [(&str, CorruptPiece); 5] = [
         ("no newer version", |piece| piece.version = 6),
-        ("an offset beyond what has come", |piece| piece.offset = 5),
-        ("nothing in it", |piece| piece.text.clear()),
-        ("more than the whole", |piece| piece.length = 10),
-        ("a whole beyond all measure", |piece| piece.length = u32::MAX),
+        ("an offset beyond the received text", |piece| piece.offset = 5),
+        ("an empty text", |piece| piece.text.clear()),
+        ("a text longer than the whole", |piece| piece.length = 10),
+        ("a whole that is too large", |piece| piece.length = u32::MAX),
     ];
     for (what, corrupt) in cases {
         let mut corrupted = good();
@@ -309,21 +309,21 @@
     let ms = Duration::from_millis;
     let mut node = node_with_peers(0, &[8, 9], ms(0));
     node.set_version(7);
-    assert_eq!(node.newest_known_version(ms(0)), 9, "as soon as it hears of them");
+    assert_eq!(node.newest_known_version(ms(0)), 9, "as soon as a peer announces it");
     node.update_newer_since(ms(50));
     // One version is put in force while a newer one is announced.
     node.set_version(8);
     assert_eq!(node.newest_known_version(ms(100)), 9);
     node.update_newer_since(ms(150));
     assert_eq!(node.newest_known_version(ms(15_000)), 9);
-    assert_eq!(node.newest_known_version(ms(15_200)), 0, "what peers say may be wrong");
+    assert_eq!(node.newest_known_version(ms(15_200)), 0, "announced too long ago");
     node.record_fetched(&settings(9), "instance-101", ms(15_300));
     node.reject_fetched(9);
     node.set_version(9);
     assert_eq!(
         node.newest_known_version(ms(15_400)),
         8,
-        "what can't be used isn't waited for"
+        "unusable settings are left out"
     );
 }
 
@@ -336,10 +336,10 @@
     receive_heartbeat(&mut node, 101, 2, ms(700));
     assert!(poll_fetch_due(&mut node, ms(700)));
     node.record_fetched(&settings(9), "instance-100", ms(800));
-    assert!(node.settings_sources(ms(800)).is_empty(), "it is expected to be in force");
+    assert!(node.settings_sources(ms(800)).is_empty(), "it is about to be in force");
     node.reject_fetched(9);
     let sources = node.settings_sources(ms(800));
-    assert_eq!(sources.len(), 1, "the peer whose settings are of use");
+    assert_eq!(sources.len(), 1, "the peer with usable settings");
     assert_eq!(sources[0].info.name, "instance-101");
     // The peer's next version is requested, even if it is announced before the old one is
     // rejected.
--- a/crates/flaxtide-fleet/tests/transfer.rs
+++ b/crates/flaxtide-fleet/tests/transfer.rs
@@ -23,7 +23,7 @@
 fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < TIMEOUT, "never: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out: {what}");
         thread::yield_now();
     }
 }
@@ -135,9 +135,9 @@
     // Its heartbeats pass, but what is sent to it is dropped.
     newest.relay.set_fault(RelayFault::Drop);
     newest.meet(&requester);
-    wait_until("it is heard", || newest.bytes.get().0 > 0);
+    wait_until("the requester has sent a reply", || newest.bytes.get().0 > 0);
     requester.meet(&older);
-    wait_until("the settings come", || requester.version() == 8);
+    wait_until("the settings arrive", || requester.version() == 8);
 }
 
 #[test]
@@ -147,18 +147,18 @@
     provider.relay.set_fault(RelayFault::Delay(10));
     requester.meet(&provider);
     for count in 1..=3 {
-        wait_until("a part has come", || {
+        wait_until("a part has arrived", || {
             provider.sent() > count * SETTINGS_BYTES as u64 / 5
         });
         provider.relay.set_fault(RelayFault::Cut);
         wait_until("the link is cut", || provider.relay.open() == 0);
         let cut_at = provider.sent();
         provider.relay.set_fault(RelayFault::Delay(10));
-        wait_until("it goes on", || {
+        wait_until("the transfer resumes", || {
             provider.sent() > cut_at + SETTINGS_BYTES as u64 / 20
         });
     }
-    wait_until("the settings come", || requester.version() == 8);
+    wait_until("the settings arrive", || requester.version() == 8);
     let copies = provider.sent() as f64 / SETTINGS_BYTES as f64;
     assert!(copies < 1.5, "{copies:.1} copies were sent");
 }
@@ -171,7 +171,7 @@
     // version many times.
     provider.relay.set_fault(RelayFault::Delay(15));
     requester.meet(&provider);
-    wait_until("the settings come", || requester.version() == 8);
+    wait_until("the settings arrive", || requester.version() == 8);
     let copies = provider.sent() as f64 / SETTINGS_BYTES as f64;
     assert!(copies < 1.5, "{copies:.1} copies were sent");
 }
@@ -182,14 +182,14 @@
     let (provider, newer) = (Instance::start("provider", 8), Instance::start("newer", 9));
     provider.relay.set_fault(RelayFault::Delay(10));
     requester.meet(&provider);
-    wait_until("a part has come", || provider.sent() > SETTINGS_BYTES as u64 / 3);
+    wait_until("a part has arrived", || provider.sent() > SETTINGS_BYTES as u64 / 3);
     requester.meet(&newer);
-    wait_until("the other one is heard", || newer.sent() > 0);
+    wait_until("the newer provider has sent a message", || newer.sent() > 0);
     provider.relay.set_fault(RelayFault::Cut);
     wait_until("the link is cut", || provider.relay.open() == 0);
     provider.relay.set_fault(RelayFault::Delay(1));
     let behind = [&requester, &provider];
-    wait_until("the newest settings come", || {
+    wait_until("the newest settings arrive", || {
         behind.iter().all(|instance| instance.version() == 9)
     });
     // The version being received is sent once, and the newest settings once to each of the two;
