--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -10,8 +10,8 @@
 use crossbeam::channel::{Receiver, Sender, bounded};
 use flaxtide_core::{InstanceName, MilliClock, ServerId, SettingsVersion};
 use flaxtide_fleet::{
-    DutyHolder, FleetEvent, FleetKey, FleetNode, FleetNotice, FleetThread, FleetTiming,
-    FleetUpdate, LinkBytes, NodeStatus, OwnLoad, PartRead, PeerInfo, RowQuestion,
+    DutyHolder, FleetCommand, FleetKey, FleetNode, FleetThread, FleetTiming, FleetUpdate,
+    LinkBytes, NodeEvent, NodeStatus, OwnLoad, PartRead, PeerInfo, RowRequest,
     SettingsCopy, fleet_key,
 };
 use flaxtide_policy::{
@@ -45,12 +45,12 @@
 #[derive(Debug, Clone)]
 pub(crate) struct FleetLink {
     /// The ring.
-    events: Sender<FleetEvent>,
+    events: Sender<FleetCommand>,
 }
 
 impl FleetLink {
     /// Makes a ring. The receiver is the fleet thread's.
-    pub(crate) fn new() -> (Self, Receiver<FleetEvent>) {
+    pub(crate) fn new() -> (Self, Receiver<FleetCommand>) {
         let (events, ring) = bounded(FLEET_RING);
         (Self { events }, ring)
     }
@@ -58,7 +58,7 @@
     /// Tells peers of a new version of the rules.
     pub(crate) fn announce(&self, version: SettingsVersion) {
         self.update(move |node, _| node.set_version(version));
-        self.send(FleetEvent::SendHeartbeats);
+        self.send(FleetCommand::SendHeartbeats);
     }
 
     /// Tells the fleet thread that rules which a peer sent can't be put in force.
@@ -69,7 +69,7 @@
     /// Tells peers that this instance is stopping.
     pub(crate) fn leave(&self) {
         self.update(|node, _| node.leave());
-        self.send(FleetEvent::SendHeartbeats);
+        self.send(FleetCommand::SendHeartbeats);
     }
 
     /// Tells peers that this instance holds the duties.
@@ -78,8 +78,8 @@
     }
 
     /// Asks a peer for the rows that it has read.
-    pub(crate) fn ask_rows(&self, question: RowQuestion) {
-        self.send(FleetEvent::AskRows(question));
+    pub(crate) fn ask_rows(&self, question: RowRequest) {
+        self.send(FleetCommand::AskRows(question));
     }
 
     /// Tells peers of crashes. `clock` is the one on which the reports' ages count from `since`.
@@ -118,13 +118,13 @@
         &self,
         change: impl FnOnce(&mut FleetNode, Duration) + Send + 'static,
     ) -> bool {
-        self.send(FleetEvent::Update(FleetUpdate::new(change)))
+        self.send(FleetCommand::Update(FleetUpdate::new(change)))
     }
 
     /// Puts an event into the ring. A full ring loses it: the thread is behind. What the
     /// node knows is told again soon; a question without an answer counts as a silent peer.
     /// Returns whether there was a place.
-    fn send(&self, event: FleetEvent) -> bool {
+    fn send(&self, event: FleetCommand) -> bool {
         let sent = self.events.try_send(event).is_ok();
         if !sent {
             log::warn!("fleet thread is behind, an event is lost");
@@ -190,31 +190,31 @@
 }
 
 /// Passes on what peers have told.
-fn hear(events: &mpsc::Sender<FeedEvent>, news: Vec<FleetNotice>) {
+fn hear(events: &mpsc::Sender<FeedEvent>, news: Vec<NodeEvent>) {
     for news in news {
         match news {
-            FleetNotice::PeerLoads(peer, loads) => {
+            NodeEvent::PeerLoads(peer, loads) => {
                 tell(events, FeedEvent::PeerLoads(peer, loads));
             }
-            FleetNotice::GroupLoads(data_centre, loads) => {
+            NodeEvent::GroupLoads(data_centre, loads) => {
                 tell(events, FeedEvent::PeerLoads(data_centre, loads));
             }
-            FleetNotice::PeerUnresponsive(servers) => {
+            NodeEvent::PeerUnresponsive(servers) => {
                 tell(events, FeedEvent::PeerUnresponsive(servers));
             }
-            FleetNotice::PeerReads(reads) => tell(events, FeedEvent::PeerReads(reads)),
-            FleetNotice::Crashes(reports) => {
+            NodeEvent::PeerReads(reads) => tell(events, FeedEvent::PeerReads(reads)),
+            NodeEvent::Crashes(reports) => {
                 hand_over(events.clone(), FeedEvent::Crashes(reports));
             }
-            FleetNotice::Pushback(reports) => {
+            NodeEvent::Pushback(reports) => {
                 hand_over(events.clone(), FeedEvent::Pushback(reports));
             }
             // Slots and rates aren't shared out here: every instance may use every server.
             // The fleet thread fetches newer rules by itself.
-            FleetNotice::Load(_)
-            | FleetNotice::Share(..)
-            | FleetNotice::Rate(..)
-            | FleetNotice::Version(..) => {}
+            NodeEvent::Load(_)
+            | NodeEvent::Share(..)
+            | NodeEvent::Rate(..)
+            | NodeEvent::Version(..) => {}
         }
     }
 }
--- a/crates/flaxtide-entry/src/source.rs
+++ b/crates/flaxtide-entry/src/source.rs
@@ -7,7 +7,7 @@
 
 use crossbeam::channel::bounded;
 use flaxtide_core::{MilliClock, SettingsVersion, StoreVersion};
-use flaxtide_fleet::{ListPlan, ListReader, RowAnswer, RowChanges, RowQuestion};
+use flaxtide_fleet::{ListPlan, ListReader, RowAnswer, RowChanges, RowRequest};
 
 use crate::backoff::PeerBackoff;
 use crate::fleet::FleetLink;
@@ -183,7 +183,7 @@
                 // The thread that asked may have stopped waiting.
                 let _ = tell.try_send((peer, answer));
             });
-            link.ask_rows(RowQuestion { peer, after, wait, margin, answer });
+            link.ask_rows(RowRequest { peer, after, wait, margin, answer });
         }
         drop(tell);
         let until = self.clock.now() + wait + margin;
--- a/crates/flaxtide-fleet/src/lib.rs
+++ b/crates/flaxtide-fleet/src/lib.rs
@@ -30,18 +30,18 @@
 pub use self::info::PeerInfo;
 pub use self::key::{FleetKey, fleet_key};
 pub use self::node::{
-    FleetNode, FleetNotice, FleetServer, FleetTiming, NodeStatus, OutgoingCrashes,
+    FleetNode, FleetServer, FleetTiming, NodeEvent, NodeStatus, OutgoingCrashes,
     OutgoingHeartbeat, OutgoingHello, OutgoingPushback, SettingsSource,
 };
 pub use self::rate::rate_share;
 pub use self::rows::{
-    ListPlan, ListReader, RowAnswer, RowChanges, RowCopy, RowQuestion, RowSource,
+    ListPlan, ListReader, RowAnswer, RowChanges, RowCopy, RowRequest, RowSource,
 };
 pub use self::settings::{
     CopyAssembly, MAX_PIECE_BYTES, PieceAnswer, PieceOutcome, PieceProvider,
     PieceQuestion, SettingsCopy, SettingsPiece,
 };
-pub use self::thread::{FleetEvent, FleetThread, FleetUpdate};
+pub use self::thread::{FleetCommand, FleetThread, FleetUpdate};
 pub use self::wire::{
     CrashNotice, CrashReply, DutyHolder, FleetHeartbeat, GroupDigest, GroupHello,
     HeartbeatReply, OwnLoad, PartRead, PoolDemand, PushbackNotice, RatePart,
--- a/crates/flaxtide-fleet/src/node/crashes.rs
+++ b/crates/flaxtide-fleet/src/node/crashes.rs
@@ -8,7 +8,7 @@
 use flaxtide_core::InstanceName;
 use flaxtide_policy::{CrashLog, CrashReport, Fingerprint, rendezvous_order};
 
-use super::{FleetNode, FleetNotice};
+use super::{FleetNode, NodeEvent};
 use crate::changes::ChangeQueue;
 use crate::info::PeerInfo;
 use crate::notice::{NoticeState, PendingNotice};
@@ -129,14 +129,14 @@
         &mut self,
         notice: &CrashNotice,
         now: Duration,
-    ) -> (CrashReply, Vec<FleetNotice>) {
+    ) -> (CrashReply, Vec<NodeEvent>) {
         let forwards = !notice.to_all && !self.in_own_data_centre(&notice.from);
-        let notices = self.apply_crash_reports(&notice.reports, forwards, now);
+        let events = self.apply_crash_reports(&notice.reports, forwards, now);
         let digest = self.crashes.log.digest();
         let differs = notice.digest.is_some_and(|other| other != digest);
         let reports =
             if differs { self.crashes.log.reports(MAX_REPORTS, now) } else { vec![] };
-        (CrashReply { reports, digest }, notices)
+        (CrashReply { reports, digest }, events)
     }
 
     /// Handles the reply to a notice. Returns notices of the reports that are new.
@@ -145,12 +145,12 @@
         from: &InstanceName,
         reply: &CrashReply,
         now: Duration,
-    ) -> Vec<FleetNotice> {
+    ) -> Vec<NodeEvent> {
         let Some(peer) = self.peers.get_mut(from) else { return vec![] };
         let Some(notice) = peer.crash_notices.record_answer() else { return vec![] };
         let info = peer.info.clone();
         let forwards = !self.group.is_single && !self.in_own_data_centre(&info);
-        let notices = self.apply_crash_reports(&reply.reports, forwards, now);
+        let events = self.apply_crash_reports(&reply.reports, forwards, now);
         if notice.compares {
             self.crashes.has_synced = true;
             let logs_differ = self.crashes.log.digest() != reply.digest;
@@ -158,7 +158,7 @@
                 peer.crash_notices.needs_all = logs_differ;
             }
         }
-        notices
+        events
     }
 
     /// Records that a notice couldn't be sent because there is no link to the peer.
@@ -183,7 +183,7 @@
         reports: &[CrashReport],
         forwards: bool,
         now: Duration,
-    ) -> Vec<FleetNotice> {
+    ) -> Vec<NodeEvent> {
         let mut new_reports = vec![];
         for report in reports {
             if !self.crashes.log.apply(report, now) {
@@ -197,7 +197,7 @@
         if new_reports.is_empty() {
             vec![]
         } else {
-            vec![FleetNotice::Crashes(new_reports)]
+            vec![NodeEvent::Crashes(new_reports)]
         }
     }
 
--- a/crates/flaxtide-fleet/src/node/digest.rs
+++ b/crates/flaxtide-fleet/src/node/digest.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use super::{FleetNode, FleetNotice};
+use super::{FleetNode, NodeEvent};
 use crate::info::PeerInfo;
 use crate::key::FleetKey;
 use crate::peer::PeerRecord;
@@ -15,7 +15,7 @@
 
 /// The most prompt parts in a digest: what a data centre of fifty instances prefills in a
 /// second under load.
-const MAX_DIGEST_READS: usize = 96;
+const MAX_DIGEST_PREFILLS: usize = 96;
 
 /// The approximate size of a load or a prompt part in a digest.
 const ENTRY_BYTES: f64 = 11.0;
@@ -35,16 +35,16 @@
 
 /// The prompt parts recently prefilled for the instances of a data centre, newest last.
 #[derive(Debug, Default)]
-pub(super) struct GroupReads {
+pub(super) struct GroupPrefills {
     /// The parts, each with the time at which its message arrived.
     entries: VecDeque<(Duration, PartRead)>,
 }
 
-impl GroupReads {
+impl GroupPrefills {
     /// Adds prompt parts and drops the oldest over the limit.
     pub(super) fn record(&mut self, reads: &[PartRead], now: Duration) {
         self.entries.extend(reads.iter().map(|read| (now, *read)));
-        let surplus = self.entries.len().saturating_sub(MAX_DIGEST_READS);
+        let surplus = self.entries.len().saturating_sub(MAX_DIGEST_PREFILLS);
         self.entries.drain(..surplus);
     }
 
@@ -79,7 +79,7 @@
             hello: self.hello(now),
             contacts: self.rotating_contacts(&live),
             loads: sum_loads(live.iter().map(|peer| &peer.loads), &self.status.loads),
-            reads: self.recent_reads(now),
+            reads: self.recent_prefills(now),
         }
     }
 
@@ -88,7 +88,7 @@
         &mut self,
         digest: &GroupDigest,
         now: Duration,
-    ) -> Vec<FleetNotice> {
+    ) -> Vec<NodeEvent> {
         for info in &digest.contacts {
             self.add_peer(info.clone(), false);
         }
@@ -102,21 +102,20 @@
             // In a single group, the heartbeats already carry the loads of each instance.
             return vec![];
         }
-        let mut notices =
-            vec![FleetNotice::GroupLoads(data_centre, digest.loads.clone())];
+        let mut events = vec![NodeEvent::GroupLoads(data_centre, digest.loads.clone())];
         if !digest.reads.is_empty() {
-            notices.push(FleetNotice::PeerReads(digest.reads.clone()));
+            events.push(NodeEvent::PeerReads(digest.reads.clone()));
         }
-        notices
+        events
     }
 
     /// Returns the recently prefilled prompt parts of the data centre, newest first. They cover
     /// two digest periods, because a digest may be lost.
-    fn recent_reads(&self, now: Duration) -> Vec<PartRead> {
+    fn recent_prefills(&self, now: Duration) -> Vec<PartRead> {
         let peers = self.reads.within(self.digest_period() * 2, now);
         let mut reads = self.status.reads.clone();
         reads.extend(peers);
-        reads.truncate(MAX_DIGEST_READS);
+        reads.truncate(MAX_DIGEST_PREFILLS);
         reads
     }
 
@@ -124,7 +123,7 @@
     /// digest and the number of data centres.
     pub(super) fn digest_period(&self) -> Duration {
         let groups = self.group.others.len() as f64;
-        let entries = self.digest_load_count as f64 + MAX_DIGEST_READS as f64;
+        let entries = self.digest_load_count as f64 + MAX_DIGEST_PREFILLS as f64;
         let period = Duration::from_secs_f64(
             groups * entries * ENTRY_BYTES / DIGEST_BYTES_PER_SECOND,
         );
--- a/crates/flaxtide-fleet/src/node/divide.rs
+++ b/crates/flaxtide-fleet/src/node/divide.rs
@@ -4,7 +4,7 @@
 
 use flaxtide_policy::{SlotDemand, divide_slots, equal_share};
 
-use super::{FleetNode, FleetNotice, FleetServer};
+use super::{FleetNode, FleetServer, NodeEvent};
 use crate::key::FleetKey;
 use crate::peer::PeerRecord;
 use crate::rate::rate_share;
@@ -39,14 +39,14 @@
     /// Returns this instance's own shares of the servers that it watches, and its own shares of
     /// the rates that it owns.
     #[must_use]
-    pub fn own_notices(&self, now: Duration) -> Vec<FleetNotice> {
+    pub fn own_share_events(&self, now: Duration) -> Vec<NodeEvent> {
         let until = now + self.liveness_timeout();
         let shares = self.shares_of(&self.own.name).into_iter();
-        let shares = shares.map(|share| FleetNotice::Share(share, until));
+        let shares = shares.map(|share| NodeEvent::Share(share, until));
         let own: Vec<FleetKey> = self.usage.keys().copied().collect();
         let rate_shares = self.rate_shares_of(&self.own.name, &own).into_iter();
         shares
-            .chain(rate_shares.map(|share| FleetNotice::Rate(share, until)))
+            .chain(rate_shares.map(|share| NodeEvent::Rate(share, until)))
             .collect()
     }
 
--- a/crates/flaxtide-fleet/src/node/duty.rs
+++ b/crates/flaxtide-fleet/src/node/duty.rs
@@ -21,7 +21,7 @@
     pub fn record_duty_holder(&mut self, holder: Option<DutyHolder>) {
         if holder > self.duty {
             self.duty = holder;
-            self.has_updates = true;
+            self.has_urgent_changes = true;
         }
     }
 
--- a/crates/flaxtide-fleet/src/node/heartbeats.rs
+++ b/crates/flaxtide-fleet/src/node/heartbeats.rs
@@ -6,7 +6,7 @@
 use flaxtide_core::InstanceName;
 use flaxtide_policy::{rendezvous_order, rendezvous_owner};
 
-use super::{FleetNode, FleetNotice, OutgoingHeartbeat};
+use super::{FleetNode, NodeEvent, OutgoingHeartbeat};
 use crate::info::PeerInfo;
 use crate::key::FleetKey;
 use crate::peer::PeerRecord;
@@ -17,14 +17,14 @@
     /// updates and the traffic budget allows it.
     pub fn due_heartbeats(&mut self, now: Duration) -> Vec<OutgoingHeartbeat> {
         if self.last_round_at.is_some_and(|at| now < at + self.period())
-            && !self.may_send_updates(now)
+            && !self.may_send_early(now)
         {
             return vec![];
         }
-        let cost = self.timing.update_cost_per_instance * self.known_group_size();
-        let saved = now.saturating_sub(cost * self.timing.update_burst);
-        self.updates_allowed_at = self.updates_allowed_at.max(saved) + cost;
-        self.has_updates = false;
+        let cost = self.timing.early_round_cost_per_instance * self.known_group_size();
+        let saved = now.saturating_sub(cost * self.timing.early_round_burst);
+        self.early_round_allowed_at = self.early_round_allowed_at.max(saved) + cost;
+        self.has_urgent_changes = false;
         self.last_round_at = Some(now);
         self.rounds += 1;
         self.forget_expired_peers(now);
@@ -33,8 +33,8 @@
     }
 
     /// Returns whether there are updates and the traffic budget allows sending them now.
-    fn may_send_updates(&self, now: Duration) -> bool {
-        self.has_updates && self.updates_allowed_at <= now
+    fn may_send_early(&self, now: Duration) -> bool {
+        self.has_urgent_changes && self.early_round_allowed_at <= now
     }
 
     /// Returns heartbeats to all recipients and marks the usage counts in them as sent.
@@ -47,7 +47,7 @@
     /// Returns heartbeats that announce a new settings version, or that this instance is
     /// stopping. Peers that are known to have the version are left out: otherwise each instance
     /// that fetches it from a peer would announce it to all others.
-    pub fn urgent_heartbeats(&mut self) -> Vec<OutgoingHeartbeat> {
+    pub fn requested_heartbeats(&mut self) -> Vec<OutgoingHeartbeat> {
         if self.leaving || !self.uses_digests() {
             return self.heartbeats();
         }
@@ -85,7 +85,7 @@
         &mut self,
         heartbeat: &FleetHeartbeat,
         now: Duration,
-    ) -> (HeartbeatReply, Vec<FleetNotice>) {
+    ) -> (HeartbeatReply, Vec<NodeEvent>) {
         let info = PeerInfo {
             name: heartbeat.from.clone(),
             data_centre: heartbeat.data_centre.clone(),
@@ -112,26 +112,25 @@
         if changed {
             self.update_live(now);
         }
-        let mut notices = vec![];
+        let mut events = vec![];
         if self.group.is_single || heartbeat.data_centre == self.own.data_centre {
-            notices.extend(heartbeat.servers.iter().copied().map(FleetNotice::Load));
-            notices.push(FleetNotice::PeerLoads(
+            events.extend(heartbeat.servers.iter().copied().map(NodeEvent::Load));
+            events.push(NodeEvent::PeerLoads(
                 heartbeat.from.clone(),
                 heartbeat.loads.clone(),
             ));
             if !heartbeat.reads.is_empty() {
                 self.reads.record(&heartbeat.reads, now);
-                notices.push(FleetNotice::PeerReads(heartbeat.reads.clone()));
+                events.push(NodeEvent::PeerReads(heartbeat.reads.clone()));
             }
             if !heartbeat.unresponsive.is_empty() {
-                notices
-                    .push(FleetNotice::PeerUnresponsive(heartbeat.unresponsive.clone()));
+                events.push(NodeEvent::PeerUnresponsive(heartbeat.unresponsive.clone()));
             }
         }
         if heartbeat.version > self.version() {
-            notices.push(FleetNotice::Version(heartbeat.version, info));
+            events.push(NodeEvent::Version(heartbeat.version, info));
         }
-        (self.reply_to(heartbeat, now), notices)
+        (self.reply_to(heartbeat, now), events)
     }
 
     /// Handles a peer's reply and returns the resulting notices.
@@ -140,7 +139,7 @@
         from: &InstanceName,
         reply: &HeartbeatReply,
         now: Duration,
-    ) -> Vec<FleetNotice> {
+    ) -> Vec<NodeEvent> {
         self.record_duty_holder(reply.duty);
         for info in &reply.peers {
             self.forget_seed(info);
@@ -154,17 +153,16 @@
         let changed = before != peer.is_alive(now, timeout);
         peer.record_liveness_change(changed);
         let info = peer.info.clone();
-        let shares = reply.shares.iter().map(|share| FleetNotice::Share(*share, until));
-        let rate_shares =
-            reply.parts.iter().map(|share| FleetNotice::Rate(*share, until));
-        let mut notices: Vec<_> = shares.chain(rate_shares).collect();
+        let shares = reply.shares.iter().map(|share| NodeEvent::Share(*share, until));
+        let rate_shares = reply.parts.iter().map(|share| NodeEvent::Rate(*share, until));
+        let mut events: Vec<_> = shares.chain(rate_shares).collect();
         if reply.version > self.version() {
-            notices.push(FleetNotice::Version(reply.version, info));
+            events.push(NodeEvent::Version(reply.version, info));
         }
         if changed || !reply.peers.is_empty() {
             self.update_live(now);
         }
-        notices
+        events
     }
 
     /// Builds the heartbeat to a peer.
--- a/crates/flaxtide-fleet/src/node/mod.rs
+++ b/crates/flaxtide-fleet/src/node/mod.rs
@@ -24,7 +24,7 @@
 
 use self::crashes::CrashState;
 pub use self::crashes::OutgoingCrashes;
-use self::digest::GroupReads;
+use self::digest::GroupPrefills;
 pub use self::digest::OutgoingHello;
 use self::group::GroupState;
 pub use self::pushback::OutgoingPushback;
@@ -95,7 +95,7 @@
 
 /// Something learned from peers that this instance has to act on.
 #[derive(Debug, Clone, PartialEq)]
-pub enum FleetNotice {
+pub enum NodeEvent {
     /// A server's load, with the age of the report.
     Load(ServerDigest),
     /// This instance's share of a server's slots, and when the share expires.
@@ -134,7 +134,7 @@
     /// The group of the instance, and what is known of other groups.
     group: GroupState,
     /// The prompt parts recently prefilled for peers of the group.
-    reads: GroupReads,
+    reads: GroupPrefills,
     /// The known server crashes, and which peers have them.
     crashes: CrashState,
     /// The known limits and departures of servers, and which peers have them.
@@ -162,9 +162,9 @@
     /// When the last round of heartbeats was sent.
     last_round_at: Option<Duration>,
     /// The earliest time at which updates may be sent before the period is over.
-    updates_allowed_at: Duration,
+    early_round_allowed_at: Duration,
     /// Whether there is something that peers should learn before the period is over.
-    has_updates: bool,
+    has_urgent_changes: bool,
     /// The number of rounds of heartbeats sent.
     rounds: u64,
     /// Whether the platform's list of instances couldn't be read last time.
@@ -191,7 +191,7 @@
             own,
             epoch,
             group: GroupState::new(timing.single_group_limit),
-            reads: GroupReads::default(),
+            reads: GroupPrefills::default(),
             crashes: CrashState::default(),
             pushback: PushbackState::default(),
             duty: None,
@@ -208,8 +208,8 @@
             usage: BTreeMap::new(),
             usage_counted_at: None,
             last_round_at: None,
-            updates_allowed_at: Duration::ZERO,
-            has_updates: false,
+            early_round_allowed_at: Duration::ZERO,
+            has_urgent_changes: false,
             rounds: 0,
             list_failed: true,
             live: vec![],
@@ -341,11 +341,12 @@
         }
         self.usage.retain(|_, rate| *rate > MIN_USAGE_PER_SECOND);
         let newly_unresponsive = |key| !self.status.unresponsive.contains(key);
-        self.has_updates |= has_load_increase(
-            &self.status.loads,
-            &status.loads,
-            self.timing.update_units,
-        ) || status.unresponsive.iter().any(newly_unresponsive);
+        self.has_urgent_changes |=
+            has_load_increase(
+                &self.status.loads,
+                &status.loads,
+                self.timing.early_round_load_units,
+            ) || status.unresponsive.iter().any(newly_unresponsive);
         self.status = status;
         self.update_live(now);
     }
--- a/crates/flaxtide-fleet/src/node/pushback.rs
+++ b/crates/flaxtide-fleet/src/node/pushback.rs
@@ -7,7 +7,7 @@
 use flaxtide_core::InstanceName;
 use flaxtide_policy::{IncarnationKey, PushbackLog, PushbackReport, ReportEffect};
 
-use super::{FleetNode, FleetNotice};
+use super::{FleetNode, NodeEvent};
 use crate::changes::ChangeQueue;
 use crate::info::PeerInfo;
 use crate::notice::PendingNotice;
@@ -94,7 +94,7 @@
         &mut self,
         notice: &PushbackNotice,
         now: Duration,
-    ) -> Vec<FleetNotice> {
+    ) -> Vec<NodeEvent> {
         let forwards = !notice.to_all && !self.in_own_data_centre(&notice.from);
         let mut new_reports = vec![];
         for report in &notice.reports {
@@ -113,7 +113,7 @@
         if new_reports.is_empty() {
             vec![]
         } else {
-            vec![FleetNotice::Pushback(new_reports)]
+            vec![NodeEvent::Pushback(new_reports)]
         }
     }
 
--- a/crates/flaxtide-fleet/src/node/timing.rs
+++ b/crates/flaxtide-fleet/src/node/timing.rs
@@ -15,12 +15,12 @@
     /// The cost of a round of updates for each known instance, as the time until the next round
     /// may be sent ahead of the period. A heartbeat with its reply takes 406 bytes, of 17 KB/s
     /// for all.
-    pub update_cost_per_instance: Duration,
+    pub early_round_cost_per_instance: Duration,
     /// How many rounds of updates may be sent in a burst.
-    pub update_burst: u32,
+    pub early_round_burst: u32,
     /// How many more prompt tokens must wait for prefill at a server to be an update, in units
     /// of 16 tokens.
-    pub update_units: u16,
+    pub early_round_load_units: u16,
     /// The largest fleet that is a single group whatever its data centres; 0 if each data
     /// centre is always a group of its own.
     pub single_group_limit: u32,
@@ -45,9 +45,9 @@
             longest_period: Duration::from_millis(2500),
             shortest_period: Duration::from_millis(200),
             period_per_instance: Duration::from_millis(43),
-            update_cost_per_instance: Duration::from_millis(24),
-            update_burst: 3,
-            update_units: 48,
+            early_round_cost_per_instance: Duration::from_millis(24),
+            early_round_burst: 3,
+            early_round_load_units: 48,
             single_group_limit: 0,
             shortest_digest_period: Duration::from_millis(500),
             longest_digest_period: Duration::from_secs(5),
--- a/crates/flaxtide-fleet/src/rows.rs
+++ b/crates/flaxtide-fleet/src/rows.rs
@@ -87,7 +87,7 @@
 }
 
 /// A question to a peer for the rows that it has read.
-pub struct RowQuestion {
+pub struct RowRequest {
     /// The address of the peer.
     pub peer: SocketAddr,
     /// The version after which changes are wanted.
@@ -100,8 +100,8 @@
     pub answer: Box<dyn FnOnce(RowAnswer) + Send>,
 }
 
-impl std::fmt::Debug for RowQuestion {
+impl std::fmt::Debug for RowRequest {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "RowQuestion to {} after {}", self.peer, self.after)
+        write!(formatter, "RowRequest to {} after {}", self.peer, self.after)
     }
 }
--- a/crates/flaxtide-fleet/src/serve.rs
+++ b/crates/flaxtide-fleet/src/serve.rs
@@ -60,8 +60,8 @@
 impl PeerLink for PeerServer {
     async fn heartbeat(self, _: Context, heartbeat: FleetHeartbeat) -> HeartbeatReply {
         let now = self.shared.clock.now();
-        let (reply, notices) = self.shared.node().handle_heartbeat(&heartbeat, now);
-        self.shared.notify(notices);
+        let (reply, events) = self.shared.node().handle_heartbeat(&heartbeat, now);
+        self.shared.emit(events);
         reply
     }
 
@@ -72,15 +72,15 @@
 
     async fn crashes(self, _: Context, notice: CrashNotice) -> CrashReply {
         let now = self.shared.clock.now();
-        let (reply, notices) = self.shared.node().handle_crashes(&notice, now);
-        self.shared.notify(notices);
+        let (reply, events) = self.shared.node().handle_crashes(&notice, now);
+        self.shared.emit(events);
         reply
     }
 
     async fn pushback(self, _: Context, notice: PushbackNotice) {
         let now = self.shared.clock.now();
-        let notices = self.shared.node().handle_pushback(&notice, now);
-        self.shared.notify(notices);
+        let events = self.shared.node().handle_pushback(&notice, now);
+        self.shared.emit(events);
     }
 
     async fn usage(self, _: Context, notice: UsageNotice) -> bool {
--- a/crates/flaxtide-fleet/src/shared.rs
+++ b/crates/flaxtide-fleet/src/shared.rs
@@ -11,7 +11,7 @@
 use crate::duty::UsageExchange;
 use crate::info::PeerInfo;
 use crate::links::{PeerLinks, call_with_timeout};
-use crate::node::{FleetNode, FleetNotice};
+use crate::node::{FleetNode, NodeEvent};
 use crate::partial::PartialCopy;
 use crate::rows::RowSource;
 use crate::settings::{PieceProvider, SettingsCopy};
@@ -23,7 +23,7 @@
 /// What the fleet thread passes on to the rest of the instance.
 pub(crate) enum FleetOutput {
     /// The notices from one message of a peer.
-    Notices(Vec<FleetNotice>),
+    Events(Vec<NodeEvent>),
     /// Settings fetched from peers.
     Settings(SettingsCopy),
 }
@@ -141,9 +141,9 @@
     }
 
     /// Passes notices on to the rest of the instance.
-    pub(crate) fn notify(&self, notices: Vec<FleetNotice>) {
-        if !notices.is_empty() {
-            (self.output)(FleetOutput::Notices(notices));
+    pub(crate) fn emit(&self, events: Vec<NodeEvent>) {
+        if !events.is_empty() {
+            (self.output)(FleetOutput::Events(events));
         }
     }
 }
--- a/crates/flaxtide-fleet/src/thread.rs
+++ b/crates/flaxtide-fleet/src/thread.rs
@@ -20,10 +20,10 @@
 use crate::info::PeerInfo;
 use crate::links::call_with_timeout;
 use crate::node::{
-    FleetNode, FleetNotice, OutgoingCrashes, OutgoingHeartbeat, OutgoingHello,
+    FleetNode, NodeEvent, OutgoingCrashes, OutgoingHeartbeat, OutgoingHello,
     OutgoingPushback,
 };
-use crate::rows::{RowAnswer, RowQuestion, RowSource};
+use crate::rows::{RowAnswer, RowRequest, RowSource};
 use crate::serve::serve;
 use crate::settings::SettingsCopy;
 use crate::shared::{ANSWER_TIMEOUT, CallFault, FleetOutput, FleetShared};
@@ -34,20 +34,20 @@
 const POLL_PERIOD: Duration = Duration::from_millis(50);
 
 /// The shortest time between two rounds of heartbeats that are sent ahead of the period.
-const URGENT_PERIOD: Duration = Duration::from_millis(200);
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How often links to peers that are no longer known are closed.
 const LINK_PRUNE_PERIOD: Duration = Duration::from_secs(5);
 
 /// A command for the fleet thread.
 #[derive(Debug)]
-pub enum FleetEvent {
+pub enum FleetCommand {
     /// Changes the node.
     Update(FleetUpdate),
     /// Sends heartbeats without waiting for the period.
     SendHeartbeats,
     /// Asks a peer for the rows that it has read from the platform.
-    AskRows(RowQuestion),
+    AskRows(RowRequest),
     /// Ends the thread.
     Stop,
 }
@@ -93,7 +93,7 @@
     pub fn listen(
         address: SocketAddr,
         clock: MilliClock,
-        notices: impl Fn(Vec<FleetNotice>) + Send + Sync + 'static,
+        events: impl Fn(Vec<NodeEvent>) + Send + Sync + 'static,
         adopt: impl Fn(SettingsCopy) + Send + Sync + 'static,
         settings: impl Fn(SettingsVersion) -> Option<SettingsCopy> + Send + Sync + 'static,
         node: impl FnOnce(SocketAddr) -> FleetNode,
@@ -103,7 +103,7 @@
         let node = node(listener.local_addr()?);
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let output = move |output: FleetOutput| match output {
-            FleetOutput::Notices(received) => notices(received),
+            FleetOutput::Events(received) => events(received),
             FleetOutput::Settings(copy) => adopt(copy),
         };
         let shared = FleetShared::new(node, clock, Box::new(output), Box::new(settings));
@@ -140,13 +140,13 @@
     }
 
     /// Exchanges messages until told to stop.
-    pub fn run(self, events: &Receiver<FleetEvent>) {
+    pub fn run(self, commands: &Receiver<FleetCommand>) {
         let Self { listener, runtime, shared } = self;
         runtime.block_on(async {
             match TcpListener::from_std(listener) {
                 Ok(listener) => {
                     tokio::spawn(serve(listener, shared.clone()));
-                    run_loop(&shared, events).await;
+                    run_loop(&shared, commands).await;
                 }
                 Err(cause) => log::error!("failed to listen for peers: {cause}"),
             }
@@ -157,18 +157,18 @@
 }
 
 /// Handles events and sends messages until told to stop.
-async fn run_loop(shared: &Arc<FleetShared>, events: &Receiver<FleetEvent>) {
-    let mut urgent = UrgentRound::default();
+async fn run_loop(shared: &Arc<FleetShared>, commands: &Receiver<FleetCommand>) {
+    let mut requested_round = RequestedRound::default();
     let mut fetch = None;
     let mut links_pruned_at = Duration::ZERO;
     let mut usage = UsageSender::default();
-    while handle_events(shared, events, &mut urgent) {
+    while handle_commands(shared, commands, &mut requested_round) {
         let now = shared.clock.now();
         fetch_if_due(shared, &mut fetch, now);
         let mut heartbeats = shared.node().due_heartbeats(now);
-        if heartbeats.is_empty() && urgent.is_due(now) {
-            urgent = UrgentRound { requested: false, last: Some(now) };
-            heartbeats = shared.node().urgent_heartbeats();
+        if heartbeats.is_empty() && requested_round.is_due(now) {
+            requested_round = RequestedRound { requested: false, last: Some(now) };
+            heartbeats = shared.node().requested_heartbeats();
         }
         for heartbeat in heartbeats {
             tokio::spawn(send_heartbeat(shared.clone(), heartbeat));
@@ -197,38 +197,38 @@
 
 /// The state of heartbeats sent ahead of the period.
 #[derive(Debug, Default)]
-struct UrgentRound {
+struct RequestedRound {
     /// Whether such a round has been requested and not yet sent.
     requested: bool,
     /// When the last such round was sent.
     last: Option<Duration>,
 }
 
-impl UrgentRound {
+impl RequestedRound {
     /// Returns whether to send such a round now.
     fn is_due(&self, now: Duration) -> bool {
-        self.requested && self.last.is_none_or(|at| now >= at + URGENT_PERIOD)
+        self.requested && self.last.is_none_or(|at| now >= at + MIN_REQUEST_INTERVAL)
     }
 }
 
 /// Handles all queued events. Returns whether to go on.
-fn handle_events(
+fn handle_commands(
     shared: &Arc<FleetShared>,
-    events: &Receiver<FleetEvent>,
-    urgent: &mut UrgentRound,
+    commands: &Receiver<FleetCommand>,
+    requested_round: &mut RequestedRound,
 ) -> bool {
     loop {
-        match events.try_recv() {
-            Ok(FleetEvent::Update(FleetUpdate(update))) => {
+        match commands.try_recv() {
+            Ok(FleetCommand::Update(FleetUpdate(update))) => {
                 let now = shared.clock.now();
                 update(&mut shared.node(), now);
             }
-            Ok(FleetEvent::SendHeartbeats) => urgent.requested = true,
-            Ok(FleetEvent::AskRows(question)) => {
-                tokio::spawn(ask_rows(shared.clone(), question));
+            Ok(FleetCommand::SendHeartbeats) => requested_round.requested = true,
+            Ok(FleetCommand::AskRows(request)) => {
+                tokio::spawn(ask_rows(shared.clone(), request));
             }
             Err(TryRecvError::Empty) => return true,
-            Ok(FleetEvent::Stop) | Err(TryRecvError::Disconnected) => return false,
+            Ok(FleetCommand::Stop) | Err(TryRecvError::Disconnected) => return false,
         }
     }
 }
@@ -258,8 +258,8 @@
     };
     let Some(reply) = shared.call_peer(&to, ANSWER_TIMEOUT, ask).await else { return };
     let now = shared.clock.now();
-    let notices = shared.node().handle_reply(&to.name, &reply, now);
-    shared.notify(notices);
+    let events = shared.node().handle_reply(&to.name, &reply, now);
+    shared.emit(events);
 }
 
 /// Requests the digest of a contact in another data centre.
@@ -270,8 +270,8 @@
     };
     let Some(digest) = shared.call_peer(&to, ANSWER_TIMEOUT, ask).await else { return };
     let now = shared.clock.now();
-    let notices = shared.node().handle_digest(&digest, now);
-    shared.notify(notices);
+    let events = shared.node().handle_digest(&digest, now);
+    shared.emit(events);
 }
 
 /// Sends a crash notice to a peer and handles the reply.
@@ -286,8 +286,8 @@
     };
     let Some(reply) = send_notice(&shared, &to, faults, call).await else { return };
     let now = shared.clock.now();
-    let notices = shared.node().handle_crash_reply(&to.name, &reply, now);
-    shared.notify(notices);
+    let events = shared.node().handle_crash_reply(&to.name, &reply, now);
+    shared.emit(events);
 }
 
 /// Sends a pushback notice to a peer and records that it was received.
@@ -338,8 +338,8 @@
 
 /// Asks a peer for the rows that it has read. A late answer doesn't close the link: heartbeats
 /// tell whether the peer is alive.
-async fn ask_rows(shared: Arc<FleetShared>, question: RowQuestion) {
-    let RowQuestion { peer, after, wait, margin, answer } = question;
+async fn ask_rows(shared: Arc<FleetShared>, request: RowRequest) {
+    let RowRequest { peer, after, wait, margin, answer } = request;
     let query = async {
         let Some(link) = shared.links.open(peer).await else {
             return RowAnswer::Unreachable;
--- a/crates/flaxtide-fleet/tests/common/mod.rs
+++ b/crates/flaxtide-fleet/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use flaxtide_fleet::{
-    FleetNode, FleetNotice, FleetTiming, NodeStatus, OutgoingCrashes, OutgoingPushback,
+    FleetNode, FleetTiming, NodeEvent, NodeStatus, OutgoingCrashes, OutgoingPushback,
     OwnLoad, PeerInfo,
 };
 use flaxtide_policy::{CallProgress, CrashLog, PushbackLog, PushbackReport, RequestRate};
@@ -273,19 +273,19 @@
     }
 
     /// Records what a node's notices report.
-    pub fn record_notices(&mut self, at: SocketAddr, notices: Vec<FleetNotice>) {
+    pub fn record_notices(&mut self, at: SocketAddr, notices: Vec<NodeEvent>) {
         for notice in notices {
             match notice {
-                FleetNotice::GroupLoads(data_centre, loads) => {
+                NodeEvent::GroupLoads(data_centre, loads) => {
                     self.sums.insert((at, data_centre), loads);
                 }
-                FleetNotice::Pushback(reports) => {
+                NodeEvent::Pushback(reports) => {
                     let log = self.pushback.entry(at).or_default();
                     for report in reports {
                         log.apply(&report, self.now);
                     }
                 }
-                FleetNotice::Crashes(reports) => {
+                NodeEvent::Crashes(reports) => {
                     let log = self.crashes.entry(at).or_default();
                     for report in reports {
                         log.apply(&report, self.now);
--- a/crates/flaxtide-fleet/tests/node.rs
+++ b/crates/flaxtide-fleet/tests/node.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use flaxtide_fleet::{
-    FleetKey, FleetNode, FleetNotice, FleetServer, FleetTiming, ListReader, NodeStatus,
+    FleetKey, FleetNode, FleetServer, FleetTiming, ListReader, NodeEvent, NodeStatus,
     PeerInfo, PoolDemand, UsageCount, fleet_key,
 };
 
@@ -100,7 +100,7 @@
         let status = self.statuses[name].clone();
         let node = self.nodes.get_mut(name).unwrap();
         node.set_status(status, now);
-        let own = node.own_notices(now);
+        let own = node.own_share_events(now);
         let heartbeats = node.due_heartbeats(now);
         self.apply_notices(name, own);
         for outgoing in heartbeats {
@@ -118,26 +118,26 @@
     }
 
     /// Records a node's notices.
-    fn apply_notices(&mut self, name: &str, notices: Vec<FleetNotice>) {
+    fn apply_notices(&mut self, name: &str, notices: Vec<NodeEvent>) {
         for notice in notices {
             match notice {
-                FleetNotice::PeerLoads(..)
-                | FleetNotice::GroupLoads(..)
-                | FleetNotice::PeerReads(_)
-                | FleetNotice::PeerUnresponsive(_)
-                | FleetNotice::Crashes(_)
-                | FleetNotice::Pushback(_) => {}
-                FleetNotice::Share(share, until) => {
+                NodeEvent::PeerLoads(..)
+                | NodeEvent::GroupLoads(..)
+                | NodeEvent::PeerReads(_)
+                | NodeEvent::PeerUnresponsive(_)
+                | NodeEvent::Crashes(_)
+                | NodeEvent::Pushback(_) => {}
+                NodeEvent::Share(share, until) => {
                     self.shares.insert((name.into(), share.server), (share.slots, until));
                 }
-                FleetNotice::Rate(rate, until) => {
+                NodeEvent::Rate(rate, until) => {
                     let share = f64::from(rate.part) / f64::from(u16::MAX);
                     self.rates.insert(name.into(), (share, until));
                 }
-                FleetNotice::Version(version, _) => {
+                NodeEvent::Version(version, _) => {
                     self.nodes.get_mut(name).unwrap().set_version(version);
                 }
-                FleetNotice::Load(_) => {}
+                NodeEvent::Load(_) => {}
             }
         }
     }
--- a/crates/flaxtide-fleet/tests/transfer.rs
+++ b/crates/flaxtide-fleet/tests/transfer.rs
@@ -8,7 +8,7 @@
 use crossbeam::channel::{Sender, bounded};
 use flaxtide_core::MilliClock;
 use flaxtide_fleet::{
-    FleetEvent, FleetNode, FleetThread, FleetTiming, FleetUpdate, LinkBytes, PeerInfo,
+    FleetCommand, FleetNode, FleetThread, FleetTiming, FleetUpdate, LinkBytes, PeerInfo,
     SettingsCopy,
 };
 use flaxtide_standin::{NetworkRelay, RelayFault};
@@ -33,7 +33,7 @@
 struct Instance {
     info: PeerInfo,
     relay: NetworkRelay,
-    events: Sender<FleetEvent>,
+    events: Sender<FleetCommand>,
     bytes: LinkBytes,
     version: Arc<AtomicU64>,
 }
@@ -65,7 +65,7 @@
                 let version = copy.version;
                 *adopted_copy.lock().unwrap() = Some(copy);
                 let update = FleetUpdate::new(move |node, _| node.set_version(version));
-                own_events.send(FleetEvent::Update(update)).unwrap();
+                own_events.send(FleetCommand::Update(update)).unwrap();
             },
             move |newer_than| {
                 let copy = served_copy.lock().unwrap().clone();
@@ -97,7 +97,7 @@
     fn meet(&self, peer: &Self) {
         let info = peer.info.clone();
         let update = FleetUpdate::new(move |node, _| node.add_peer(info, true));
-        self.events.send(FleetEvent::Update(update)).unwrap();
+        self.events.send(FleetCommand::Update(update)).unwrap();
     }
 
     /// Returns the instance's version in force.
--- a/crates/flaxtide/src/fleet.rs
+++ b/crates/flaxtide/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use flaxtide_core::{ServerId, SettingsTree, SettingsVersion};
 use flaxtide_fleet::{
-    FleetNode, FleetNotice, FleetServer, FleetThread, FleetTiming, NodeStatus, PeerInfo,
+    FleetNode, FleetServer, FleetThread, FleetTiming, NodeEvent, NodeStatus, PeerInfo,
     PoolDemand, ServerDigest, SettingsCopy, UsageCount,
 };
 use flaxtide_policy::{LoadReport, PolicyEvent};
@@ -108,7 +108,7 @@
     last: &NodeState,
     now: Duration,
 ) -> NodeState {
-    hear(shared, &node.own_notices(now));
+    hear(shared, &node.own_share_events(now));
     let view = shared.view();
     let state = NodeState {
         generation: node.generation(),
@@ -189,13 +189,13 @@
 }
 
 /// Takes in what has been heard in one message, and tells the decision core at once.
-fn hear(shared: &SharedState, news: &[FleetNotice]) {
+fn hear(shared: &SharedState, news: &[NodeEvent]) {
     let view = shared.view();
     let mut leaving = vec![];
     let mut events = vec![];
     for news in news {
         match *news {
-            FleetNotice::Load(digest) => {
+            NodeEvent::Load(digest) => {
                 let Some(server) = view.server_with_key(digest.server) else { continue };
                 events.push(PolicyEvent::Report(report_of(
                     server,
@@ -204,26 +204,26 @@
                 )));
                 leaving.push((server, digest.leaving));
             }
-            FleetNotice::Share(share, until) => {
+            NodeEvent::Share(share, until) => {
                 let Some(server) = view.server_with_key(share.server) else { continue };
                 let slots = u32::from(share.slots);
                 events.push(PolicyEvent::Share { server, slots, until });
             }
-            FleetNotice::Rate(rate, until) => {
+            NodeEvent::Rate(rate, until) => {
                 let organisation = view.limited_with_key(rate.organisation);
                 let Some(organisation) = organisation else { continue };
                 let part = f64::from(rate.part) / f64::from(u16::MAX);
                 events.push(PolicyEvent::RateShare { organisation, part, until });
             }
             // The shares of slots already count what peers have at servers.
-            FleetNotice::PeerLoads(..)
-            | FleetNotice::GroupLoads(..)
-            | FleetNotice::PeerReads(_)
-            | FleetNotice::PeerUnresponsive(_)
+            NodeEvent::PeerLoads(..)
+            | NodeEvent::GroupLoads(..)
+            | NodeEvent::PeerReads(_)
+            | NodeEvent::PeerUnresponsive(_)
             // Its own interface keeps no requests in quarantine yet.
-            | FleetNotice::Crashes(_)
-            | FleetNotice::Pushback(_) => {}
-            FleetNotice::Version(version, ref _peer) => {
+            | NodeEvent::Crashes(_)
+            | NodeEvent::Pushback(_) => {}
+            NodeEvent::Version(version, ref _peer) => {
                 // A full ring wakes the thread as well.
                 let _ = shared.settings_news.try_send(version);
             }
--- a/crates/flaxtide/src/instance.rs
+++ b/crates/flaxtide/src/instance.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use crossbeam::channel::bounded;
-use flaxtide_fleet::FleetEvent;
+use flaxtide_fleet::FleetCommand;
 use serde::{Deserialize, Serialize};
 use tiny_http::Server;
 
@@ -163,7 +163,7 @@
         thread::sleep(LINGER);
         shared.stop();
         // The fleet thread takes events all the time, so its ring has room soon.
-        let _ = shared.fleet.send(FleetEvent::Stop);
+        let _ = shared.fleet.send(FleetCommand::Stop);
         for thread in self.threads {
             // A thread that panicked has said so.
             let _ = thread.join();
--- a/crates/flaxtide/src/shared.rs
+++ b/crates/flaxtide/src/shared.rs
@@ -7,7 +7,7 @@
 use crossbeam::channel::Sender;
 use crossbeam::sync::ShardedLock;
 use flaxtide_core::{AttemptId, MilliClock, RequestId, SettingsTree, SettingsVersion};
-use flaxtide_fleet::{FleetEvent, FleetNode, FleetUpdate, LinkBytes};
+use flaxtide_fleet::{FleetCommand, FleetNode, FleetUpdate, LinkBytes};
 use flaxtide_platform::{ClaimStore, LeaseStore, PlatformClient, SettingsStore};
 use flaxtide_policy::PolicyEvent;
 use rand::Rng;
@@ -53,7 +53,7 @@
     /// Wakes the settings thread; holds the version that is known to exist.
     pub(crate) settings_news: Sender<SettingsVersion>,
     /// The ring to the fleet thread.
-    pub(crate) fleet: Sender<FleetEvent>,
+    pub(crate) fleet: Sender<FleetCommand>,
     /// The bytes that went over the links to peers.
     pub(crate) link_bytes: ShardedLock<LinkBytes>,
     /// What is known of backend servers.
@@ -85,7 +85,7 @@
     /// To the settings thread.
     pub(crate) settings_news: Sender<SettingsVersion>,
     /// To the fleet thread.
-    pub(crate) fleet: Sender<FleetEvent>,
+    pub(crate) fleet: Sender<FleetCommand>,
 }
 
 impl SharedState {
@@ -164,7 +164,7 @@
         change: impl FnOnce(&mut FleetNode, Duration) + Send + 'static,
     ) {
         let update = FleetUpdate::new(change);
-        if self.fleet.try_send(FleetEvent::Update(update)).is_err() {
+        if self.fleet.try_send(FleetCommand::Update(update)).is_err() {
             log::warn!("the fleet thread is behind");
         }
     }
@@ -172,7 +172,7 @@
     /// Has all peers hear of this instance at once.
     pub(crate) fn hurry_fleet(&self) {
         // A full ring holds enough to wake the thread anyway.
-        let _ = self.fleet.try_send(FleetEvent::SendHeartbeats);
+        let _ = self.fleet.try_send(FleetCommand::SendHeartbeats);
     }
 
     /// Tells the decision thread what happened, in one message.
