--- a/crates/flaxtide-fleet/src/changes.rs
+++ b/crates/flaxtide-fleet/src/changes.rs
@@ -2,7 +2,8 @@
 
 use std::collections::VecDeque;
 
-/// The most changed keys that are kept for peers that haven't acknowledged them.
+/// The number of changed keys that are kept for peers that haven't acknowledged them. Beyond
+/// it, the oldest are dropped.
 const MAX_CHANGES: usize = 512;
 
 /// The keys whose reports changed, numbered in order. A key that changes again moves to the
--- a/crates/flaxtide-fleet/src/fetch.rs
+++ b/crates/flaxtide-fleet/src/fetch.rs
@@ -24,16 +24,16 @@
 #[derive(Debug)]
 enum ProviderOutcome {
     /// The settings are complete.
-    Whole(SettingsCopy),
+    Complete(SettingsCopy),
     /// The peer has nothing newer.
     NothingNewer,
     /// Settings at least as new came into force in the meantime, from the instance's own
     /// source.
-    Overtaken,
+    Superseded,
     /// The peer is sending settings to too many others.
     Busy,
-    /// The pieces of this version don't fit together, or the settings couldn't be put in force
-    /// before.
+    /// The pieces of this version don't fit together, or the same settings were already
+    /// rejected when they were to be put in force.
     Rejected(SettingsVersion),
     /// No answer arrived in time.
     Unresponsive,
@@ -43,9 +43,9 @@
     /// Returns the name used in the log.
     fn name(&self) -> &'static str {
         match self {
-            Self::Whole(_) => "whole",
+            Self::Complete(_) => "whole",
             Self::NothingNewer => "nothing newer",
-            Self::Overtaken => "overtaken",
+            Self::Superseded => "overtaken",
             Self::Busy => "busy",
             Self::Rejected(_) => "rejected",
             Self::Unresponsive => "unresponsive",
@@ -72,13 +72,13 @@
         let took = shared.clock.now().saturating_sub(started_at);
         log_fetch(source, version, &outcome, &partial.assembly, took);
         match outcome {
-            ProviderOutcome::Whole(copy) => {
+            ProviderOutcome::Complete(copy) => {
                 let now = shared.clock.now();
                 shared.node().record_fetched(&copy, &source.info.name, now);
                 (shared.output)(FleetOutput::Settings(copy));
                 return;
             }
-            ProviderOutcome::Overtaken => return,
+            ProviderOutcome::Superseded => return,
             ProviderOutcome::Rejected(version) => {
                 shared.node().reject_provider(&source.info.name, version);
             }
@@ -103,7 +103,7 @@
         let question = partial.assembly.question(requester);
         let in_force = shared.node().version();
         if in_force > question.newer_than.max(question.version.saturating_sub(1)) {
-            return ProviderOutcome::Overtaken;
+            return ProviderOutcome::Superseded;
         }
         let ask = |client: PeerLinkClient, context| async move {
             client.settings(context, question).await
@@ -121,7 +121,7 @@
             PieceOutcome::Partial => {
                 partial.record_piece(source, shared.clock.now());
             }
-            PieceOutcome::Whole(copy) => return ProviderOutcome::Whole(copy),
+            PieceOutcome::Complete(copy) => return ProviderOutcome::Complete(copy),
             PieceOutcome::Rejected => return ProviderOutcome::Rejected(piece.version),
         }
     }
@@ -142,6 +142,6 @@
         peer = source.info.name, newer_than, outcome = outcome.name(),
         version = assembly.version(), left_off_at = assembly.received_bytes(),
         took_ms = took.as_millis() as u64;
-        "settings requested from peer"
+        "settings fetch from peer ended"
     );
 }
--- a/crates/flaxtide-fleet/src/links.rs
+++ b/crates/flaxtide-fleet/src/links.rs
@@ -21,8 +21,8 @@
 /// How long a link may take to open.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long no new attempt is made after a link couldn't be opened. Calls that waited for it
-/// fail with it, instead of trying one after the other.
+/// How long no new attempt is made after a link couldn't be opened. Calls that waited for the
+/// link fail together with the attempt, instead of each trying in turn.
 pub(crate) const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
 /// How long a call is awaited past its deadline. tarpc doesn't end a call at its deadline if
@@ -33,7 +33,7 @@
 #[derive(Default)]
 pub(crate) struct PeerLinks {
     /// The state of the link to each address.
-    slots: Mutex<HashMap<SocketAddr, Arc<LinkSlot>>>,
+    links: Mutex<HashMap<SocketAddr, Arc<LinkEntry>>>,
     /// The number of the next link.
     next_number: AtomicU64,
     /// The counters of the bytes on all links.
@@ -41,7 +41,7 @@
 }
 
 /// The state of the link to one address, locked while the link is being opened.
-type LinkSlot = tokio::sync::Mutex<LinkState>;
+type LinkEntry = tokio::sync::Mutex<LinkState>;
 
 /// The state of the link to one address.
 #[derive(Default)]
@@ -65,8 +65,8 @@
     /// Returns the link to an address, opening it if needed. Calls that arrive while it is
     /// being opened wait for it. Returns `None` if it can't be opened.
     pub(crate) async fn open(&self, address: SocketAddr) -> Option<OpenLink> {
-        let slot = self.slot(address);
-        let mut state = slot.lock().await;
+        let entry = self.entry(address);
+        let mut state = entry.lock().await;
         if state.open.is_some() {
             return state.open.clone();
         }
@@ -89,31 +89,31 @@
 
     /// Closes a link unless another one has replaced it.
     pub(crate) async fn close(&self, address: SocketAddr, link: &OpenLink) {
-        let slot = self.slot(address);
-        let mut state = slot.lock().await;
+        let entry = self.entry(address);
+        let mut state = entry.lock().await;
         if state.open.as_ref().is_some_and(|open| open.number == link.number) {
             state.open = None;
         }
     }
 
-    /// Drops the links to addresses that aren't wanted any more. Calls in flight on them are
-    /// still answered.
+    /// Drops the links to addresses that aren't wanted any more. An entry that a call is using
+    /// is kept.
     pub(crate) fn retain(&self, wanted: impl Fn(&SocketAddr) -> bool) {
-        let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
-        slots.retain(|address, slot| wanted(address) || Arc::strong_count(slot) > 1);
+        let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
+        links.retain(|address, entry| wanted(address) || Arc::strong_count(entry) > 1);
     }
 
-    /// Returns the slot of an address. Adding one removes unused slots.
-    fn slot(&self, address: SocketAddr) -> Arc<LinkSlot> {
-        let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(slot) = slots.get(&address) {
-            return slot.clone();
+    /// Returns the entry of an address. Adding one removes unused entries.
+    fn entry(&self, address: SocketAddr) -> Arc<LinkEntry> {
+        let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(entry) = links.get(&address) {
+            return entry.clone();
         }
-        slots.retain(|_, slot| {
-            Arc::strong_count(slot) > 1
-                || slot.try_lock().is_ok_and(|state| state.open.is_some())
+        links.retain(|_, entry| {
+            Arc::strong_count(entry) > 1
+                || entry.try_lock().is_ok_and(|state| state.open.is_some())
         });
-        slots.entry(address).or_default().clone()
+        links.entry(address).or_default().clone()
     }
 }
 
--- a/crates/flaxtide-fleet/src/node/crashes.rs
+++ b/crates/flaxtide-fleet/src/node/crashes.rs
@@ -46,7 +46,7 @@
     log: CrashLog,
     /// The requests with new reports for peers, in order.
     changes: ChangeQueue<Fingerprint>,
-    /// When the log was last due for a comparison, and how often it has been.
+    /// When a comparison was last scheduled, and how many have been scheduled.
     last_comparison: (Duration, u64),
     /// Whether a peer has answered a comparison since the start.
     has_synced: bool,
@@ -124,7 +124,7 @@
         due
     }
 
-    /// Handles a peer's notice. Returns the reply, and notices of the reports that are new.
+    /// Handles a peer's notice. Returns the reply, and an event with the reports that are new.
     pub fn handle_crashes(
         &mut self,
         notice: &CrashNotice,
@@ -139,7 +139,7 @@
         (CrashReply { reports, digest }, events)
     }
 
-    /// Handles the reply to a notice. Returns notices of the reports that are new.
+    /// Handles the reply to a notice. Returns an event with the reports that are new.
     pub fn handle_crash_reply(
         &mut self,
         from: &InstanceName,
@@ -175,9 +175,9 @@
         }
     }
 
-    /// Applies a peer's reports and returns notices of the new ones. `forwards` tells whether
-    /// to send these on to the group, because another data centre sends them to only a few
-    /// instances here.
+    /// Applies a peer's reports and returns an event with the new ones. `forwards` tells
+    /// whether to send these on to the group, because another data centre sends them to only a
+    /// few instances here.
     fn apply_crash_reports(
         &mut self,
         reports: &[CrashReport],
@@ -201,7 +201,8 @@
         }
     }
 
-    /// Marks the next peer for a comparison once the comparison period is over.
+    /// Marks the next peer for a comparison, and drops expired reports, once the comparison
+    /// period is over.
     fn schedule_comparison(&mut self, now: Duration) {
         let (at, round) = self.crashes.last_comparison;
         if now < at + COMPARE_PERIOD || self.crashes.log.is_empty() {
@@ -228,14 +229,14 @@
         is_due: impl Fn(&NoticeState) -> bool,
     ) -> Vec<InstanceName> {
         let timeout = self.liveness_timeout();
-        let local = self.peers.values().filter(|peer| {
+        let in_group = self.peers.values().filter(|peer| {
             self.in_own_group(peer)
                 && is_due(state(peer))
                 && peer.heard_within(now, timeout)
         });
         let remote = self.contacts_to_notify(now).into_iter();
         let remote = remote.filter(|peer| is_due(state(peer)));
-        let recipients = local.chain(remote).filter(|peer| state(peer).may_send(now));
+        let recipients = in_group.chain(remote).filter(|peer| state(peer).may_send(now));
         recipients.map(|peer| peer.info.name.clone()).collect()
     }
 
--- a/crates/flaxtide-fleet/src/node/digest.rs
+++ b/crates/flaxtide-fleet/src/node/digest.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Applies the digest of another data centre and returns the resulting notices.
+    /// Applies the digest of another data centre and returns the resulting events.
     pub fn handle_digest(
         &mut self,
         digest: &GroupDigest,
--- a/crates/flaxtide-fleet/src/node/divide.rs
+++ b/crates/flaxtide-fleet/src/node/divide.rs
@@ -132,8 +132,8 @@
     /// Returns this group's share of a rate: the fraction of known instances that are in
     /// it.
     pub(super) fn group_share(&self) -> f64 {
-        let local =
+        let in_group =
             self.peers.values().filter(|peer| self.in_own_group(peer)).count() + 1;
-        local as f64 / (self.peers.len() + 1) as f64
+        in_group as f64 / (self.peers.len() + 1) as f64
     }
 }
--- a/crates/flaxtide-fleet/src/node/duty.rs
+++ b/crates/flaxtide-fleet/src/node/duty.rs
@@ -9,15 +9,15 @@
 
 /// The number of candidates in a single group. If each data centre is a group, each has one
 /// candidate.
-const MAX_CANDIDATES: usize = 3;
+const SINGLE_GROUP_CANDIDATES: usize = 3;
 
-/// How long after its start an instance isn't a candidate: until it knows its peers, and they
-/// know the candidates.
-const STARTUP_DELAY: Duration = Duration::from_millis(1500);
+/// How long after its start an instance isn't a candidate: until it knows its peers, and that
+/// some of them are candidates.
+const CANDIDACY_DELAY: Duration = Duration::from_millis(1500);
 
 impl FleetNode {
-    /// Records the holder of the duties if it is newer than the known one, which is the one
-    /// with the lower fencing token.
+    /// Records the holder of the duties unless the known one has a higher or equal fencing
+    /// token.
     pub fn record_duty_holder(&mut self, holder: Option<DutyHolder>) {
         if holder > self.duty {
             self.duty = holder;
@@ -36,10 +36,10 @@
     /// many or too few for a while is harmless.
     #[must_use]
     pub fn is_duty_candidate(&self, now: Duration) -> bool {
-        if self.leaving || now < STARTUP_DELAY {
+        if self.leaving || now < CANDIDACY_DELAY {
             return false;
         }
-        let count = if self.group.is_single { MAX_CANDIDATES } else { 1 };
+        let count = if self.group.is_single { SINGLE_GROUP_CANDIDATES } else { 1 };
         let end = count.min(self.reader_order.len());
         let candidates = self.reader_order[..end].iter();
         self.reader_order.is_empty()
--- a/crates/flaxtide-fleet/src/node/group.rs
+++ b/crates/flaxtide-fleet/src/node/group.rs
@@ -23,8 +23,8 @@
 const CONTACTS_PER_GROUP: usize = 4;
 
 /// How long the last instance count of another data centre stays valid. A data centre that is
-/// cut off still uses shared resources, such as the retry budget, so its instances keep
-/// counting.
+/// cut off still uses shared resources, such as the retry budget, so its instances are still
+/// counted.
 const COUNT_LIFETIME: Duration = Duration::from_secs(60);
 
 /// How long a contact may take to answer before another one is tried.
@@ -120,20 +120,21 @@
         info.data_centre == self.own.data_centre
     }
 
-    /// Returns the known size of the fleet: the live instances of the group, and the last
-    /// instance counts of other data centres.
+    /// Returns the known size of the fleet: the live instances of the group, the last instance
+    /// counts of other data centres, and the known instances of data centres without a valid
+    /// count.
     #[must_use]
     pub fn fleet_size(&self, now: Duration) -> u32 {
-        let local = self.live.len() as u32;
+        let in_group = self.live.len() as u32;
         if self.group.is_single {
-            return local;
+            return in_group;
         }
         let others = &self.group.others;
         let count = |name: &DataCentreName| others.get(name).and_then(|it| it.count(now));
         let counted: u32 = others.keys().filter_map(&count).sum();
         let remote = self.peers.values().filter(|peer| !self.in_own_group(peer));
         let uncounted = remote.filter(|peer| count(&peer.info.data_centre).is_none());
-        local + counted + uncounted.count() as u32
+        in_group + counted + uncounted.count() as u32
     }
 
     /// Divides a fleet that has grown over the limit into groups, and merges a divided fleet
@@ -207,8 +208,8 @@
     }
 
     /// Returns the contact in another data centre if it is to be called now. A contact that
-    /// hasn't answered is replaced at once if another is known, and otherwise called again
-    /// after the digest period.
+    /// hasn't answered within the answer wait is replaced if another is known, and otherwise
+    /// called again after the digest period.
     fn due_contact(&mut self, other: &DataCentreName, now: Duration) -> Option<PeerInfo> {
         let (version, duty) = (self.version(), self.duty);
         let replaceable = self.peers_in(other).count() > 1;
@@ -277,7 +278,7 @@
             .collect()
     }
 
-    /// Returns the instances that a peer is counts of: all of the group if the peer belongs to
+    /// Returns the instances that are listed to a peer: all of the group if the peer belongs to
     /// it, and a few of each other data centre.
     pub(super) fn peers_for(
         &self,
--- a/crates/flaxtide-fleet/src/node/heartbeats.rs
+++ b/crates/flaxtide-fleet/src/node/heartbeats.rs
@@ -14,16 +14,18 @@
 
 impl FleetNode {
     /// Returns the heartbeats that are due: when the period is over, or sooner if there are
-    /// updates and the traffic budget allows it.
+    /// urgent changes and the traffic budget allows an early round.
     pub fn due_heartbeats(&mut self, now: Duration) -> Vec<OutgoingHeartbeat> {
         if self.last_round_at.is_some_and(|at| now < at + self.period())
             && !self.may_send_early(now)
         {
             return vec![];
         }
+        // A token bucket in units of time: each round uses up `cost`, and the allowance for at most
+        // `early_round_burst` rounds is saved up.
         let cost = self.timing.early_round_cost_per_instance * self.known_group_size();
-        let saved = now.saturating_sub(cost * self.timing.early_round_burst);
-        self.early_round_allowed_at = self.early_round_allowed_at.max(saved) + cost;
+        let burst_start = now.saturating_sub(cost * self.timing.early_round_burst);
+        self.early_round_allowed_at = self.early_round_allowed_at.max(burst_start) + cost;
         self.has_urgent_changes = false;
         self.last_round_at = Some(now);
         self.rounds += 1;
@@ -32,7 +34,7 @@
         self.heartbeats()
     }
 
-    /// Returns whether there are updates and the traffic budget allows sending them now.
+    /// Returns whether there are urgent changes and the traffic budget allows an early round.
     fn may_send_early(&self, now: Duration) -> bool {
         self.has_urgent_changes && self.early_round_allowed_at <= now
     }
@@ -44,9 +46,9 @@
         heartbeats
     }
 
-    /// Returns heartbeats that announce a new settings version, or that this instance is
-    /// stopping. Peers that are known to have the version are left out: otherwise each instance
-    /// that fetches it from a peer would announce it to all others.
+    /// Returns the heartbeats of a requested round, which announce a new settings version or
+    /// that this instance is stopping. Peers that are known to have the version are left out:
+    /// otherwise each instance that fetches it from a peer would announce it to all others.
     pub fn requested_heartbeats(&mut self) -> Vec<OutgoingHeartbeat> {
         if self.leaving || !self.uses_digests() {
             return self.heartbeats();
@@ -71,16 +73,16 @@
             usage.entry(owner.unwrap_or_default()).or_default().push(entry);
         }
         let queried = self.peer_to_query();
-        let local = self.peers.values().filter(|peer| self.in_own_group(peer));
+        let in_group = self.peers.values().filter(|peer| self.in_own_group(peer));
         let remote = self.other_data_centre_targets();
-        let heartbeats = local.chain(remote).map(|peer| OutgoingHeartbeat {
+        let heartbeats = in_group.chain(remote).map(|peer| OutgoingHeartbeat {
             to: peer.info.clone(),
             heartbeat: self.heartbeat_to(peer, &usage, queried),
         });
         heartbeats.collect()
     }
 
-    /// Handles a peer's heartbeat. Returns the reply and the resulting notices.
+    /// Handles a peer's heartbeat. Returns the reply and the resulting events.
     pub fn handle_heartbeat(
         &mut self,
         heartbeat: &FleetHeartbeat,
@@ -98,7 +100,7 @@
         let mut changed = false;
         if let Some(peer) = self.peers.get_mut(&heartbeat.from) {
             if !peer.listed {
-                // For listed peers, the address in the platform's list is counts: a peer may not
+                // For listed peers, the address in the platform's list is used: a peer may not
                 // know the address at which it can be reached from here.
                 peer.info = info.clone();
             }
@@ -133,7 +135,7 @@
         (self.reply_to(heartbeat, now), events)
     }
 
-    /// Handles a peer's reply and returns the resulting notices.
+    /// Handles a peer's reply and returns the resulting events.
     pub fn handle_reply(
         &mut self,
         from: &InstanceName,
@@ -172,7 +174,7 @@
         usage: &BTreeMap<usize, Vec<UsageCount>>,
         queried: Option<&InstanceName>,
     ) -> FleetHeartbeat {
-        let local = self.in_own_group(peer);
+        let in_group = self.in_own_group(peer);
         let index = self.live.binary_search(&peer.info.name).ok();
         let counts = index.and_then(|index| usage.get(&index));
         FleetHeartbeat {
@@ -182,11 +184,15 @@
             epoch: self.epoch,
             leaving: self.leaving,
             version: self.version(),
-            demands: if local { self.status.demands.clone() } else { vec![] },
-            servers: if local { self.status.servers.clone() } else { vec![] },
-            loads: if local { self.status.loads.clone() } else { vec![] },
-            reads: if local { self.status.reads.clone() } else { vec![] },
-            unresponsive: if local { self.status.unresponsive.clone() } else { vec![] },
+            demands: if in_group { self.status.demands.clone() } else { vec![] },
+            servers: if in_group { self.status.servers.clone() } else { vec![] },
+            loads: if in_group { self.status.loads.clone() } else { vec![] },
+            reads: if in_group { self.status.reads.clone() } else { vec![] },
+            unresponsive: if in_group {
+                self.status.unresponsive.clone()
+            } else {
+                vec![]
+            },
             usage: counts.cloned().unwrap_or_default(),
             wants_peers: self.list_failed
                 && (peer.heard_at.is_none() || queried == Some(&peer.info.name)),
@@ -194,8 +200,9 @@
         }
     }
 
-    /// Returns the one peer that is queried for its list of peers in this round. Asking all of
-    /// them each time would make these lists most of the traffic.
+    /// Returns the one peer, besides those not heard from yet, that is queried for its list of
+    /// peers in this round. Asking all of them each time would make these lists most of the
+    /// traffic.
     fn peer_to_query(&self) -> Option<&InstanceName> {
         let can_query =
             |peer: &&PeerRecord| !self.uses_digests() || self.in_own_group(peer);
@@ -206,7 +213,7 @@
 
     /// Builds the reply to a heartbeat.
     fn reply_to(&self, heartbeat: &FleetHeartbeat, now: Duration) -> HeartbeatReply {
-        let local = heartbeat.data_centre == self.own.data_centre;
+        let same_data_centre = heartbeat.data_centre == self.own.data_centre;
         let organisations: Vec<FleetKey> =
             heartbeat.usage.iter().map(|usage| usage.organisation).collect();
         let from = &heartbeat.from;
@@ -214,8 +221,12 @@
             epoch: self.epoch,
             leaving: self.leaving,
             version: self.version(),
-            shares: if local { self.shares_of(from) } else { vec![] },
-            parts: if local { self.rate_shares_of(from, &organisations) } else { vec![] },
+            shares: if same_data_centre { self.shares_of(from) } else { vec![] },
+            parts: if same_data_centre {
+                self.rate_shares_of(from, &organisations)
+            } else {
+                vec![]
+            },
             peers: if heartbeat.wants_peers {
                 self.peers_for(&heartbeat.data_centre, now)
             } else {
--- a/crates/flaxtide-fleet/src/node/instance_group.rs
+++ b/crates/flaxtide-fleet/src/node/instance_group.rs
@@ -1,4 +1,5 @@
-//! The instances among which a limit that a server announces is divided.
+//! The instances among which a limit that a server announces is divided. Other than the group
+//! in which heartbeats are exchanged, an `InstanceGroup` also names the other data centres.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,14 +12,14 @@
 
 /// How long after its start an instance may not know its peers yet: two of the longest
 /// heartbeat periods.
-const STARTUP_DELAY: Duration = Duration::from_secs(5);
+const PEER_DISCOVERY_DELAY: Duration = Duration::from_secs(5);
 
 /// An instance group, with the state that it was built from.
 #[derive(Debug)]
 pub(super) struct CachedInstanceGroup {
     /// The node's generation when the group was built.
     generation: u64,
-    /// The other data centres with live instances, of which only a few instances are reusable.
+    /// The other data centres with live instances, of which only a few instances are known.
     others: Vec<FleetKey>,
     /// The group.
     group: Arc<InstanceGroup>,
@@ -28,8 +29,8 @@
     /// Returns the live instances that this one knows; `None` shortly after its start, while
     /// peers may be missing.
     pub fn instance_group(&mut self, now: Duration) -> Option<Arc<InstanceGroup>> {
-        let started = self.started?;
-        if now < started + STARTUP_DELAY && !self.seeds.is_empty() {
+        let started = self.status_first_set_at?;
+        if now < started + PEER_DISCOVERY_DELAY && !self.seeds.is_empty() {
             return None;
         }
         let others = self.other_data_centres(now);
@@ -50,7 +51,7 @@
         Some(group)
     }
 
-    /// Returns the other data centres with live instances of which only a few are reusable.
+    /// Returns the other data centres with live instances, of which only a few are known.
     fn other_data_centres(&self, now: Duration) -> Vec<FleetKey> {
         let timeout = self.contact_liveness_timeout();
         let remote = self
--- a/crates/flaxtide-fleet/src/node/lists.rs
+++ b/crates/flaxtide-fleet/src/node/lists.rs
@@ -4,12 +4,13 @@
 
 use super::FleetNode;
 use crate::key::fleet_key;
-use crate::rows::{ListPlan, ListReader, PEERS_PER_READER, STANDBYS};
+use crate::rows::{INSTANCES_PER_READER, ListPlan, ListReader, STANDBYS};
 
 impl FleetNode {
     /// Returns which instance reads lists from the platform for this one. Groups of fewer than
     /// `alone_below` instances have no readers. Instances that see different peers may
-    /// disagree; a peer that is asked but isn't a reader answers that it has no list.
+    /// disagree; a peer that is asked but isn't a reader answers that it doesn't know the
+    /// changes.
     #[must_use]
     pub fn list_reader(&self, alone_below: usize) -> ListReader {
         if self.live.len() < alone_below.max(2) {
@@ -46,7 +47,7 @@
 
     /// Returns how many instances of the group read lists for the others.
     fn reader_count(&self) -> usize {
-        self.live.len().div_ceil(PEERS_PER_READER)
+        self.live.len().div_ceil(INSTANCES_PER_READER)
     }
 
     /// Returns whether this instance is at one of these indexes of `live`.
--- a/crates/flaxtide-fleet/src/node/mod.rs
+++ b/crates/flaxtide-fleet/src/node/mod.rs
@@ -1,5 +1,5 @@
 //! The state of one instance in the fleet, without I/O: its inputs are messages and the time,
-//! its outputs are messages and notices.
+//! its outputs are messages and events.
 
 mod crashes;
 mod digest;
@@ -42,8 +42,9 @@
     ServerShare, UsageCount,
 };
 
-/// The weight of the newest count in the moving average of an organisation's request rate.
-const USAGE_SMOOTHING: f64 = 0.2;
+/// The weight of the newest count in the moving average of an organisation's request rate at
+/// this instance.
+const OWN_USAGE_SMOOTHING: f64 = 0.2;
 
 /// An instance watches at most this fraction more than an even share of the servers, because it
 /// reports each watched server to every peer.
@@ -56,7 +57,7 @@
 const FORGET_AFTER_TIMEOUTS: u32 = 12;
 
 /// The shortest interval that requests are divided by: counts over less give noisy rates.
-const MIN_COUNT_INTERVAL: Duration = Duration::from_millis(50);
+const MIN_STATUS_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A backend server of the data centre.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -93,7 +94,7 @@
     pub heartbeat: FleetHeartbeat,
 }
 
-/// Something learned from peers that this instance has to act on.
+/// A change learned from peers that the rest of the instance has to act on.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NodeEvent {
     /// A server's load, with the age of the report.
@@ -161,9 +162,10 @@
     usage_counted_at: Option<Duration>,
     /// When the last round of heartbeats was sent.
     last_round_at: Option<Duration>,
-    /// The earliest time at which updates may be sent before the period is over.
+    /// The earliest time at which the traffic budget allows an early round of heartbeats.
     early_round_allowed_at: Duration,
-    /// Whether there is something that peers should learn before the period is over.
+    /// Whether peers should learn of a change before the period is over: a higher load, an
+    /// unresponsive server, or a new duty holder.
     has_urgent_changes: bool,
     /// The number of rounds of heartbeats sent.
     rounds: u64,
@@ -176,7 +178,7 @@
     /// The servers that this instance watches.
     watched: Vec<FleetKey>,
     /// When the status was first set.
-    started: Option<Duration>,
+    status_first_set_at: Option<Duration>,
     /// The last result of `instance_group`.
     cached_group: Option<CachedInstanceGroup>,
     /// Increases whenever the watched servers or the fallback shares may have changed.
@@ -215,7 +217,7 @@
             live: vec![],
             reader_order: vec![],
             watched: vec![],
-            started: None,
+            status_first_set_at: None,
             cached_group: None,
             generation: 0,
         }
@@ -262,8 +264,9 @@
     }
 
     /// Forgets unlisted peers that have been silent for long, and contacts the seeds again if
-    /// no peer is left. A single group always contacts forgotten seeds again: they may be on
-    /// the other side of a network partition, and no other peer would report its end.
+    /// none of the remaining peers has been heard from. A single group always contacts
+    /// forgotten seeds again: they may be on the other side of a network partition, and no
+    /// other peer would report its end.
     fn forget_expired_peers(&mut self, now: Duration) {
         let timeout = self.liveness_timeout() * FORGET_AFTER_TIMEOUTS;
         let is_expired = |peer: &PeerRecord| {
@@ -324,18 +327,19 @@
 
     /// Sets what this instance publishes about itself.
     pub fn set_status(&mut self, status: NodeStatus, now: Duration) {
-        self.started.get_or_insert(now);
+        self.status_first_set_at.get_or_insert(now);
         let since = self
             .usage_counted_at
             .map_or(Duration::from_secs(1), |at| now.saturating_sub(at));
-        let seconds = since.max(MIN_COUNT_INTERVAL).as_secs_f64();
+        let seconds = since.max(MIN_STATUS_INTERVAL).as_secs_f64();
         self.usage_counted_at = Some(now);
         for rate in self.usage.values_mut() {
-            *rate *= 1.0 - USAGE_SMOOTHING;
+            *rate *= 1.0 - OWN_USAGE_SMOOTHING;
         }
         for usage in &status.usage {
             let rate = f64::from(usage.count) / seconds;
-            *self.usage.entry(usage.organisation).or_default() += USAGE_SMOOTHING * rate;
+            *self.usage.entry(usage.organisation).or_default() +=
+                OWN_USAGE_SMOOTHING * rate;
             *self.unsent_usage.entry(usage.organisation).or_default() +=
                 u32::from(usage.count);
         }
@@ -406,7 +410,7 @@
     }
 
     /// Returns the sorted names of the group's live instances, including this one, as of the
-    /// last event.
+    /// last message or status.
     #[must_use]
     pub fn live(&self) -> &[InstanceName] {
         &self.live
@@ -419,7 +423,7 @@
         self.generation
     }
 
-    /// Returns the servers that this instance watches, as of the last event.
+    /// Returns the servers that this instance watches, as of the last message or status.
     #[must_use]
     pub fn watched(&self) -> &[FleetKey] {
         &self.watched
--- a/crates/flaxtide-fleet/src/node/pushback.rs
+++ b/crates/flaxtide-fleet/src/node/pushback.rs
@@ -89,7 +89,7 @@
         due
     }
 
-    /// Handles a peer's notice. Returns notices of the reports that are new.
+    /// Handles a peer's notice. Returns an event with the reports that are new.
     pub fn handle_pushback(
         &mut self,
         notice: &PushbackNotice,
--- a/crates/flaxtide-fleet/src/node/timing.rs
+++ b/crates/flaxtide-fleet/src/node/timing.rs
@@ -12,14 +12,14 @@
     /// The heartbeat period for each known instance of the group, so that an instance's traffic
     /// doesn't depend on the size of the group.
     pub period_per_instance: Duration,
-    /// The cost of a round of updates for each known instance, as the time until the next round
-    /// may be sent ahead of the period. A heartbeat with its reply takes 406 bytes, of 17 KB/s
-    /// for all.
+    /// The cost of a round of heartbeats for each known instance of the group, as the time
+    /// until the next early round. A heartbeat with its reply takes 406 bytes, and control
+    /// traffic has a budget of 17 KB/s: 24 ms each.
     pub early_round_cost_per_instance: Duration,
-    /// How many rounds of updates may be sent in a burst.
+    /// How many early rounds may be sent in a burst.
     pub early_round_burst: u32,
-    /// How many more prompt tokens must wait for prefill at a server to be an update, in units
-    /// of 16 tokens.
+    /// How many more prompt tokens must wait for prefill at a server to cause an early round,
+    /// in units of 16 tokens.
     pub early_round_load_units: u16,
     /// The largest fleet that is a single group whatever its data centres; 0 if each data
     /// centre is always a group of its own.
--- a/crates/flaxtide-fleet/src/notice.rs
+++ b/crates/flaxtide-fleet/src/notice.rs
@@ -111,7 +111,7 @@
         self.paused_until = self.paused_until.max(now + RECONNECT_PAUSE);
     }
 
-    /// Records that the last notice broke its link.
+    /// Records that the last notice broke its link, and pauses notices after too many in a row.
     pub(crate) fn record_broken_link(&mut self, now: Duration) {
         self.pending = None;
         self.link_breaks += 1;
--- a/crates/flaxtide-fleet/src/peer.rs
+++ b/crates/flaxtide-fleet/src/peer.rs
@@ -94,11 +94,12 @@
 
     /// Applies the peer's heartbeat.
     pub(crate) fn apply_heartbeat(&mut self, heartbeat: &FleetHeartbeat, now: Duration) {
-        /// The weight of the newest count in the moving average of a request rate.
-        const USAGE_SMOOTHING: f64 = 0.5;
+        /// The weight of the newest count in the moving average of an organisation's request
+        /// rate at the peer.
+        const PEER_USAGE_SMOOTHING: f64 = 0.5;
         /// The shortest interval that requests are divided by: heartbeats may arrive in bursts,
         /// and counts over less give noisy rates.
-        const MIN_COUNT_INTERVAL: Duration = Duration::from_millis(100);
+        const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
         self.record_alive(heartbeat.epoch, heartbeat.leaving, heartbeat.version, now);
         self.demands.clone_from(&heartbeat.demands);
         self.loads.clone_from(&heartbeat.loads);
@@ -106,13 +107,14 @@
             .last_heartbeat_at
             .map_or(Duration::from_secs(1), |at| now.saturating_sub(at));
         self.last_heartbeat_at = Some(now);
-        let seconds = since.max(MIN_COUNT_INTERVAL).as_secs_f64();
+        let seconds = since.max(MIN_HEARTBEAT_INTERVAL).as_secs_f64();
         for rate in self.usage.values_mut() {
-            *rate *= 1.0 - USAGE_SMOOTHING;
+            *rate *= 1.0 - PEER_USAGE_SMOOTHING;
         }
         for usage in &heartbeat.usage {
             let rate = f64::from(usage.count) / seconds;
-            *self.usage.entry(usage.organisation).or_default() += USAGE_SMOOTHING * rate;
+            *self.usage.entry(usage.organisation).or_default() +=
+                PEER_USAGE_SMOOTHING * rate;
         }
         self.usage.retain(|_, rate| *rate > 1e-3);
     }
--- a/crates/flaxtide-fleet/src/rows.rs
+++ b/crates/flaxtide-fleet/src/rows.rs
@@ -9,12 +9,13 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-/// The number of instances for each list reader.
-pub(crate) const PEERS_PER_READER: usize = 32;
+/// A group has a list reader for each of this many instances, rounded up.
+pub(crate) const INSTANCES_PER_READER: usize = 32;
 
-/// The number of standbys of a group besides its readers. There are few of them, so that an
-/// outage of the platform affects few calls, but enough that a platform that rejects a third of
-/// the instances rarely rejects all readers and standbys.
+/// The number of standbys of a group besides its readers. A standby reads from the platform
+/// itself if no reader answers. There are few, so that an outage of the platform affects few
+/// calls, but enough that a platform that rejects a third of the instances rarely rejects all
+/// readers and standbys.
 pub(crate) const STANDBYS: usize = 2;
 
 /// The rendezvous hashing key by which all instances choose the same readers.
@@ -67,14 +68,14 @@
     /// Other instances that may have the list, in the order in which they are asked: the other
     /// readers, then the standbys.
     pub others: Vec<SocketAddr>,
-    /// The epochs of these instances, so that the restart of one changes the plan.
+    /// The epochs of the reader and the others, so that the restart of one changes the plan.
     pub epochs: Vec<u32>,
     /// Whether this instance is a standby, which reads from the platform as soon as no reader
     /// answers.
     pub standby: bool,
 }
 
-/// The outcome of a question for rows.
+/// The outcome of a request for rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RowAnswer {
     /// The peer sent the rows that changed.
@@ -86,7 +87,7 @@
     Unreachable,
 }
 
-/// A question to a peer for the rows that it has read.
+/// A request to a peer for the rows that it has read.
 pub struct RowRequest {
     /// The address of the peer.
     pub peer: SocketAddr,
--- a/crates/flaxtide-fleet/src/serve.rs
+++ b/crates/flaxtide-fleet/src/serve.rs
@@ -129,7 +129,7 @@
             "settings sent to peer"
         ),
         PieceAnswer::Busy => {
-            log::debug!(newer_than; "settings not sent, too many transfers")
+            log::debug!(newer_than; "settings not sent, busy")
         }
         PieceAnswer::Piece(_) | PieceAnswer::NothingNewer => {}
     }
--- a/crates/flaxtide-fleet/src/settings/assembly.rs
+++ b/crates/flaxtide-fleet/src/settings/assembly.rs
@@ -24,9 +24,9 @@
     newer_than: SettingsVersion,
     /// The version being received; 0 before the first piece.
     version: SettingsVersion,
-    /// The size of the whole settings in bytes.
+    /// The size of the complete settings in bytes.
     length: u32,
-    /// The checksum of the whole settings.
+    /// The checksum of the complete settings.
     checksum: u64,
     /// The text received so far.
     text: String,
@@ -38,7 +38,7 @@
     /// More pieces are needed.
     Partial,
     /// The settings are complete.
-    Whole(SettingsCopy),
+    Complete(SettingsCopy),
     /// The piece doesn't fit; or the complete settings have the wrong checksum and are
     /// discarded.
     Rejected,
@@ -108,7 +108,7 @@
         if checksum(&text) != expected {
             return PieceOutcome::Rejected;
         }
-        PieceOutcome::Whole(SettingsCopy { version, tree: text.into() })
+        PieceOutcome::Complete(SettingsCopy { version, tree: text.into() })
     }
 
     /// Starts to receive the version of a first piece, without adding its text.
--- a/crates/flaxtide-fleet/src/settings/mod.rs
+++ b/crates/flaxtide-fleet/src/settings/mod.rs
@@ -58,9 +58,9 @@
     /// The version. If it is newer than the requested one, the transfer starts over at offset
     /// 0.
     pub version: SettingsVersion,
-    /// The size of the whole settings in bytes.
+    /// The size of the complete settings in bytes.
     pub length: u32,
-    /// The checksum of the whole settings.
+    /// The checksum of the complete settings.
     pub checksum: u64,
     /// Where the piece begins, in bytes.
     pub offset: u32,
--- a/crates/flaxtide-fleet/src/shared.rs
+++ b/crates/flaxtide-fleet/src/shared.rs
@@ -22,7 +22,7 @@
 
 /// What the fleet thread passes on to the rest of the instance.
 pub(crate) enum FleetOutput {
-    /// The notices from one message of a peer.
+    /// The events from one message of a peer.
     Events(Vec<NodeEvent>),
     /// Settings fetched from peers.
     Settings(SettingsCopy),
@@ -40,9 +40,9 @@
     node: Mutex<FleetNode>,
     /// The clock of all times that the node is given.
     pub(crate) clock: MilliClock,
-    /// Receives notices and fetched settings.
+    /// Receives events and fetched settings.
     pub(crate) output: OutputHandler,
-    /// Returns the settings to send to a peer, if it has older ones.
+    /// Returns the settings in force if they are newer than a version.
     pub(crate) settings_newer_than: SettingsLookup,
     /// The rows that this instance has read from the platform for its peers, once set.
     pub(crate) row_source: OnceLock<Arc<dyn RowSource>>,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Passes notices on to the rest of the instance.
+    /// Passes events on to the rest of the instance.
     pub(crate) fn emit(&self, events: Vec<NodeEvent>) {
         if !events.is_empty() {
             (self.output)(FleetOutput::Events(events));
--- a/crates/flaxtide-fleet/src/thread.rs
+++ b/crates/flaxtide-fleet/src/thread.rs
@@ -30,10 +30,10 @@
 use crate::usage::UsageSender;
 use crate::wire::PeerLinkClient;
 
-/// How often the thread polls for events and due messages.
+/// How often the thread polls for commands and due messages.
 const POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// The shortest time between two rounds of heartbeats that are sent ahead of the period.
+/// The shortest time between two requested rounds of heartbeats.
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How often links to peers that are no longer known are closed.
@@ -83,9 +83,10 @@
 }
 
 impl FleetThread {
-    /// Starts to listen for peers. `notices` receives what peers report, `adopt` receives
-    /// settings that were fetched from a peer, `settings` returns the settings in force if they
-    /// are newer than a version, and `node` creates the node for the listening address.
+    /// Starts to listen for peers. `events` receives what is learned from peers, `adopt`
+    /// receives settings that were fetched from a peer, `settings` returns the settings in
+    /// force if they are newer than a version, and `node` creates the node for the listening
+    /// address.
     ///
     /// # Errors
     ///
@@ -156,7 +157,7 @@
     }
 }
 
-/// Handles events and sends messages until told to stop.
+/// Handles commands and sends messages until told to stop.
 async fn run_loop(shared: &Arc<FleetShared>, commands: &Receiver<FleetCommand>) {
     let mut requested_round = RequestedRound::default();
     let mut fetch = None;
@@ -195,23 +196,25 @@
     }
 }
 
-/// The state of heartbeats sent ahead of the period.
+/// The state of requested rounds of heartbeats. A round is requested for a new settings version
+/// or a stop, and unlike the early rounds of [`FleetNode::due_heartbeats`] isn't limited by the
+/// traffic budget.
 #[derive(Debug, Default)]
 struct RequestedRound {
-    /// Whether such a round has been requested and not yet sent.
+    /// Whether a round has been requested and not yet sent.
     requested: bool,
-    /// When the last such round was sent.
+    /// When the last requested round was sent.
     last: Option<Duration>,
 }
 
 impl RequestedRound {
-    /// Returns whether to send such a round now.
+    /// Returns whether to send a requested round now.
     fn is_due(&self, now: Duration) -> bool {
         self.requested && self.last.is_none_or(|at| now >= at + MIN_REQUEST_INTERVAL)
     }
 }
 
-/// Handles all queued events. Returns whether to go on.
+/// Handles all queued commands. Returns whether to go on.
 fn handle_commands(
     shared: &Arc<FleetShared>,
     commands: &Receiver<FleetCommand>,
--- a/crates/flaxtide-fleet/src/usage.rs
+++ b/crates/flaxtide-fleet/src/usage.rs
@@ -12,7 +12,8 @@
 /// The time between two reports to the holder.
 const USAGE_PERIOD: Duration = Duration::from_secs(1);
 
-/// The time until the next report if the last one is still unanswered.
+/// After a poll that finds the last report still unanswered, the next one is due after this
+/// time instead of the full period, but not before the answer or its time-out.
 const RETRY_PERIOD: Duration = Duration::from_millis(300);
 
 /// Sends reports to the holder, one at a time.
--- a/crates/flaxtide-fleet/tests/common/mod.rs
+++ b/crates/flaxtide-fleet/tests/common/mod.rs
@@ -42,7 +42,7 @@
     /// The number of messages sent since the last reset.
     pub messages: usize,
     /// The last load sums that each node received for each other data centre.
-    pub sums: BTreeMap<(SocketAddr, String), Vec<OwnLoad>>,
+    pub group_loads: BTreeMap<(SocketAddr, String), Vec<OwnLoad>>,
     /// The crash reports that each instance has received.
     pub crashes: BTreeMap<SocketAddr, CrashLog>,
     /// The pushback reports that each instance has received.
@@ -74,7 +74,7 @@
             loads: BTreeMap::new(),
             called: BTreeMap::new(),
             messages: 0,
-            sums: BTreeMap::new(),
+            group_loads: BTreeMap::new(),
             crashes: BTreeMap::new(),
             pushback: BTreeMap::new(),
             loss: 0.0,
@@ -205,7 +205,7 @@
     }
 
     /// Returns how many running instances know that a server is leaving.
-    pub fn count_with_leaving(&self, server: u32) -> usize {
+    pub fn count_knowing_leaving(&self, server: u32) -> usize {
         let is_leaving = |at| {
             let report = self.pushback.get(at)?.report_of(server, self.now)?;
             Some(report.leaving)
@@ -214,7 +214,7 @@
     }
 
     /// Returns how many running instances know this rate of a server, or that it has none.
-    pub fn count_with_rate(&self, server: u32, requests: Option<f64>) -> usize {
+    pub fn count_knowing_rate(&self, server: u32, requests: Option<f64>) -> usize {
         let rate = requests.and_then(RequestRate::from_per_second);
         let has_rate = |at| {
             let report = self.pushback.get(at)?.report_of(server, self.now)?;
@@ -277,7 +277,7 @@
         for notice in notices {
             match notice {
                 NodeEvent::GroupLoads(data_centre, loads) => {
-                    self.sums.insert((at, data_centre), loads);
+                    self.group_loads.insert((at, data_centre), loads);
                 }
                 NodeEvent::Pushback(reports) => {
                     let log = self.pushback.entry(at).or_default();
@@ -315,8 +315,11 @@
         let wrong = self.nodes.iter().filter_map(|(address, node)| {
             let local = self.count_in(&self.data_centres[address]);
             let (live, fleet) = (node.live().len(), node.fleet_size(self.now));
-            (live != local || fleet != all)
-                .then(|| format!("{address}: {live} of {local} near, {fleet} of {all}"))
+            (live != local || fleet != all).then(|| {
+                format!(
+                    "{address}: {live} of {local} in the data centre, {fleet} of {all}"
+                )
+            })
         });
         wrong.collect()
     }
--- a/crates/flaxtide-fleet/tests/crashes.rs
+++ b/crates/flaxtide-fleet/tests/crashes.rs
@@ -13,13 +13,13 @@
 
 /// The time after the third crash within which all instances must know of it. Until then,
 /// further attempts at servers are acceptable.
-const STABLE: Duration = Duration::from_secs(3);
+const CONVERGENCE_TIME: Duration = Duration::from_secs(3);
 
-/// Fleet sizes as instances and data centres: a single group, a few groups, many groups.
+/// Fleet sizes as instances and data centres: a single group, four groups, six groups.
 const SIZES: [(usize, usize); 3] = [(9, 4), (61, 4), (300, 6)];
 
-/// Returns a fleet whose instances know each other.
-fn informed_fleet(instances: usize, data_centres: usize) -> Fleet {
+/// Returns a fleet that has run for 15 s, so that its instances know each other.
+fn started_fleet(instances: usize, data_centres: usize) -> Fleet {
     let mut fleet = Fleet::new(instances, data_centres);
     fleet.run(Duration::from_secs(15));
     fleet
@@ -37,7 +37,7 @@
 #[test]
 fn three_crashes_seen_by_three_instances_are_known_to_all_at_once() {
     for (instances, data_centres) in SIZES {
-        let mut fleet = informed_fleet(instances, data_centres);
+        let mut fleet = started_fleet(instances, data_centres);
         crash_three_servers(&mut fleet, [0, 1, 2]);
         fleet.run(Duration::from_millis(200));
         assert_eq!(fleet.count_quarantining(REQUEST), instances, "of {instances}");
@@ -47,11 +47,12 @@
 #[test]
 fn crashes_are_known_in_time_although_half_of_the_exchanges_are_lost() {
     for seed in 0..3 {
-        let mut fleet = informed_fleet(61, 4);
+        let mut fleet = started_fleet(61, 4);
         fleet.random = rand::SeedableRng::seed_from_u64(seed);
+        // Notices and answers are lost independently: 0.7 * 0.7 of the exchanges succeed.
         fleet.loss = 0.3;
         crash_three_servers(&mut fleet, [0, 1, 2]);
-        fleet.run(STABLE * 2);
+        fleet.run(CONVERGENCE_TIME * 2);
         assert_eq!(fleet.count_quarantining(REQUEST), 61, "seed {seed}");
     }
 }
@@ -59,7 +60,7 @@
 #[test]
 fn an_instance_that_starts_later_learns_of_crashes_before_it_is_ready() {
     for (instances, data_centres) in SIZES {
-        let mut fleet = informed_fleet(instances, data_centres);
+        let mut fleet = started_fleet(instances, data_centres);
         crash_three_servers(&mut fleet, [4, 5, 6]);
         fleet.run(Duration::from_secs(5));
         // The observers end before the others are asked.
@@ -72,7 +73,7 @@
         let informed = |fleet: &Fleet| fleet.nodes[&added].has_synced_crashes();
         let start = fleet.now;
         while !informed(&fleet) {
-            assert!(fleet.now < start + STABLE, "not informed, of {instances}");
+            assert!(fleet.now < start + CONVERGENCE_TIME, "not informed, of {instances}");
             fleet.run(common::STEP);
         }
         assert_eq!(fleet.count_quarantining(REQUEST), instances - 2, "of {instances}");
@@ -82,7 +83,7 @@
 #[test]
 fn the_sides_of_a_partition_add_up_their_crashes() {
     for (instances, data_centres) in SIZES {
-        let mut fleet = informed_fleet(instances, data_centres);
+        let mut fleet = started_fleet(instances, data_centres);
         fleet.isolated.insert("dc1".into());
         fleet.observe_crash(0, REQUEST, 100);
         fleet.observe_crash(1, REQUEST, 101);
@@ -96,7 +97,7 @@
         fleet.isolated.clear();
         let start = fleet.now;
         while fleet.count_quarantining(REQUEST) < instances {
-            assert!(fleet.now < start + STABLE, "of {instances}");
+            assert!(fleet.now < start + CONVERGENCE_TIME, "of {instances}");
             fleet.run(Duration::from_millis(500));
         }
         println!(
@@ -108,7 +109,7 @@
 
 #[test]
 fn a_request_that_was_answered_is_cleared_everywhere() {
-    let mut fleet = informed_fleet(61, 4);
+    let mut fleet = started_fleet(61, 4);
     crash_three_servers(&mut fleet, [0, 1, 2]);
     fleet.run(Duration::from_secs(1));
     let at = common::address(5);
@@ -124,7 +125,7 @@
 /// when a heartbeat tried it 0.2 s before, no new attempt is made yet.
 #[test]
 fn a_notice_without_a_link_is_sent_again_soon() {
-    let mut fleet = informed_fleet(9, 4);
+    let mut fleet = started_fleet(9, 4);
     fleet.observe_crash(0, REQUEST, 100);
     let now = fleet.now;
     let node = fleet.nodes.get_mut(&common::address(0)).unwrap();
@@ -139,7 +140,7 @@
 #[test]
 fn nothing_is_sent_while_no_server_crashes() {
     for (instances, data_centres) in SIZES {
-        let mut fleet = informed_fleet(instances, data_centres);
+        let mut fleet = started_fleet(instances, data_centres);
         let due = |node: &mut FleetNode| node.due_crashes(fleet.now).len();
         let sent: usize = fleet.nodes.values_mut().map(due).sum();
         assert_eq!(sent, 0, "of {instances}");
--- a/crates/flaxtide-fleet/tests/groups.rs
+++ b/crates/flaxtide-fleet/tests/groups.rs
@@ -58,7 +58,7 @@
     fleet.run(Duration::from_secs(5));
     assert!(fleet.nodes.values().all(|node| node.live().len() == 9));
     assert!(fleet.nodes.values().all(|node| node.fleet_size(fleet.now) == 9));
-    assert!(fleet.sums.is_empty(), "loads arrive in heartbeats");
+    assert!(fleet.group_loads.is_empty(), "loads arrive in heartbeats");
 }
 
 #[test]
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_partitioned_data_centre_still_counts_and_rejoins() {
+fn a_partitioned_data_centre_is_still_counted_and_rejoins() {
     let mut fleet = Fleet::new(300, 6);
     fleet.run_until_informed(Duration::from_secs(12));
     fleet.isolated.insert("dc2".into());
@@ -145,7 +145,7 @@
     }
     fleet.run(Duration::from_secs(8));
     for at in fleet.nodes.keys().filter(|at| fleet.data_centres[at] != "dc0") {
-        let sums = &fleet.sums[&(*at, "dc0".to_owned())];
+        let sums = &fleet.group_loads[&(*at, "dc0".to_owned())];
         let of = |server: &str| {
             sums.iter().find(|sum| sum.server == fleet_key(server)).unwrap()
         };
--- a/crates/flaxtide-fleet/tests/settings.rs
+++ b/crates/flaxtide-fleet/tests/settings.rs
@@ -47,7 +47,7 @@
         assert!(piece.text.len() <= MAX_PIECE_BYTES);
         match assembly.add_piece(&piece) {
             PieceOutcome::Partial => {}
-            PieceOutcome::Whole(copy) => {
+            PieceOutcome::Complete(copy) => {
                 assert_eq!(copy, settings(7));
                 assert_eq!(count, copy.tree.len().div_ceil(MAX_PIECE_BYTES) as u64);
                 return;
@@ -64,7 +64,7 @@
         // At each request, a newer version is in force.
         let piece = piece(ask(&mut provider, 1, assembly.question(1), newest, newest));
         assert_eq!(piece.version, 7);
-        if let PieceOutcome::Whole(copy) = assembly.add_piece(&piece) {
+        if let PieceOutcome::Complete(copy) = assembly.add_piece(&piece) {
             assert_eq!(copy, settings(7));
             return;
         }
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_provider_without_newer_settings_answers_so() {
+fn a_provider_without_newer_settings_answers_nothing_newer() {
     let question = CopyAssembly::new(7).question(1);
     let answer = ask(&mut PieceProvider::default(), 1, question, 7, 0);
     assert_eq!(answer, PieceAnswer::NothingNewer);
--- a/crates/flaxtide-fleet/tests/size.rs
+++ b/crates/flaxtide-fleet/tests/size.rs
@@ -11,27 +11,27 @@
 };
 use serde::Serialize;
 
-/// The instances of the data centre.
+/// The number of instances in the data centre.
 const INSTANCES: usize = 58;
 
-/// The backend servers of the data centre.
+/// The number of backend servers in the data centre.
 const SERVERS: usize = 520;
 
-/// The organisations with a rate limit.
+/// The number of organisations with a rate limit.
 const ORGANISATIONS: usize = 1300;
 
-/// The models, each a pool.
+/// The number of models, each a pool.
 const MODELS: usize = 8;
 
 /// The budget for control traffic in each direction, in bytes per second.
 const BUDGET: f64 = 17_000.0;
 
-/// What the transport adds to each message: the length prefix, the request's number, deadline
-/// and trace, and a part of the TCP/IP headers.
+/// The bytes that the transport adds to each message: 4 for the length prefix, 48 for the
+/// request's number, deadline and trace, and 52 for a part of the TCP/IP headers.
 const MESSAGE_OVERHEAD: usize = 4 + 48 + 52;
 
 /// Returns the size of a message on a link.
-fn encoded(message: &impl Serialize) -> usize {
+fn size_on_link(message: &impl Serialize) -> usize {
     let bytes = bincode::DefaultOptions::new().serialize(message).unwrap();
     bytes.len() + MESSAGE_OVERHEAD
 }
@@ -74,8 +74,8 @@
                 let receiver = list.iter().position(|info| *info == outgoing.to).unwrap();
                 let (reply, _) =
                     nodes[receiver].handle_heartbeat(&outgoing.heartbeat, now);
-                let heartbeat_bytes = encoded(&outgoing.heartbeat);
-                let reply_bytes = encoded(&reply);
+                let heartbeat_bytes = size_on_link(&outgoing.heartbeat);
+                let reply_bytes = size_on_link(&reply);
                 sent[sender] += heartbeat_bytes;
                 received[receiver] += heartbeat_bytes;
                 sent[receiver] += reply_bytes;
@@ -98,13 +98,14 @@
     assert!(worst < BUDGET, "{worst:.0} bytes a second");
 }
 
-/// The instances of a deployment without a list of them.
+/// The number of instances in a deployment without a list of them.
 const UNLISTED: usize = 84;
 
-/// The budget for a heartbeat with its reply between instances that know each other, in bytes:
-/// their loads, plus a tenth.
+/// The budget for a heartbeat with its reply between instances that know each other: the bytes
+/// of an exchange that carries only their loads, plus a tenth.
 const MAX_EXCHANGE_BYTES: f64 = 450.0;
 
+/// Guards against lists of peers in every reply, which were most of the traffic.
 #[test]
 fn instances_without_a_list_ask_few_peers_for_theirs() {
     let address = |number: usize| SocketAddr::from(([10, 0, 0, number as u8], 7000));
@@ -143,7 +144,7 @@
                 let receiver = receiver.unwrap();
                 let (reply, _) =
                     nodes[receiver].handle_heartbeat(&outgoing.heartbeat, now);
-                bytes += encoded(&outgoing.heartbeat) + encoded(&reply);
+                bytes += size_on_link(&outgoing.heartbeat) + size_on_link(&reply);
                 exchanges += 1;
                 let name = outgoing.to.name.clone();
                 nodes[sender].handle_reply(&name, &reply, now);
--- a/crates/flaxtide-fleet/tests/transfer.rs
+++ b/crates/flaxtide-fleet/tests/transfer.rs
@@ -94,7 +94,7 @@
     }
 
     /// Makes a peer known to the instance.
-    fn meet(&self, peer: &Self) {
+    fn add_peer(&self, peer: &Self) {
         let info = peer.info.clone();
         let update = FleetUpdate::new(move |node, _| node.add_peer(info, true));
         self.events.send(FleetCommand::Update(update)).unwrap();
@@ -111,6 +111,7 @@
     }
 }
 
+/// Guards against parallel fetches, which filled links with copies of the same settings.
 #[test]
 fn requesters_of_one_instance_get_one_copy_each() {
     let provider = Instance::start("provider", 8);
@@ -118,7 +119,7 @@
         .map(|number| Instance::start(&format!("requester-{number}"), 0))
         .collect();
     for requester in &requesters {
-        requester.meet(&provider);
+        requester.add_peer(&provider);
     }
     wait_until("all have the settings", || {
         requesters.iter().all(|instance| instance.version() == 8)
@@ -132,30 +133,32 @@
 fn an_unreachable_instance_does_not_hold_up_settings_of_another() {
     let requester = Instance::start("requester", 0);
     let (newest, older) = (Instance::start("newest", 9), Instance::start("older", 8));
-    // Its heartbeats pass, but what is sent to it is dropped.
+    // The heartbeats of `newest` pass, but what is sent to it is dropped.
     newest.relay.set_fault(RelayFault::Drop);
-    newest.meet(&requester);
+    newest.add_peer(&requester);
     wait_until("the requester has sent a reply", || newest.bytes.get().0 > 0);
-    requester.meet(&older);
+    requester.add_peer(&older);
     wait_until("the settings arrive", || requester.version() == 8);
 }
 
+/// Guards against a transfer that starts over after a broken link and sends most of the settings
+/// again.
 #[test]
 fn a_breaking_link_costs_little_more_than_one_copy() {
     let (requester, provider) =
         (Instance::start("requester", 0), Instance::start("provider", 8));
     provider.relay.set_fault(RelayFault::Delay(10));
-    requester.meet(&provider);
+    requester.add_peer(&provider);
     for count in 1..=3 {
         wait_until("a part has arrived", || {
             provider.sent() > count * SETTINGS_BYTES as u64 / 5
         });
         provider.relay.set_fault(RelayFault::Cut);
         wait_until("the link is cut", || provider.relay.open() == 0);
-        let cut_at = provider.sent();
+        let sent_before_cut = provider.sent();
         provider.relay.set_fault(RelayFault::Delay(10));
         wait_until("the transfer resumes", || {
-            provider.sent() > cut_at + SETTINGS_BYTES as u64 / 20
+            provider.sent() > sent_before_cut + SETTINGS_BYTES as u64 / 20
         });
     }
     wait_until("the settings arrive", || requester.version() == 8);
@@ -163,6 +166,7 @@
     assert!(copies < 1.5, "{copies:.1} copies were sent");
 }
 
+/// Guards against a fetch for each announcement of the provider while one is in progress.
 #[test]
 fn a_slow_transfer_is_not_started_twice() {
     let (requester, provider) =
@@ -170,20 +174,21 @@
     // 16 KB in 15 ms: the transfer takes two seconds, in which the provider announces its
     // version many times.
     provider.relay.set_fault(RelayFault::Delay(15));
-    requester.meet(&provider);
+    requester.add_peer(&provider);
     wait_until("the settings arrive", || requester.version() == 8);
     let copies = provider.sent() as f64 / SETTINGS_BYTES as f64;
     assert!(copies < 1.5, "{copies:.1} copies were sent");
 }
 
+/// Guards against a requester that drops its pieces when another peer has newer settings.
 #[test]
 fn an_interrupted_transfer_is_resumed_although_others_have_newer_settings() {
     let requester = Instance::start("requester", 0);
     let (provider, newer) = (Instance::start("provider", 8), Instance::start("newer", 9));
     provider.relay.set_fault(RelayFault::Delay(10));
-    requester.meet(&provider);
+    requester.add_peer(&provider);
     wait_until("a part has arrived", || provider.sent() > SETTINGS_BYTES as u64 / 3);
-    requester.meet(&newer);
+    requester.add_peer(&newer);
     wait_until("the newer provider has sent a message", || newer.sent() > 0);
     provider.relay.set_fault(RelayFault::Cut);
     wait_until("the link is cut", || provider.relay.open() == 0);
