--- a/crates/flaxtide-fleet/src/links.rs
+++ b/crates/flaxtide-fleet/src/links.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Drops the links to addresses that aren't wanted any more. An entry that a call is using
-    /// is kept.
+    /// Drops the links to addresses that aren't wanted any more. Calls in flight on them are still
+    /// answered, and an entry that is being opened or closed is kept.
     pub(crate) fn retain(&self, wanted: impl Fn(&SocketAddr) -> bool) {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         links.retain(|address, entry| wanted(address) || Arc::strong_count(entry) > 1);
--- a/crates/flaxtide-fleet/src/serve.rs
+++ b/crates/flaxtide-fleet/src/serve.rs
@@ -128,9 +128,7 @@
             newer_than, version = piece.version, bytes = piece.length;
             "settings sent to peer"
         ),
-        PieceAnswer::Busy => {
-            log::debug!(newer_than; "settings not sent, busy")
-        }
+        PieceAnswer::Busy => log::debug!(newer_than; "settings not sent, busy"),
         PieceAnswer::Piece(_) | PieceAnswer::NothingNewer => {}
     }
 }
