--- a/crates/flaxtide-entry/src/source.rs
+++ b/crates/flaxtide-entry/src/source.rs
@@ -8,7 +8,7 @@
 
 use crossbeam::channel::bounded;
 use flaxtide_core::{MilliClock, SettingsVersion, StoreVersion};
-use flaxtide_fleet::{ListPlan, ListReader, RowAnswer, RowChanges, RowQuestion};
+use flaxtide_fleet::{ListPlan, ListReader, RowAnswer, RowChanges, RowRequest};
 
 use crate::backoff::PeerBackoff;
 use crate::fleet::FleetLink;
@@ -196,7 +196,7 @@
                 // The receiver is gone if another peer has answered or the time is up.
                 let _ = sender.try_send((peer, answer));
             });
-            link.ask_rows(RowQuestion { peer, after, wait, margin, answer });
+            link.ask_rows(RowRequest { peer, after, wait, margin, answer });
         }
         drop(sender);
         let deadline = self.clock.now() + wait + margin;
--- a/crates/flaxtide-fleet/src/changes.rs
+++ b/crates/flaxtide-fleet/src/changes.rs
@@ -2,7 +2,8 @@
 
 use std::collections::VecDeque;
 
-/// The most changed keys that are kept for peers that haven't acknowledged them.
+/// The number of changed keys that are kept for peers that haven't acknowledged them. Beyond
+/// it, the oldest are dropped.
 const MAX_CHANGES: usize = 512;
 
 /// The keys whose reports changed, numbered in order. A key that changes again moves to the
@@ -38,8 +39,8 @@
     }
 
     /// Returns the keys that changed after a change number.
-    pub(crate) fn after(&self, told: u64) -> impl Iterator<Item = Key> {
-        let later = self.entries.iter().filter(move |(number, _)| *number > told);
+    pub(crate) fn after(&self, acknowledged: u64) -> impl Iterator<Item = Key> {
+        let later = self.entries.iter().filter(move |(number, _)| *number > acknowledged);
         later.map(|(_, key)| *key)
     }
 }
--- a/crates/flaxtide-fleet/src/node/crashes.rs
+++ b/crates/flaxtide-fleet/src/node/crashes.rs
@@ -8,7 +8,7 @@
 use flaxtide_core::InstanceName;
 use flaxtide_policy::{CrashLog, CrashReport, Fingerprint, rendezvous_order};
 
-use super::{FleetNode, FleetNotice};
+use super::{FleetNode, NodeEvent};
 use crate::changes::ChangeQueue;
 use crate::info::PeerInfo;
 use crate::notice::{NoticeState, PendingNotice};
@@ -46,17 +46,17 @@
     log: CrashLog,
     /// The requests with new reports for peers, in order.
     changes: ChangeQueue<Fingerprint>,
-    /// When the log was last due for a comparison, and how often it has been.
-    compared: (Duration, u64),
+    /// When a comparison was last scheduled, and how many have been scheduled.
+    last_comparison: (Duration, u64),
     /// Whether a peer has answered a comparison since the start.
     has_synced: bool,
 }
 
 impl CrashState {
     /// Returns the reports of requests that changed after a change number.
-    fn changed_reports(&self, recipients: u64, now: Duration) -> Vec<CrashReport> {
-        let news = self.changes.after(recipients);
-        let reports = news.flat_map(|request| self.log.reports_of(request, now));
+    fn changed_reports(&self, acknowledged: u64, now: Duration) -> Vec<CrashReport> {
+        let requests = self.changes.after(acknowledged);
+        let reports = requests.flat_map(|request| self.log.reports_of(request, now));
         reports.take(MAX_REPORTS).collect()
     }
 }
@@ -99,8 +99,8 @@
             let Some(peer) = self.peers.get_mut(&name) else { continue };
             let state = &mut peer.crash_notices;
             let compares = state.needs_comparison && free > 0;
-            let has_news = state.acknowledged < last || state.needs_all;
-            if !(compares || has_news) {
+            let has_reports = state.acknowledged < last || state.needs_all;
+            if !(compares || has_reports) {
                 continue;
             }
             let reports = if state.needs_all {
@@ -124,41 +124,41 @@
         due
     }
 
-    /// Handles a peer's notice. Returns the reply, and notices of the reports that are new.
+    /// Handles a peer's notice. Returns the reply, and an event with the reports that are new.
     pub fn handle_crashes(
         &mut self,
         notice: &CrashNotice,
         now: Duration,
-    ) -> (CrashReply, Vec<FleetNotice>) {
+    ) -> (CrashReply, Vec<NodeEvent>) {
         let forwards = !notice.to_all && !self.in_own_data_centre(&notice.from);
-        let news = self.apply_crash_reports(&notice.reports, forwards, now);
+        let events = self.apply_crash_reports(&notice.reports, forwards, now);
         let digest = self.crashes.log.digest();
         let differs = notice.digest.is_some_and(|other| other != digest);
         let reports =
             if differs { self.crashes.log.reports(MAX_REPORTS, now) } else { vec![] };
-        (CrashReply { reports, digest }, news)
+        (CrashReply { reports, digest }, events)
     }
 
-    /// Handles the reply to a notice. Returns notices of the reports that are new.
+    /// Handles the reply to a notice. Returns an event with the reports that are new.
     pub fn handle_crash_reply(
         &mut self,
         from: &InstanceName,
         reply: &CrashReply,
         now: Duration,
-    ) -> Vec<FleetNotice> {
+    ) -> Vec<NodeEvent> {
         let Some(peer) = self.peers.get_mut(from) else { return vec![] };
         let Some(notice) = peer.crash_notices.record_answer() else { return vec![] };
         let info = peer.info.clone();
         let forwards = !self.group.is_single && !self.in_own_data_centre(&info);
-        let news = self.apply_crash_reports(&reply.reports, forwards, now);
+        let events = self.apply_crash_reports(&reply.reports, forwards, now);
         if notice.compares {
             self.crashes.has_synced = true;
-            let lacks_some = self.crashes.log.digest() != reply.digest;
+            let logs_differ = self.crashes.log.digest() != reply.digest;
             if let Some(peer) = self.peers.get_mut(from) {
-                peer.crash_notices.needs_all = lacks_some;
+                peer.crash_notices.needs_all = logs_differ;
             }
         }
-        news
+        events
     }
 
     /// Records that a notice couldn't be sent because there is no link to the peer.
@@ -175,41 +175,46 @@
         }
     }
 
-    /// Applies a peer's reports and returns notices of the new ones. `forwards` tells whether
-    /// to send these on to the group, because another data centre sends them to only a few
-    /// instances here.
+    /// Applies a peer's reports and returns an event with the new ones. `forwards` tells
+    /// whether to send these on to the group, because another data centre sends them to only a
+    /// few instances here.
     fn apply_crash_reports(
         &mut self,
         reports: &[CrashReport],
         forwards: bool,
         now: Duration,
-    ) -> Vec<FleetNotice> {
-        let mut news = vec![];
+    ) -> Vec<NodeEvent> {
+        let mut new_reports = vec![];
         for report in reports {
             if !self.crashes.log.apply(report, now) {
                 continue;
             }
-            news.push(*report);
+            new_reports.push(*report);
             if forwards {
                 self.crashes.changes.push(report.fingerprint);
             }
         }
-        if news.is_empty() { vec![] } else { vec![FleetNotice::Crashes(news)] }
+        if new_reports.is_empty() {
+            vec![]
+        } else {
+            vec![NodeEvent::Crashes(new_reports)]
+        }
     }
 
-    /// Marks the next peer for a comparison once the comparison period is over.
+    /// Marks the next peer for a comparison, and drops expired reports, once the comparison
+    /// period is over.
     fn schedule_comparison(&mut self, now: Duration) {
-        let (at, turn) = self.crashes.compared;
+        let (at, round) = self.crashes.last_comparison;
         if now < at + COMPARE_PERIOD || self.crashes.log.is_empty() {
             return;
         }
-        self.crashes.compared = (now, turn + 1);
+        self.crashes.last_comparison = (now, round + 1);
         self.crashes.log.expire(now);
         let names = self.peers_to_notify(now, |peer| &peer.crash_notices, |_| true);
         if names.is_empty() {
             return;
         }
-        let name = &names[turn as usize % names.len()];
+        let name = &names[round as usize % names.len()];
         if let Some(peer) = self.peers.get_mut(name) {
             peer.crash_notices.needs_comparison = true;
         }
@@ -224,14 +229,14 @@
         is_due: impl Fn(&NoticeState) -> bool,
     ) -> Vec<InstanceName> {
         let timeout = self.liveness_timeout();
-        let local = self.peers.values().filter(|peer| {
+        let in_group = self.peers.values().filter(|peer| {
             self.in_own_group(peer)
                 && is_due(state(peer))
                 && peer.heard_within(now, timeout)
         });
         let remote = self.contacts_to_notify(now).into_iter();
         let remote = remote.filter(|peer| is_due(state(peer)));
-        let recipients = local.chain(remote).filter(|peer| state(peer).may_send(now));
+        let recipients = in_group.chain(remote).filter(|peer| state(peer).may_send(now));
         recipients.map(|peer| peer.info.name.clone()).collect()
     }
 
--- a/crates/flaxtide-fleet/src/node/heartbeats.rs
+++ b/crates/flaxtide-fleet/src/node/heartbeats.rs
@@ -6,7 +6,7 @@
 use flaxtide_core::InstanceName;
 use flaxtide_policy::{rendezvous_order, rendezvous_owner};
 
-use super::{FleetNode, FleetNotice, OutgoingHeartbeat};
+use super::{FleetNode, NodeEvent, OutgoingHeartbeat};
 use crate::info::PeerInfo;
 use crate::key::FleetKey;
 use crate::peer::PeerRecord;
@@ -14,17 +14,19 @@
 
 impl FleetNode {
     /// Returns the heartbeats that are due: when the period is over, or sooner if there are
-    /// updates and the traffic budget allows it.
+    /// urgent changes and the traffic budget allows an early round.
     pub fn due_heartbeats(&mut self, now: Duration) -> Vec<OutgoingHeartbeat> {
         if self.last_round_at.is_some_and(|at| now < at + self.period())
-            && !self.may_send_updates(now)
+            && !self.may_send_early(now)
         {
             return vec![];
         }
-        let cost = self.timing.update_cost_per_instance * self.known_group_size();
-        let saved = now.saturating_sub(cost * self.timing.update_burst);
-        self.updates_allowed_at = self.updates_allowed_at.max(saved) + cost;
-        self.has_updates = false;
+        // A token bucket in units of time: each round uses up `cost`, and the allowance for at most
+        // `early_round_burst` rounds is saved up.
+        let cost = self.timing.early_round_cost_per_instance * self.known_group_size();
+        let burst_start = now.saturating_sub(cost * self.timing.early_round_burst);
+        self.early_round_allowed_at = self.early_round_allowed_at.max(burst_start) + cost;
+        self.has_urgent_changes = false;
         self.last_round_at = Some(now);
         self.rounds += 1;
         self.forget_expired_peers(now);
@@ -32,9 +34,9 @@
         self.heartbeats()
     }
 
-    /// Returns whether there are updates and the traffic budget allows sending them now.
-    fn may_send_updates(&self, now: Duration) -> bool {
-        self.has_updates && self.updates_allowed_at <= now
+    /// Returns whether there are urgent changes and the traffic budget allows an early round.
+    fn may_send_early(&self, now: Duration) -> bool {
+        self.has_urgent_changes && self.early_round_allowed_at <= now
     }
 
     /// Returns heartbeats to all recipients and marks the usage counts in them as sent.
@@ -44,10 +46,10 @@
         heartbeats
     }
 
-    /// Returns heartbeats that announce a new settings version, or that this instance is
-    /// stopping. Peers that are known to have the version are left out: otherwise each instance
-    /// that fetches it from a peer would announce it to all others.
-    pub fn urgent_heartbeats(&mut self) -> Vec<OutgoingHeartbeat> {
+    /// Returns the heartbeats of a requested round, which announce a new settings version or
+    /// that this instance is stopping. Peers that are known to have the version are left out:
+    /// otherwise each instance that fetches it from a peer would announce it to all others.
+    pub fn requested_heartbeats(&mut self) -> Vec<OutgoingHeartbeat> {
         if self.leaving || !self.uses_digests() {
             return self.heartbeats();
         }
@@ -71,21 +73,21 @@
             usage.entry(owner.unwrap_or_default()).or_default().push(entry);
         }
         let queried = self.peer_to_query();
-        let local = self.peers.values().filter(|peer| self.in_own_group(peer));
+        let in_group = self.peers.values().filter(|peer| self.in_own_group(peer));
         let remote = self.other_data_centre_targets();
-        let heartbeats = local.chain(remote).map(|peer| OutgoingHeartbeat {
+        let heartbeats = in_group.chain(remote).map(|peer| OutgoingHeartbeat {
             to: peer.info.clone(),
             heartbeat: self.heartbeat_to(peer, &usage, queried),
         });
         heartbeats.collect()
     }
 
-    /// Handles a peer's heartbeat. Returns the reply and the resulting notices.
+    /// Handles a peer's heartbeat. Returns the reply and the resulting events.
     pub fn handle_heartbeat(
         &mut self,
         heartbeat: &FleetHeartbeat,
         now: Duration,
-    ) -> (HeartbeatReply, Vec<FleetNotice>) {
+    ) -> (HeartbeatReply, Vec<NodeEvent>) {
         let info = PeerInfo {
             name: heartbeat.from.clone(),
             data_centre: heartbeat.data_centre.clone(),
@@ -98,7 +100,7 @@
         let mut changed = false;
         if let Some(peer) = self.peers.get_mut(&heartbeat.from) {
             if !peer.listed {
-                // For listed peers, the address in the platform's list is counts: a peer may not
+                // For listed peers, the address in the platform's list is used: a peer may not
                 // know the address at which it can be reached from here.
                 peer.info = info.clone();
             }
@@ -112,35 +114,34 @@
         if changed {
             self.update_live(now);
         }
-        let mut notices = vec![];
+        let mut events = vec![];
         if self.group.is_single || heartbeat.data_centre == self.own.data_centre {
-            notices.extend(heartbeat.servers.iter().copied().map(FleetNotice::Load));
-            notices.push(FleetNotice::PeerLoads(
+            events.extend(heartbeat.servers.iter().copied().map(NodeEvent::Load));
+            events.push(NodeEvent::PeerLoads(
                 heartbeat.from.clone(),
                 heartbeat.loads.clone(),
             ));
             if !heartbeat.reads.is_empty() {
                 self.reads.record(&heartbeat.reads, now);
-                notices.push(FleetNotice::PeerReads(heartbeat.reads.clone()));
+                events.push(NodeEvent::PeerReads(heartbeat.reads.clone()));
             }
             if !heartbeat.unresponsive.is_empty() {
-                notices
-                    .push(FleetNotice::PeerUnresponsive(heartbeat.unresponsive.clone()));
+                events.push(NodeEvent::PeerUnresponsive(heartbeat.unresponsive.clone()));
             }
         }
         if heartbeat.version > self.version() {
-            notices.push(FleetNotice::Version(heartbeat.version, info));
+            events.push(NodeEvent::Version(heartbeat.version, info));
         }
-        (self.reply_to(heartbeat, now), notices)
+        (self.reply_to(heartbeat, now), events)
     }
 
-    /// Handles a peer's reply and returns the resulting notices.
+    /// Handles a peer's reply and returns the resulting events.
     pub fn handle_reply(
         &mut self,
         from: &InstanceName,
         reply: &HeartbeatReply,
         now: Duration,
-    ) -> Vec<FleetNotice> {
+    ) -> Vec<NodeEvent> {
         self.record_duty_holder(reply.duty);
         for info in &reply.peers {
             self.forget_seed(info);
@@ -154,17 +155,16 @@
         let changed = before != peer.is_alive(now, timeout);
         peer.record_liveness_change(changed);
         let info = peer.info.clone();
-        let shares = reply.shares.iter().map(|share| FleetNotice::Share(*share, until));
-        let rate_shares =
-            reply.parts.iter().map(|share| FleetNotice::Rate(*share, until));
-        let mut notices: Vec<_> = shares.chain(rate_shares).collect();
+        let shares = reply.shares.iter().map(|share| NodeEvent::Share(*share, until));
+        let rate_shares = reply.parts.iter().map(|share| NodeEvent::Rate(*share, until));
+        let mut events: Vec<_> = shares.chain(rate_shares).collect();
         if reply.version > self.version() {
-            notices.push(FleetNotice::Version(reply.version, info));
+            events.push(NodeEvent::Version(reply.version, info));
         }
         if changed || !reply.peers.is_empty() {
             self.update_live(now);
         }
-        notices
+        events
     }
 
     /// Builds the heartbeat to a peer.
@@ -174,7 +174,7 @@
         usage: &BTreeMap<usize, Vec<UsageCount>>,
         queried: Option<&InstanceName>,
     ) -> FleetHeartbeat {
-        let local = self.in_own_group(peer);
+        let in_group = self.in_own_group(peer);
         let index = self.live.binary_search(&peer.info.name).ok();
         let counts = index.and_then(|index| usage.get(&index));
         FleetHeartbeat {
@@ -184,11 +184,15 @@
             epoch: self.epoch,
             leaving: self.leaving,
             version: self.version(),
-            demands: if local { self.status.demands.clone() } else { vec![] },
-            servers: if local { self.status.servers.clone() } else { vec![] },
-            loads: if local { self.status.loads.clone() } else { vec![] },
-            reads: if local { self.status.reads.clone() } else { vec![] },
-            unresponsive: if local { self.status.unresponsive.clone() } else { vec![] },
+            demands: if in_group { self.status.demands.clone() } else { vec![] },
+            servers: if in_group { self.status.servers.clone() } else { vec![] },
+            loads: if in_group { self.status.loads.clone() } else { vec![] },
+            reads: if in_group { self.status.reads.clone() } else { vec![] },
+            unresponsive: if in_group {
+                self.status.unresponsive.clone()
+            } else {
+                vec![]
+            },
             usage: counts.cloned().unwrap_or_default(),
             wants_peers: self.list_failed
                 && (peer.heard_at.is_none() || queried == Some(&peer.info.name)),
@@ -196,19 +200,20 @@
         }
     }
 
-    /// Returns the one peer that is queried for its list of peers in this round. Asking all of
-    /// them each time would make these lists most of the traffic.
+    /// Returns the one peer, besides those not heard from yet, that is queried for its list of
+    /// peers in this round. Asking all of them each time would make these lists most of the
+    /// traffic.
     fn peer_to_query(&self) -> Option<&InstanceName> {
         let can_query =
             |peer: &&PeerRecord| !self.uses_digests() || self.in_own_group(peer);
         let peers = || self.peers.values().filter(can_query);
-        let turn = self.rounds % peers().count().max(1) as u64;
-        peers().nth(turn as usize).map(|peer| &peer.info.name)
+        let index = self.rounds % peers().count().max(1) as u64;
+        peers().nth(index as usize).map(|peer| &peer.info.name)
     }
 
     /// Builds the reply to a heartbeat.
     fn reply_to(&self, heartbeat: &FleetHeartbeat, now: Duration) -> HeartbeatReply {
-        let local = heartbeat.data_centre == self.own.data_centre;
+        let same_data_centre = heartbeat.data_centre == self.own.data_centre;
         let organisations: Vec<FleetKey> =
             heartbeat.usage.iter().map(|usage| usage.organisation).collect();
         let from = &heartbeat.from;
@@ -216,8 +221,12 @@
             epoch: self.epoch,
             leaving: self.leaving,
             version: self.version(),
-            shares: if local { self.shares_of(from) } else { vec![] },
-            parts: if local { self.rate_shares_of(from, &organisations) } else { vec![] },
+            shares: if same_data_centre { self.shares_of(from) } else { vec![] },
+            parts: if same_data_centre {
+                self.rate_shares_of(from, &organisations)
+            } else {
+                vec![]
+            },
             peers: if heartbeat.wants_peers {
                 self.peers_for(&heartbeat.data_centre, now)
             } else {
--- a/crates/flaxtide-fleet/src/node/pushback.rs
+++ b/crates/flaxtide-fleet/src/node/pushback.rs
@@ -7,7 +7,7 @@
 use flaxtide_core::InstanceName;
 use flaxtide_policy::{IncarnationKey, PushbackLog, PushbackReport, ReportEffect};
 
-use super::{FleetNode, FleetNotice};
+use super::{FleetNode, NodeEvent};
 use crate::changes::ChangeQueue;
 use crate::info::PeerInfo;
 use crate::notice::PendingNotice;
@@ -64,8 +64,8 @@
                 .filter_map(|server| log.report_of(server, now))
                 .collect();
             if state.needs_all {
-                let known = log.reports(MAX_REPORTS, now);
-                let missing = known.into_iter().filter(|report| {
+                let all = log.reports(MAX_REPORTS, now);
+                let missing = all.into_iter().filter(|report| {
                     !reports.iter().any(|other| other.server == report.server)
                 });
                 let missing: Vec<PushbackReport> = missing.collect();
@@ -89,28 +89,32 @@
         due
     }
 
-    /// Handles a peer's notice. Returns notices of the reports that are new.
+    /// Handles a peer's notice. Returns an event with the reports that are new.
     pub fn handle_pushback(
         &mut self,
         notice: &PushbackNotice,
         now: Duration,
-    ) -> Vec<FleetNotice> {
+    ) -> Vec<NodeEvent> {
         let forwards = !notice.to_all && !self.in_own_data_centre(&notice.from);
-        let mut news = vec![];
+        let mut new_reports = vec![];
         for report in &notice.reports {
             match self.pushback.log.apply(report, now) {
                 ReportEffect::Known => {}
                 // This instance has a newer report than the peer, and sends it.
                 ReportEffect::Outdated => self.pushback.changes.push(report.server),
                 ReportEffect::Changed => {
-                    news.push(*report);
+                    new_reports.push(*report);
                     if forwards {
                         self.pushback.changes.push(report.server);
                     }
                 }
             }
         }
-        if news.is_empty() { vec![] } else { vec![FleetNotice::Pushback(news)] }
+        if new_reports.is_empty() {
+            vec![]
+        } else {
+            vec![NodeEvent::Pushback(new_reports)]
+        }
     }
 
     /// Records that a peer has acknowledged the last notice.
--- a/crates/flaxtide-fleet/src/rows.rs
+++ b/crates/flaxtide-fleet/src/rows.rs
@@ -9,12 +9,13 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-/// The number of instances for each list reader.
-pub(crate) const PEERS_PER_READER: usize = 32;
+/// A group has a list reader for each of this many instances, rounded up.
+pub(crate) const INSTANCES_PER_READER: usize = 32;
 
-/// The number of standbys of a group besides its readers. There are few of them, so that an
-/// outage of the platform affects few calls, but enough that a platform that rejects a third of
-/// the instances rarely rejects all readers and standbys.
+/// The number of standbys of a group besides its readers. A standby reads from the platform
+/// itself if no reader answers. There are few, so that an outage of the platform affects few
+/// calls, but enough that a platform that rejects a third of the instances rarely rejects all
+/// readers and standbys.
 pub(crate) const STANDBYS: usize = 2;
 
 /// The rendezvous hashing key by which all instances choose the same readers.
@@ -67,14 +68,14 @@
     /// Other instances that may have the list, in the order in which they are asked: the other
     /// readers, then the standbys.
     pub others: Vec<SocketAddr>,
-    /// The epochs of these instances, so that the restart of one changes the plan.
+    /// The epochs of the reader and the others, so that the restart of one changes the plan.
     pub epochs: Vec<u32>,
     /// Whether this instance is a standby, which reads from the platform as soon as no reader
     /// answers.
     pub standby: bool,
 }
 
-/// The outcome of a question for rows.
+/// The outcome of a request for rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RowAnswer {
     /// The peer sent the rows that changed.
@@ -86,8 +87,8 @@
     Unreachable,
 }
 
-/// A question to a peer for the rows that it has read.
-pub struct RowQuestion {
+/// A request to a peer for the rows that it has read.
+pub struct RowRequest {
     /// The address of the peer.
     pub peer: SocketAddr,
     /// The version after which changes are wanted.
@@ -100,8 +101,8 @@
     pub answer: Box<dyn FnOnce(RowAnswer) + Send>,
 }
 
-impl std::fmt::Debug for RowQuestion {
+impl std::fmt::Debug for RowRequest {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "RowQuestion to {} after {}", self.peer, self.after)
+        write!(formatter, "RowRequest to {} after {}", self.peer, self.after)
     }
 }
--- a/crates/flaxtide-fleet/tests/node.rs
+++ b/crates/flaxtide-fleet/tests/node.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use flaxtide_fleet::{
-    FleetKey, FleetNode, FleetNotice, FleetServer, FleetTiming, ListReader, NodeStatus,
+    FleetKey, FleetNode, FleetServer, FleetTiming, ListReader, NodeEvent, NodeStatus,
     PeerInfo, PoolDemand, UsageCount, fleet_key,
 };
 
@@ -68,7 +68,7 @@
     }
 
     /// Separates two data centres or two instances from each other.
-    fn cut(&mut self, one: &str, other: &str) {
+    fn partition(&mut self, one: &str, other: &str) {
         self.partitions.insert((one.into(), other.into()));
         self.partitions.insert((other.into(), one.into()));
     }
@@ -100,7 +100,7 @@
         let status = self.statuses[name].clone();
         let node = self.nodes.get_mut(name).unwrap();
         node.set_status(status, now);
-        let own = node.own_notices(now);
+        let own = node.own_share_events(now);
         let heartbeats = node.due_heartbeats(now);
         self.apply_notices(name, own);
         for outgoing in heartbeats {
@@ -118,26 +118,26 @@
     }
 
     /// Records a node's notices.
-    fn apply_notices(&mut self, name: &str, notices: Vec<FleetNotice>) {
+    fn apply_notices(&mut self, name: &str, notices: Vec<NodeEvent>) {
         for notice in notices {
             match notice {
-                FleetNotice::PeerLoads(..)
-                | FleetNotice::GroupLoads(..)
-                | FleetNotice::PeerReads(_)
-                | FleetNotice::PeerUnresponsive(_)
-                | FleetNotice::Crashes(_)
-                | FleetNotice::Pushback(_) => {}
-                FleetNotice::Share(share, until) => {
+                NodeEvent::PeerLoads(..)
+                | NodeEvent::GroupLoads(..)
+                | NodeEvent::PeerReads(_)
+                | NodeEvent::PeerUnresponsive(_)
+                | NodeEvent::Crashes(_)
+                | NodeEvent::Pushback(_) => {}
+                NodeEvent::Share(share, until) => {
                     self.shares.insert((name.into(), share.server), (share.slots, until));
                 }
-                FleetNotice::Rate(rate, until) => {
+                NodeEvent::Rate(rate, until) => {
                     let share = f64::from(rate.part) / f64::from(u16::MAX);
                     self.rates.insert(name.into(), (share, until));
                 }
-                FleetNotice::Version(version, _) => {
+                NodeEvent::Version(version, _) => {
                     self.nodes.get_mut(name).unwrap().set_version(version);
                 }
-                FleetNotice::Load(_) => {}
+                NodeEvent::Load(_) => {}
             }
         }
     }
@@ -221,7 +221,7 @@
     let mut net = Net::new(1, 4, 12);
     net.run(Duration::from_secs(2));
     for other in ["dc0-1", "dc0-2", "dc0-3"] {
-        net.cut("dc0-0", other);
+        net.partition("dc0-0", other);
     }
     net.run(Duration::from_secs(3));
     assert_eq!(net.live("dc0-0"), 1);
@@ -234,7 +234,7 @@
     net.run(Duration::from_secs(3));
     assert!(
         net.nodes.values().all(|node| node.live().len() == 4),
-        "joined by themselves"
+        "rejoined without help"
     );
 }
 
@@ -257,7 +257,7 @@
 fn a_partitioned_data_centre_rejoins_without_reverting_settings() {
     let mut net = Net::new(2, 3, 6);
     net.run(Duration::from_secs(2));
-    net.cut("dc0", "dc1");
+    net.partition("dc0", "dc1");
     net.nodes.get_mut("dc0-0").unwrap().set_version(5);
     net.run(Duration::from_secs(5));
     let versions = |net: &Net, centre: &str| -> Vec<u64> {
@@ -266,7 +266,10 @@
     };
     assert_eq!(versions(&net, "dc0"), [5, 5, 5]);
     assert_eq!(versions(&net, "dc1"), [0, 0, 0]);
-    assert!(net.nodes.values().all(|node| node.live().len() == 3), "both sides go on");
+    assert!(
+        net.nodes.values().all(|node| node.live().len() == 3),
+        "both sides keep running"
+    );
     net.partitions.clear();
     net.run(Duration::from_secs(3));
     assert_eq!(versions(&net, "dc1"), [5, 5, 5]);
--- a/crates/flaxtide-fleet/tests/settings.rs
+++ b/crates/flaxtide-fleet/tests/settings.rs
@@ -47,7 +47,7 @@
         assert!(piece.text.len() <= MAX_PIECE_BYTES);
         match assembly.add_piece(&piece) {
             PieceOutcome::Partial => {}
-            PieceOutcome::Whole(copy) => {
+            PieceOutcome::Complete(copy) => {
                 assert_eq!(copy, settings(7));
                 assert_eq!(count, copy.tree.len().div_ceil(MAX_PIECE_BYTES) as u64);
                 return;
@@ -64,7 +64,7 @@
         // At each request, a newer version is in force.
         let piece = piece(ask(&mut provider, 1, assembly.question(1), newest, newest));
         assert_eq!(piece.version, 7);
-        if let PieceOutcome::Whole(copy) = assembly.add_piece(&piece) {
+        if let PieceOutcome::Complete(copy) = assembly.add_piece(&piece) {
             assert_eq!(copy, settings(7));
             return;
         }
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_provider_without_newer_settings_answers_so() {
+fn a_provider_without_newer_settings_answers_nothing_newer() {
     let question = CopyAssembly::new(7).question(1);
     let answer = ask(&mut PieceProvider::default(), 1, question, 7, 0);
     assert_eq!(answer, PieceAnswer::NothingNewer);
@@ -190,10 +190,10 @@
     };
     let cases: [(&str, CorruptPiece); 5] = [
         ("no newer version", |piece| piece.version = 6),
-        ("an offset beyond what has come", |piece| piece.offset = 5),
-        ("nothing in it", |piece| piece.text.clear()),
-        ("more than the whole", |piece| piece.length = 10),
-        ("a whole beyond all measure", |piece| piece.length = u32::MAX),
+        ("an offset beyond the received text", |piece| piece.offset = 5),
+        ("an empty text", |piece| piece.text.clear()),
+        ("a text longer than the whole", |piece| piece.length = 10),
+        ("a whole that is too large", |piece| piece.length = u32::MAX),
     ];
     for (what, corrupt) in cases {
         let mut corrupted = good();
@@ -309,21 +309,21 @@
     let ms = Duration::from_millis;
     let mut node = node_with_peers(0, &[8, 9], ms(0));
     node.set_version(7);
-    assert_eq!(node.newest_known_version(ms(0)), 9, "as soon as it hears of them");
+    assert_eq!(node.newest_known_version(ms(0)), 9, "as soon as a peer announces it");
     node.update_newer_since(ms(50));
     // One version is put in force while a newer one is announced.
     node.set_version(8);
     assert_eq!(node.newest_known_version(ms(100)), 9);
     node.update_newer_since(ms(150));
     assert_eq!(node.newest_known_version(ms(15_000)), 9);
-    assert_eq!(node.newest_known_version(ms(15_200)), 0, "what peers say may be wrong");
+    assert_eq!(node.newest_known_version(ms(15_200)), 0, "announced too long ago");
     node.record_fetched(&settings(9), "instance-101", ms(15_300));
     node.reject_fetched(9);
     node.set_version(9);
     assert_eq!(
         node.newest_known_version(ms(15_400)),
         8,
-        "what can't be used isn't waited for"
+        "unusable settings are left out"
     );
 }
 
@@ -336,10 +336,10 @@
     receive_heartbeat(&mut node, 101, 2, ms(700));
     assert!(poll_fetch_due(&mut node, ms(700)));
     node.record_fetched(&settings(9), "instance-100", ms(800));
-    assert!(node.settings_sources(ms(800)).is_empty(), "it is expected to be in force");
+    assert!(node.settings_sources(ms(800)).is_empty(), "it is about to be in force");
     node.reject_fetched(9);
     let sources = node.settings_sources(ms(800));
-    assert_eq!(sources.len(), 1, "the peer whose settings are of use");
+    assert_eq!(sources.len(), 1, "the peer with usable settings");
     assert_eq!(sources[0].info.name, "instance-101");
     // The peer's next version is requested, even if it is announced before the old one is
     // rejected.
