--- a/crates/flaxtide-entry/src/reply.rs
+++ b/crates/flaxtide-entry/src/reply.rs
@@ -52,9 +52,9 @@
 impl LocalReply {
     /// Replaces a rejection that newer rules might lift by a temporary one, if the rules in
     /// force are outdated: callers don't retry after a permanent rejection.
-    pub(crate) fn defer_to_newer_rules(self, behind: bool) -> Self {
+    pub(crate) fn defer_to_newer_rules(self, outdated: bool) -> Self {
         match self {
-            Self::UnknownKey | Self::UnknownTarget if behind => Self::OutdatedRules,
+            Self::UnknownKey | Self::UnknownTarget if outdated => Self::OutdatedRules,
             reply => reply,
         }
     }
