--- a/crates/flaxtide-entry/src/duty/thread.rs
+++ b/crates/flaxtide-entry/src/duty/thread.rs
@@ -1,4 +1,4 @@
-//! The thread that keeps the lease, and does the duties under it.
+//! The thread that keeps the lease and performs the duties while it has it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,68 +14,69 @@
 use super::shared::SharedDuties;
 use crate::config::{DutyConfig, EntryConfig};
 use crate::contract::{
-    DutyAnswer, DutyPlatform, DutyRow, FeedError, FencingToken, UsageReport,
+    DutyAnswer, DutyCredentials, DutyPlatform, DutyRow, FeedError, UsageReport,
 };
 use crate::fleet::FleetLink;
 use crate::metrics::EntryMetrics;
 
-/// How often the thread looks at what is due.
+/// How often the thread checks what is due.
 const POLL_PERIOD: Duration = Duration::from_millis(100);
 
-/// How soon the platform is called again after a failed call about the lease.
+/// The pause after a failed call that concerns the lease.
 const RETRY_PERIOD: Duration = Duration::from_millis(400);
 
-/// The least time by which a lease is longer than what holders have to keep apart: so long a
-/// call may be under way.
+/// How much longer a lease is than the configured time between two holders: a call of the
+/// previous holder may be in flight for that long.
 const LEASE_MARGIN: Duration = Duration::from_secs(1);
 
-/// A lease is renewed so many times within its term.
-const RENEWALS: u32 = 3;
+/// How many times a lease is renewed within its term.
+const RENEWALS_PER_TERM: u32 = 3;
 
-/// Fencing numbers of a later era of the store are higher than all of those before.
-const ERA_BITS: u32 = 32;
+/// Fences have the store's era in their upper bits, so those of a later era are higher
+/// than all earlier ones.
+const FENCE_ERA_SHIFT: u32 = 32;
 
-/// What the thread needs.
+/// Keeps the lease and performs the duties.
 pub(crate) struct DutyThread {
-    /// The instance's name.
+    /// The name of this instance.
     name: InstanceName,
-    /// Where it hears its peers.
+    /// The address at which this instance listens to its peers.
     address: SocketAddr,
-    /// The platform.
+    /// The platform's table, and its calls for the duties.
     platform: Arc<dyn DutyPlatform>,
-    /// What the threads share.
-    board: Arc<SharedDuties>,
-    /// The ring to the fleet thread.
+    /// The state shared with the other threads.
+    duties: Arc<SharedDuties>,
+    /// The link to the fleet thread, which announces the holder to peers.
     link: FleetLink,
-    /// The metrics.
+    /// Counts the calls and shows the held fence.
     metrics: Arc<EntryMetrics>,
-    /// What is turned on the duties.
+    /// The enabled duties and their timing.
     config: DutyConfig,
-    /// The clock.
+    /// The clock of the lease.
     clock: MilliClock,
-    /// The lease.
+    /// Decides when to read and write the lease.
     watch: LeaseWatch,
     /// The era of the store, as last read.
     era: u64,
-    /// The era in which the row was written.
+    /// The era of the store in which the row was written.
     row_era: u64,
-    /// When the platform may be called again about the lease.
+    /// When the next call that concerns the lease may be made.
     retry_at: Duration,
-    /// The number under which the duties are held.
-    held: Option<u64>,
-    /// Reports of usage.
+    /// The fence under which the duties are held, or `None` if they aren't.
+    held_fence: Option<u64>,
+    /// The reports of usage.
     reports: ReportDuty,
-    /// Orders of servers.
+    /// The orders of servers.
     orders: OrderDuty,
 }
 
 impl DutyThread {
-    /// Makes a thread that holds nothing.
+    /// Creates a thread that doesn't hold the duties.
     pub(crate) fn new(
         entry: &EntryConfig,
         config: DutyConfig,
         platform: Arc<dyn DutyPlatform>,
-        board: Arc<SharedDuties>,
+        duties: Arc<SharedDuties>,
         link: FleetLink,
         metrics: Arc<EntryMetrics>,
     ) -> Self {
@@ -83,7 +84,7 @@
         let term = config.lease + LEASE_MARGIN;
         let timing = LeaseTiming {
             term,
-            poll_period: term / RENEWALS,
+            poll_period: term / RENEWALS_PER_TERM,
             ..LeaseTiming::default()
         };
         let holder = format!("{} {:08x}", entry.name, rand::random::<u32>());
@@ -91,7 +92,7 @@
             name: entry.name.clone(),
             address: entry.fleet,
             platform,
-            board,
+            duties,
             link,
             metrics,
             watch: LeaseWatch::new(holder, timing, clock.now()),
@@ -99,85 +100,91 @@
             era: 0,
             row_era: 0,
             retry_at: Duration::ZERO,
-            held: None,
+            held_fence: None,
             reports: ReportDuty::new(config.usage_window, config.usage_within),
             orders: OrderDuty::default(),
             config,
         }
     }
 
-    /// Does the duties, as long as this process runs.
+    /// Performs the duties for as long as the process runs.
     pub(crate) fn run(mut self) {
         loop {
             thread::sleep(POLL_PERIOD);
-            if self.board.is_stopping() {
+            if self.duties.is_stopping() {
                 self.watch.release();
             }
-            self.turn();
+            self.run_once();
         }
     }
 
-    /// Does what is due.
-    fn turn(&mut self) {
-        if self.held.is_none() && !self.board.stands() {
+    /// Does what is due now.
+    fn run_once(&mut self) {
+        if self.held_fence.is_none() && !self.duties.is_candidate() {
             return;
         }
         self.keep_lease();
         let fence = self.watch.fence(self.clock.now(), true);
-        self.note_holding(fence);
+        self.update_holding(fence);
         if fence.is_none() {
             return;
         }
         if self.config.has_task(DutyConfig::USAGE) {
-            self.report();
-            // A platform that doesn't answer takes the time in which the lease is to be renewed.
+            self.send_reports();
+            // If the platform doesn't answer, the report may have taken so long that the
+            // lease must be renewed now.
             self.keep_lease();
         }
         if self.config.has_task(DutyConfig::SCALING) {
-            self.order();
+            self.send_orders();
         }
     }
 
-    /// Looks at the lease, and takes or renews it if that is due.
+    /// Reads the row, and takes or renews the lease if that is due.
     fn keep_lease(&mut self) {
         let now = self.clock.now();
         if now < self.retry_at {
             return;
         }
-        if self.watch.step(now) == LeaseStep::Read && !self.look(now) {
+        if self.watch.step(now) == LeaseStep::Read && !self.read_lease(now) {
             self.retry_at = self.clock.now() + RETRY_PERIOD;
             return;
         }
-        // What is decided is decided for the moment of the look.
+        // The decision is made for the moment of the read, not for a later one.
         if let LeaseStep::Write { expected, row } = self.watch.step(now) {
-            self.write(expected, &row, now);
+            self.write_lease(expected, &row, now);
         }
     }
 
     /// Reads the row. Returns whether that succeeded.
-    fn look(&mut self, now: Duration) -> bool {
+    fn read_lease(&mut self, now: Duration) -> bool {
         let read = match self.platform.read_row() {
             Ok(read) => read,
             Err(fault) => {
                 self.count("lease", "failed");
-                log::info!(cause = fault.to_string(); "row of the duties not read");
+                log::info!(cause = fault.to_string(); "duty row not read");
                 return false;
             }
         };
         self.count("lease", "read");
         self.era = self.era.max(read.era);
-        self.watch.raise_min_fence(self.era << ERA_BITS);
+        self.watch.record_used_fence(self.era << FENCE_ERA_SHIFT);
         let lease = read.row.as_ref().map(|(row, version)| (row.lease.clone(), *version));
         if let Some((row, _)) = &read.row {
             self.row_era = row.era;
-            self.reports.take_row(row);
+            self.reports.record_row(row);
         }
         self.watch.record_read(lease, now);
         true
     }
 
-    /// Writes the row.
-    fn write(&mut self, expected: Option<u64>, lease: &LeaseRow, asked: Duration) {
+    /// Writes the row with a lease. `asked_at` is the time for which the write was decided.
+    fn write_lease(
+        &mut self,
+        expected: Option<u64>,
+        lease: &LeaseRow,
+        asked_at: Duration,
+    ) {
         let mut row = DutyRow {
             lease: lease.clone(),
             address: self.address,
@@ -187,45 +194,45 @@
             owed_from: 0,
             drafts: Default::default(),
         };
-        self.reports.fill(&mut row, &self.board, self.held.is_some());
+        self.reports.fill(&mut row, &self.duties, self.held_fence.is_some());
         let written = self.platform.write_row(expected, &row);
         let version = match written {
             Ok(version) => version,
             Err(fault) => {
-                log::info!(cause = fault.to_string(); "row of the duties may not be written");
+                log::info!(cause = fault.to_string(); "duty row possibly not written");
                 self.retry_at = self.clock.now() + RETRY_PERIOD;
                 None
             }
         };
         self.count("lease", if version.is_some() { "written" } else { "failed" });
-        self.watch.record_write(lease, version, asked);
+        self.watch.record_write(lease, version, asked_at);
         if version.is_some() {
-            self.reports.take_row(&row);
+            self.reports.record_row(&row);
         }
         if version.is_some() && lease.released {
-            log::info!(fence = lease.fence; "duties given up");
+            log::info!(fence = lease.fence; "duties released");
         }
     }
 
-    /// Notes whether the duties are held, and under which number.
-    fn note_holding(&mut self, fence: Option<u64>) {
+    /// Records whether the duties are held, and under which fence.
+    fn update_holding(&mut self, fence: Option<u64>) {
         if fence.is_none() && self.watch.is_advancing_fence(self.clock.now()) {
             return;
         }
-        if fence == self.held {
+        if fence == self.held_fence {
             return;
         }
-        let (before, now) = (self.held, self.clock.now());
-        self.held = fence;
+        let (before, now) = (self.held_fence, self.clock.now());
+        self.held_fence = fence;
         self.metrics.duty_fence.set(fence.unwrap_or_default() as i64);
         let Some(fence) = fence else {
-            self.board.end_holding();
+            self.duties.end_holding();
             log::warn!(fence = before.unwrap_or_default(); "duties lost");
             return;
         };
         if before.is_none() {
-            let renewed = self.row_era < self.era;
-            self.reports.begin(&self.board, renewed, now);
+            let store_restored = self.row_era < self.era;
+            self.reports.begin(&self.duties, store_restored, now);
             self.orders.begin();
         }
         let holder = DutyHolder { fence, address: self.address };
@@ -233,14 +240,14 @@
         log::info!(fence, era = self.era; "duties held");
     }
 
-    /// Sends the report that is settled, or settles the next one.
-    fn report(&mut self) {
+    /// Sends the settled report, or settles the next one.
+    fn send_reports(&mut self) {
         let now = self.clock.now();
         if let Some(report) = self.reports.due(now) {
             self.send_report(&report);
             return;
         }
-        if self.reports.settle_next(&self.board, now) {
+        if self.reports.settle_next(&self.duties, now) {
             self.watch.renew();
             self.keep_lease();
             if let Some(report) = self.reports.due(self.clock.now()) {
@@ -251,57 +258,59 @@
 
     /// Sends a report.
     fn send_report(&mut self, report: &UsageReport) {
-        let Some(pass) = self.pass() else { return };
-        let sent = self.platform.report_usage(&pass, report);
+        let Some(credentials) = self.credentials() else { return };
+        let sent = self.platform.report_usage(&credentials, report);
         let now = self.clock.now();
         log::info!(
-            window = report.window, fence = pass.fence, outcome = outcome_text(&sent);
+            window = report.window, fence = credentials.fence, outcome = outcome_text(&sent);
             "usage reported"
         );
         self.count("usage", outcome_text(&sent).as_str());
         match sent {
             Ok(DutyAnswer::Taken) => {
                 self.reports.acknowledged = true;
-                self.board.close_window(report.window);
+                self.duties.close_window(report.window);
             }
             Ok(DutyAnswer::Refused) => self.watch.record_lost(),
-            // A report that is carried out late says the same.
-            Ok(DutyAnswer::Busy) | Err(_) => self.reports.put_off(now),
+            // If it is applied late, the repeated report still has the same counts.
+            Ok(DutyAnswer::Busy) | Err(_) => self.reports.postpone(now),
         }
     }
 
-    /// Gives the orders that are due.
-    fn order(&mut self) {
+    /// Sends the orders that are due.
+    fn send_orders(&mut self) {
         let now = self.clock.now();
-        for order in self.orders.due(&self.board, now) {
+        for order in self.orders.due(&self.duties, now) {
             if !self.send_order(&order) {
                 return;
             }
         }
     }
 
-    /// Gives an order. Returns whether others may follow.
+    /// Sends an order. Returns whether further orders may be sent.
     fn send_order(&mut self, order: &ServiceOrder) -> bool {
-        let Some(pass) = self.pass() else { return false };
-        let sent = self.platform.order_servers(&pass, &order.service, &order.order);
+        let Some(credentials) = self.credentials() else { return false };
+        let sent =
+            self.platform
+                .order_servers(&credentials, &order.service, &order.order);
         let now = self.clock.now();
         log::info!(
             service = order.service, data_centre = order.order.data_centre,
-            spot = order.order.spot, count = order.order.count, fence = pass.fence,
+            spot = order.order.spot, count = order.order.count, fence = credentials.fence,
             outcome = outcome_text(&sent);
             "servers ordered"
         );
         self.count("orders", outcome_text(&sent).as_str());
         let outcome = match sent {
             Ok(DutyAnswer::Taken) => OrderOutcome::Accepted,
-            // The next write tells whether the lease is lost.
+            // The next write shows whether the lease is lost.
             Ok(DutyAnswer::Refused) => OrderOutcome::Unavailable,
             Ok(DutyAnswer::Busy) | Err(FeedError::Refused { .. }) => {
                 OrderOutcome::Refused
             }
             Err(_) => OrderOutcome::Unknown,
         };
-        self.orders.record(order, outcome, now);
+        self.orders.record_outcome(order, outcome, now);
         match outcome {
             OrderOutcome::Accepted => true,
             OrderOutcome::Unavailable => {
@@ -310,26 +319,27 @@
             }
             OrderOutcome::Refused => false,
             OrderOutcome::Unknown => {
-                // Carried out later, it is refused: newer ones bear a higher number.
+                // With a higher fence for newer orders, the platform refuses this one if
+                // it arrives later.
                 self.watch.advance_fence();
                 false
             }
         }
     }
 
-    /// Returns with what a call may be made now.
-    fn pass(&self) -> Option<FencingToken> {
+    /// Returns the credentials for a call now, or `None` if the lease isn't held.
+    fn credentials(&self) -> Option<DutyCredentials> {
         let fence = self.watch.fence(self.clock.now(), true)?;
-        Some(FencingToken { holder: self.name.clone(), fence })
+        Some(DutyCredentials { holder: self.name.clone(), fence })
     }
 
-    /// Counts a call.
+    /// Counts a call by its topic and result.
     fn count(&self, topic: &str, result: &str) {
         self.metrics.platform_calls.with_label_values(&[topic, result]).inc();
     }
 }
 
-/// Spells what came of a call.
+/// Returns the outcome of a call as text for log lines and metrics.
 fn outcome_text(sent: &Result<DutyAnswer, FeedError>) -> String {
     match sent {
         Ok(answer) => format!("{answer:?}").to_lowercase(),
--- a/crates/flaxtide-entry/src/duty/view.rs
+++ b/crates/flaxtide-entry/src/duty/view.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread shows the thread of the duties.
+//! Shows the rules and the servers to the thread of the duties.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +9,10 @@
 use super::shared::{DutyView, ScaledService, SharedDuties};
 use crate::state::TrafficState;
 
-/// Shows the thread of the duties what a holder has to know, if this instance may be one.
-pub(crate) fn update_duty_view(state: &TrafficState, board: &SharedDuties) {
-    if !board.wants_view() {
+/// Updates the view for the holder of the duties, if this instance is a candidate or the
+/// holder.
+pub(crate) fn update_duty_view(state: &TrafficState, duties: &SharedDuties) {
+    if !duties.needs_view() {
         return;
     }
     let Some(table) = state.table() else { return };
@@ -21,32 +22,33 @@
             name: service.name.clone(),
             rules: service.scaling.clone()?,
             slots: service.engine.map_or(1, |engine| engine.slots),
-            stocks: stocks_of(state, &service.name),
+            server_counts: count_servers(state, &service.name),
         })
     });
-    board.set_view(DutyView {
+    duties.set_view(DutyView {
         organisations: names.map(|name| (fleet_key(name), name.to_owned())).collect(),
         services: services.collect(),
         live: u32::try_from(state.metrics.instances.get()).unwrap_or_default(),
     });
 }
 
-/// Counts the servers of a service that serve and aren't leaving.
-fn stocks_of(
+/// Counts the serving servers of a service in each data centre. Leaving servers don't
+/// count.
+fn count_servers(
     state: &TrafficState,
     service: &str,
 ) -> BTreeMap<DataCentreName, ServerCounts> {
-    let mut stocks: BTreeMap<DataCentreName, ServerCounts> = BTreeMap::new();
+    let mut server_counts: BTreeMap<DataCentreName, ServerCounts> = BTreeMap::new();
     for listed in state.directory.borrow().of_service(service) {
         let entry = &listed.entry;
-        let stock = stocks.entry(entry.data_centre.clone()).or_default();
+        let counts = server_counts.entry(entry.data_centre.clone()).or_default();
         if entry.leaving || listed.lapsed() {
             continue;
         }
         match entry.spot {
-            true => stock.spot += 1,
-            false => stock.regular += 1,
+            true => counts.spot += 1,
+            false => counts.regular += 1,
         }
     }
-    stocks
+    server_counts
 }
--- a/crates/flaxtide-entry/src/follower.rs
+++ b/crates/flaxtide-entry/src/follower.rs
@@ -1,5 +1,5 @@
-//! Following a topic of the platform on a thread of its own: from peers that have read it, or
-//! from the platform itself.
+//! Follows one topic of the platform on a thread of its own, through peers that read it
+//! or from the platform itself.
 
 use std::sync::Arc;
 use std::thread;
@@ -17,83 +17,92 @@
 use crate::reader::ServerListLog;
 use crate::source::ServerListSource;
 
-/// How often an instance looks whether peers still hand rules on.
-const PEERS_PERIOD: Duration = Duration::from_millis(500);
+/// How often an instance checks whether peers still push newer rules to it.
+const PEER_CHECK_PERIOD: Duration = Duration::from_millis(500);
 
-/// How often peers are asked by an instance that leaves the platform in peace.
-const REST_PERIOD: Duration = Duration::from_millis(100);
+/// How often an instance asks its peers again while it backs off from calling the
+/// platform.
+const PEER_RETRY_PERIOD: Duration = Duration::from_millis(100);
 
-/// How often an instance that has just started looks whether it knows who reads.
-const SETTLING_PERIOD: Duration = Duration::from_millis(100);
+/// How often an instance that has just started checks whether it knows its reader.
+const PLAN_CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// A call that took longer than this has waited for changes: the platform answers others within a
-/// few milliseconds, and those that wait as soon as there is a change.
-const WAITED: Duration = Duration::from_millis(100);
+/// A call that took longer than this was a long poll that waited for a change: the
+/// platform answers other calls within a few milliseconds, and a long poll as soon as
+/// something changes.
+const LONG_POLL_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// What peers tell of a topic.
-enum PeerWord {
-    /// These rows have changed.
+/// What peers contribute to a topic.
+enum PeerUpdate {
+    /// A reader has answered with these changes.
     Rows(FeedBatch),
-    /// Changes come another way.
-    Elsewhere,
+    /// Peers push newer versions by themselves, so there is nothing to ask for.
+    Pushed,
 }
 
-/// What follows one topic.
+/// Follows one topic.
 pub(crate) struct TopicFollower {
-    /// What the platform tells.
+    /// Reads the topic from the platform.
     pub(crate) feed: Arc<dyn PlatformFeed>,
-    /// The topic.
+    /// The followed topic.
     pub(crate) topic: FeedTopic,
-    /// The pause between two calls: rows may change all the time, and each call has its
-    /// price.
+    /// The pause between two calls to the platform. Rows may change all the time, and
+    /// each call costs the platform some load.
     pub(crate) call_pause: Duration,
-    /// From whom this instance gets what few read from the platform.
+    /// Knows which peer to ask instead of the platform.
     pub(crate) source: Arc<ServerListSource>,
-    /// For the list that peers are told: what was read, and the ring to the fleet thread.
+    /// The log that answers peers and the link over which peers are asked. `None` for the
+    /// rules, which peers push.
     pub(crate) list: Option<(Arc<ServerListLog>, FleetLink)>,
-    /// The ring to the traffic thread.
+    /// The queue to the traffic thread.
     pub(crate) events: Sender<FeedEvent>,
-    /// The metrics.
+    /// Counts the calls and shows the state of the platform.
     pub(crate) metrics: Arc<EntryMetrics>,
 }
 
 impl TopicFollower {
-    /// Returns what peers tell of the topic; nothing if this instance is to call the
-    /// platform.
-    fn told_by_peers(&self, after: Option<StoreVersion>) -> Option<PeerWord> {
+    /// Returns what peers contribute to the topic, or `None` if this instance should call
+    /// the platform.
+    fn poll_peers(&self, after: Option<StoreVersion>) -> Option<PeerUpdate> {
         let after = after?;
         let Some((list, link)) = self.list.as_ref() else {
-            // Peers hand newer rules on by themselves, as long as their readers go on.
-            let hands_on = self.source.told_lately() && !self.source.is_behind();
-            return hands_on.then_some(PeerWord::Elsewhere);
+            // Peers push newer rules by themselves as long as their readers keep reading.
+            let pushed =
+                self.source.reader_answered_lately() && !self.source.rules_overdue();
+            return pushed.then_some(PeerUpdate::Pushed);
         };
-        let changes = self.source.ask(link, after)?;
-        list.forget();
+        let changes = self.source.fetch_changes(link, after)?;
+        list.clear();
         self.count("peer");
         let row =
             |row: RowCopy| FeedRow { name: row.name, text: row.text, version: None };
-        Some(PeerWord::Rows(FeedBatch {
+        Some(PeerUpdate::Rows(FeedBatch {
             version: changes.version.max(after),
             rows: changes.rows.into_iter().map(row).collect(),
         }))
     }
 
-    /// Returns how long this instance leaves the platform in peace, though no peer tells.
-    fn rest(&self, backoff: &mut CallBackoff, now: Duration) -> Option<Duration> {
-        let behind = self.topic == FeedTopic::Rules && self.source.is_behind();
-        if !self.source.follows_peers() || behind {
+    /// Returns how long to wait before calling the platform although no peer has
+    /// answered, or `None` to call it now.
+    fn platform_delay(
+        &self,
+        backoff: &mut CallBackoff,
+        now: Duration,
+    ) -> Option<Duration> {
+        let overdue = self.topic == FeedTopic::Rules && self.source.rules_overdue();
+        if !self.source.reads_from_peers() || overdue {
             return None;
         }
-        backoff.rest(self.source.start_window(), rand::random(), now)
+        backoff.delay(self.source.call_window(), rand::random(), now)
     }
 
-    /// Calls the platform, and waits for changes no longer than `most`.
-    fn call(
+    /// Calls the platform. The call waits for changes for at most `max_wait`.
+    fn fetch(
         &self,
         after: Option<StoreVersion>,
-        most: Duration,
+        max_wait: Duration,
     ) -> Result<FeedBatch, FeedError> {
-        let wait = self.timing().0.min(most);
+        let wait = self.timing().0.min(max_wait);
         let read = match after {
             None => self.feed.read(self.topic),
             Some(version) => self.feed.follow(self.topic, version, wait),
@@ -114,93 +123,110 @@
         timing.unwrap_or((FOLLOW_WAIT, self.call_pause))
     }
 
-    /// Returns up to when an answer of the platform tells of changes, if its call was made at
-    /// `called`. One that had to wait tells of what has just changed.
-    fn covered(called: Duration, answered: Duration) -> Duration {
-        if answered > called + WAITED { answered - WAITED } else { called }
+    /// Returns the time up to which an answer of the platform includes all changes. An
+    /// ordinary answer includes those before the call; one that had to wait reports a
+    /// change that has just happened.
+    fn covered_until(called: Duration, answered: Duration) -> Duration {
+        if answered > called + LONG_POLL_THRESHOLD {
+            answered - LONG_POLL_THRESHOLD
+        } else {
+            called
+        }
     }
 
-    /// Calls the platform and handles its answer, then pauses. Returns whether somebody
-    /// listens.
+    /// Calls the platform, handles its answer, and pauses. Returns whether the traffic
+    /// thread still receives events.
     fn call_platform(
         &self,
         state: &mut FollowState,
         backoff: &mut CallBackoff,
         clock: &MilliClock,
     ) -> bool {
-        let most = state.longest_wait(clock.now());
-        let rest = self.timing().1;
+        let max_wait = state.max_wait(clock.now());
+        let pause = self.timing().1;
         let called = clock.now();
-        match self.call(state.after(), most) {
+        match self.fetch(state.after(), max_wait) {
             Ok(batch) => {
                 let now = clock.now();
-                backoff.succeed(now);
-                let was_out = state.is_out(now);
-                let unseen = state.cover(Self::covered(called, now), now);
+                backoff.record_success(now);
+                let was_outage = state.is_outage(now);
+                let unseen = state.record_coverage(Self::covered_until(called, now), now);
                 let waited = now.saturating_sub(called);
-                let unseen = if waited > WAITED { unseen.min(WAITED) } else { unseen };
-                let listened = self.take_batch(state, batch, unseen, was_out);
-                thread::sleep(rest);
-                listened
+                let unseen = if waited > LONG_POLL_THRESHOLD {
+                    unseen.min(LONG_POLL_THRESHOLD)
+                } else {
+                    unseen
+                };
+                let delivered = self.handle_batch(state, batch, unseen, was_outage);
+                thread::sleep(pause);
+                delivered
             }
             Err(fault) => {
                 if fault != FeedError::HistoryGone {
-                    backoff.fail(rand::random(), clock.now());
+                    backoff.record_failure(rand::random(), clock.now());
                 }
-                self.take_fault(state, &fault, clock.now())
+                self.handle_fault(state, &fault, clock.now())
             }
         }
     }
 
-    /// Handles an answer. Returns whether somebody listens.
-    fn take_batch(
+    /// Handles an answer. Returns whether the traffic thread still receives events.
+    fn handle_batch(
         &self,
         state: &mut FollowState,
         batch: FeedBatch,
         unseen: Duration,
-        was_out: bool,
+        was_outage: bool,
     ) -> bool {
-        let FollowAnswer { whole, regained } = state.take_version(batch.version);
+        let FollowAnswer { is_snapshot, regained } = state.record_answer(batch.version);
         self.metrics.store_era.set(store_era(batch.version) as i64);
         if regained {
             log_dependency(self.topic, true, None, &self.metrics);
         }
-        if regained && was_out && !self.tell_outage(FeedEvent::Regained) {
+        if regained && was_outage && !self.send_outage(FeedEvent::Regained) {
             return false;
         }
-        let news = whole || !batch.rows.is_empty();
-        !news || self.tell(FeedEvent::Batch { topic: self.topic, batch, whole, unseen })
+        let news = is_snapshot || !batch.rows.is_empty();
+        !news
+            || self.send_event(FeedEvent::Batch {
+                topic: self.topic,
+                batch,
+                is_snapshot,
+                unseen,
+            })
     }
 
-    /// Handles a failed call, and pauses. Returns whether somebody listens.
-    fn take_fault(
+    /// Handles a failed call, and pauses. Returns whether the traffic thread still
+    /// receives events.
+    fn handle_fault(
         &self,
         state: &mut FollowState,
         fault: &FeedError,
         now: Duration,
     ) -> bool {
-        let FollowFault { lost, pause } = state.take_fault(fault, now);
+        let FollowFault { lost, pause } = state.record_fault(fault, now);
         log_fault(self.topic, fault, pause);
         if lost {
             log_dependency(self.topic, false, Some(fault), &self.metrics);
         }
-        let listened = !state.is_out(now) || self.tell_outage(FeedEvent::Lost);
+        let delivered = !state.is_outage(now) || self.send_outage(FeedEvent::Lost);
         thread::sleep(pause);
-        listened
+        delivered
     }
 
-    /// Tells the traffic thread of an outage, if this follows the list of servers: what peers hand
-    /// on of other topics says nothing of how fresh the list is. Returns whether it listens.
-    fn tell_outage(&self, event: FeedEvent) -> bool {
-        self.topic != FeedTopic::Servers || self.tell(event)
+    /// Tells the traffic thread that the platform is lost or regained, but only for the
+    /// server list: answers on other topics don't show whether the list is current.
+    /// Returns whether it still receives events.
+    fn send_outage(&self, event: FeedEvent) -> bool {
+        self.topic != FeedTopic::Servers || self.send_event(event)
     }
 
-    /// Tells the traffic thread. Returns whether it listens.
-    fn tell(&self, event: FeedEvent) -> bool {
+    /// Sends an event to the traffic thread. Returns whether it still receives events.
+    fn send_event(&self, event: FeedEvent) -> bool {
         self.events.blocking_send(event).is_ok()
     }
 
-    /// Counts a call.
+    /// Counts a call by its result.
     fn count(&self, result: &str) {
         let topic = self.topic.to_string();
         self.metrics
@@ -210,57 +236,58 @@
     }
 }
 
-/// Follows a topic until nobody listens.
+/// Follows a topic until the traffic thread has ended.
 pub(crate) fn follow_topic(follower: &TopicFollower) {
     let clock = MilliClock::real();
     let mut state = FollowState::default();
     let mut backoff = CallBackoff::default();
     loop {
         let asked = clock.now();
-        let listened = match follower.told_by_peers(state.after()) {
-            Some(PeerWord::Rows(batch)) => {
+        let delivered = match follower.poll_peers(state.after()) {
+            Some(PeerUpdate::Rows(batch)) => {
                 backoff.reset();
-                let was_out = state.is_out(asked);
-                let covered = follower.source.covered(asked);
-                let unseen = state.cover(covered, clock.now());
-                follower.take_batch(&mut state, batch, unseen, was_out)
+                let was_outage = state.is_outage(asked);
+                let covered_until = follower.source.covered_until(asked);
+                let unseen = state.record_coverage(covered_until, clock.now());
+                follower.handle_batch(&mut state, batch, unseen, was_outage)
             }
-            Some(PeerWord::Elsewhere) => {
+            Some(PeerUpdate::Pushed) => {
                 backoff.reset();
-                thread::sleep(PEERS_PERIOD);
+                thread::sleep(PEER_CHECK_PERIOD);
                 true
             }
-            None if state.after().is_some() && follower.source.is_settling() => {
-                thread::sleep(SETTLING_PERIOD);
+            None if state.after().is_some() && follower.source.awaits_plan() => {
+                thread::sleep(PLAN_CHECK_PERIOD);
                 true
             }
-            None => match follower.rest(&mut backoff, clock.now()) {
-                Some(rest) => {
-                    state.doubt(clock.now());
-                    thread::sleep(rest.min(REST_PERIOD));
-                    // Rows that lapse meanwhile may do so since the platform is out.
-                    !state.is_out(clock.now()) || follower.tell_outage(FeedEvent::Lost)
+            None => match follower.platform_delay(&mut backoff, clock.now()) {
+                Some(delay) => {
+                    state.shorten_waits(clock.now());
+                    thread::sleep(delay.min(PEER_RETRY_PERIOD));
+                    // During an outage, a row may lapse only because its server can't
+                    // renew it.
+                    !state.is_outage(clock.now()) || follower.send_outage(FeedEvent::Lost)
                 }
                 None => follower.call_platform(&mut state, &mut backoff, &clock),
             },
         };
-        if !listened {
+        if !delivered {
             return;
         }
     }
 }
 
-/// Logs that a call has failed.
+/// Logs a failed call.
 fn log_fault(topic: FeedTopic, fault: &FeedError, pause: Duration) {
     let (topic, pause_ms) = (topic.to_string(), pause.as_millis() as u64);
     if *fault == FeedError::HistoryGone {
-        log::info!(topic, pause_ms; "history gone, everything is read anew");
+        log::info!(topic, pause_ms; "history gone, reading everything");
         return;
     }
     log::info!(topic, cause = fault.to_string(), pause_ms; "platform call failed");
 }
 
-/// Logs that the platform is lost or regained.
+/// Logs and shows whether the platform is reachable.
 fn log_dependency(
     topic: FeedTopic,
     up: bool,
--- a/crates/flaxtide-fleet/src/links.rs
+++ b/crates/flaxtide-fleet/src/links.rs
@@ -1,4 +1,5 @@
-//! The links to peers: one to each, opened once however many want it.
+//! The links of an instance: one TCP connection with a tarpc client to each peer, shared by all
+//! calls.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -20,73 +21,73 @@
 /// How long a link may take to open.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// For how long nobody tries again after a link couldn't be opened: those who waited for it
-/// end with it, instead of trying one after the other.
-pub(crate) const TRIED_LATELY: Duration = Duration::from_millis(200);
+/// How long no new attempt is made after a link couldn't be opened. Calls that waited for it
+/// fail with it, instead of trying one after the other.
+pub(crate) const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
-/// How much longer than its deadline a call is waited for. A call that couldn't even be
-/// written, as the peer reads nothing, isn't ended by its deadline.
-const UNWRITTEN: Duration = Duration::from_millis(100);
+/// How long a call is awaited past its deadline. tarpc doesn't end a call at its deadline if
+/// the call couldn't be written, because the peer reads nothing.
+const WRITE_MARGIN: Duration = Duration::from_millis(100);
 
 /// The links of one instance to its peers.
 #[derive(Default)]
 pub(crate) struct PeerLinks {
-    /// A slot for each address.
+    /// The state of the link to each address.
     slots: Mutex<HashMap<SocketAddr, Arc<LinkSlot>>>,
     /// The number of the next link.
-    next: AtomicU64,
-    /// The bytes that went over the links.
+    next_number: AtomicU64,
+    /// The counters of the bytes on all links.
     pub(crate) bytes: LinkBytes,
 }
 
-/// The link to one address, locked while it is being opened.
+/// The state of the link to one address, locked while the link is being opened.
 type LinkSlot = tokio::sync::Mutex<LinkState>;
 
-/// The link to one address.
+/// The state of the link to one address.
 #[derive(Default)]
 struct LinkState {
     /// The link, if it is open.
     open: Option<OpenLink>,
-    /// When it last couldn't be opened.
-    failed: Option<Instant>,
+    /// When the link last couldn't be opened.
+    failed_at: Option<Instant>,
 }
 
 /// An open link.
 #[derive(Clone)]
 pub(crate) struct OpenLink {
-    /// Tells it from earlier and later links to the same address.
+    /// Distinguishes the link from earlier and later ones to the same address.
     number: u64,
-    /// Calls the peer.
+    /// The client that calls the peer.
     pub(crate) client: PeerLinkClient,
 }
 
 impl PeerLinks {
-    /// Returns the link to an address, opening it if need be. Whoever comes while it is
-    /// being opened waits for the same one.
+    /// Returns the link to an address, opening it if needed. Calls that arrive while it is
+    /// being opened wait for it. Returns `None` if it can't be opened.
     pub(crate) async fn open(&self, address: SocketAddr) -> Option<OpenLink> {
         let slot = self.slot(address);
         let mut state = slot.lock().await;
         if state.open.is_some() {
             return state.open.clone();
         }
-        if state.failed.is_some_and(|at| at.elapsed() < TRIED_LATELY) {
+        if state.failed_at.is_some_and(|at| at.elapsed() < RECONNECT_PAUSE) {
             return None;
         }
         let stream =
             tokio::time::timeout(OPEN_TIMEOUT, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = stream else {
-            state.failed = Some(Instant::now());
+            state.failed_at = Some(Instant::now());
             return None;
         };
         let _ = stream.set_nodelay(true);
         let transport = transport(stream, &self.bytes);
         let client = PeerLinkClient::new(client::Config::default(), transport).spawn();
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         state.open = Some(OpenLink { number, client });
         state.open.clone()
     }
 
-    /// Closes a link, unless another one has taken its place.
+    /// Closes a link unless another one has replaced it.
     pub(crate) async fn close(&self, address: SocketAddr, link: &OpenLink) {
         let slot = self.slot(address);
         let mut state = slot.lock().await;
@@ -95,14 +96,14 @@
         }
     }
 
-    /// Closes the links to addresses that aren't wanted any more. Calls under way on them
-    /// are answered still.
-    pub(crate) fn keep_only(&self, wanted: impl Fn(&SocketAddr) -> bool) {
+    /// Drops the links to addresses that aren't wanted any more. Calls in flight on them are
+    /// still answered.
+    pub(crate) fn retain(&self, wanted: impl Fn(&SocketAddr) -> bool) {
         let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
         slots.retain(|address, slot| wanted(address) || Arc::strong_count(slot) > 1);
     }
 
-    /// Returns the slot of an address. Slots that nobody uses go when one is added.
+    /// Returns the slot of an address. Adding one removes unused slots.
     fn slot(&self, address: SocketAddr) -> Arc<LinkSlot> {
         let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(slot) = slots.get(&address) {
@@ -116,12 +117,12 @@
     }
 }
 
-/// Calls a peer, which has so long to answer.
+/// Makes a call to a peer with a deadline.
 ///
 /// # Errors
 ///
 /// Returns why there is no answer.
-pub(crate) async fn call<Answer, Call>(
+pub(crate) async fn call_with_timeout<Answer, Call>(
     timeout: Duration,
     call: impl FnOnce(Context) -> Call,
 ) -> Result<Answer, RpcError>
@@ -130,15 +131,15 @@
 {
     let mut context = context::current();
     context.deadline = Instant::now() + timeout;
-    let answer = tokio::time::timeout(timeout + UNWRITTEN, call(context)).await;
+    let answer = tokio::time::timeout(timeout + WRITE_MARGIN, call(context)).await;
     answer.unwrap_or(Err(RpcError::DeadlineExceeded))
 }
 
-/// The transport of a link.
+/// The transport of a link: length-delimited bincode messages.
 type LinkTransport<Item, SinkItem> =
     serde_transport::Transport<CountedStream, Item, SinkItem, Bincode<Item, SinkItem>>;
 
-/// Makes the transport of a link.
+/// Creates the transport of a link.
 pub(crate) fn transport<Item, SinkItem>(
     stream: TcpStream,
     bytes: &LinkBytes,
--- a/crates/flaxtide-fleet/src/node/crashes.rs
+++ b/crates/flaxtide-fleet/src/node/crashes.rs
@@ -1,5 +1,6 @@
-//! Evidence of requests that crash backend servers: news go to peers at once and are told
-//! again until they have arrived; logs are compared with peers that start or come back.
+//! Exchange of crash reports: evidence of requests that crash backend servers. New reports are
+//! sent to peers at once and resent until they are acknowledged. Logs are compared with peers
+//! that start or come back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,127 +9,137 @@
 use flaxtide_policy::{CrashLog, CrashReport, Fingerprint, rendezvous_order};
 
 use super::{FleetNode, FleetNotice};
-use crate::contact::{NoticeContact, PendingNotice};
+use crate::changes::ChangeQueue;
 use crate::info::PeerInfo;
-use crate::news::NewsQueue;
+use crate::notice::{NoticeState, PendingNotice};
 use crate::peer::PeerRecord;
 use crate::wire::{CrashNotice, CrashReply};
 
-/// How often the log is compared with a peer's, in turn: what got lost with an instance that
-/// ended is found then.
+/// The interval at which the log is compared with the next peer's. This finds reports that an
+/// instance failed to send on before it ended.
 const COMPARE_PERIOD: Duration = Duration::from_secs(2);
 
-/// With how many peers the log is compared side by side, as each may answer with all of its own.
-const COMPARED_AT_ONCE: usize = 3;
+/// The most peers with which the log is compared at the same time: each may answer with its
+/// whole log.
+const MAX_PARALLEL_COMPARISONS: usize = 3;
 
-/// How many contacts in each other data centre get news: a second one if the first is lost.
-const CONTACTS_TOLD: usize = 2;
+/// How many contacts in each other data centre are sent new reports. The second one covers the
+/// loss of the first.
+const NOTIFIED_CONTACTS: usize = 2;
 
-/// The most reports in one message: 34 KB.
-const MOST_REPORTS: usize = 1024;
+/// The most reports in a message, about 34 KB.
+const MAX_REPORTS: usize = 1024;
 
-/// A notice of crashes on its way to a peer.
+/// A crash notice to be sent to a peer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutgoingCrashes {
-    /// The peer.
+    /// The peer that receives it.
     pub to: PeerInfo,
-    /// The notice.
+    /// The message.
     pub notice: CrashNotice,
 }
 
-/// What this instance knows of servers that ended under requests.
+/// The known server crashes, and which of them peers still need.
 #[derive(Debug, Default)]
 pub(super) struct CrashState {
-    /// All of it.
+    /// All known reports.
     log: CrashLog,
-    /// The requests of which this instance has news for its group.
-    news: NewsQueue<Fingerprint>,
-    /// When the log was last compared in turn, and how often.
+    /// The requests with new reports for peers, in order.
+    changes: ChangeQueue<Fingerprint>,
+    /// When the log was last due for a comparison, and how often it has been.
     compared: (Duration, u64),
     /// Whether a peer has answered a comparison since the start.
-    synced: bool,
+    has_synced: bool,
 }
 
 impl CrashState {
-    /// Returns the reports that are news after a number.
-    fn news_after(&self, told: u64, now: Duration) -> Vec<CrashReport> {
-        let news = self.news.after(told);
+    /// Returns the reports of requests that changed after a change number.
+    fn changed_reports(&self, recipients: u64, now: Duration) -> Vec<CrashReport> {
+        let news = self.changes.after(recipients);
         let reports = news.flat_map(|request| self.log.reports_of(request, now));
-        reports.take(MOST_REPORTS).collect()
+        reports.take(MAX_REPORTS).collect()
     }
 }
 
 impl FleetNode {
-    /// Records what this instance has found out of servers that ended under requests.
+    /// Records crashes that this instance has observed, and queues them for its peers.
     pub fn record_crashes(&mut self, reports: &[CrashReport], now: Duration) {
         for report in reports {
             self.crashes.log.apply(report, now);
-            self.crashes.news.push(report.fingerprint);
+            self.crashes.changes.push(report.fingerprint);
         }
     }
 
-    /// Returns whether a peer has told this instance what it knows of such servers.
+    /// Returns whether a peer has sent this instance the crashes that it knows of.
     #[must_use]
     pub fn has_synced_crashes(&self) -> bool {
-        self.crashes.synced
+        self.crashes.has_synced
     }
 
-    /// Returns the notices of crashes that are due.
+    /// Returns the crash notices that are due.
     pub fn due_crashes(&mut self, now: Duration) -> Vec<OutgoingCrashes> {
-        self.compare_in_turn(now);
-        let last = self.crashes.news.last();
-        let told =
-            self.told_peers(now, |peer| &peer.crashes, |contact| contact.has_due(last));
-        if told.is_empty() {
+        self.schedule_comparison(now);
+        let last = self.crashes.changes.last();
+        let recipients = self.peers_to_notify(
+            now,
+            |peer| &peer.crash_notices,
+            |state| state.is_due(last),
+        );
+        if recipients.is_empty() {
             return vec![];
         }
         let comparing = self
             .peers
             .values()
-            .filter(|peer| peer.crashes.is_comparing(now))
+            .filter(|peer| peer.crash_notices.is_comparing(now))
             .count();
-        let mut free = COMPARED_AT_ONCE.saturating_sub(comparing);
+        let mut free = MAX_PARALLEL_COMPARISONS.saturating_sub(comparing);
         let mut due = vec![];
-        for name in told {
+        for name in recipients {
             let Some(peer) = self.peers.get_mut(&name) else { continue };
-            let contact = &mut peer.crashes;
-            let compares = contact.compare && free > 0;
-            let has_news = contact.told < last || contact.tell_all;
+            let state = &mut peer.crash_notices;
+            let compares = state.needs_comparison && free > 0;
+            let has_news = state.acknowledged < last || state.needs_all;
             if !(compares || has_news) {
                 continue;
             }
-            let reports = if contact.tell_all {
-                self.crashes.log.reports(MOST_REPORTS, now)
+            let reports = if state.needs_all {
+                self.crashes.log.reports(MAX_REPORTS, now)
             } else {
-                self.crashes.news_after(contact.told, now)
+                self.crashes.changed_reports(state.acknowledged, now)
             };
             free -= usize::from(compares);
-            let tells_all = contact.tell_all;
-            contact.send(PendingNotice { at: now, told: last, compares, tells_all });
+            let sends_all = state.needs_all;
+            state.record_sent(PendingNotice {
+                sent_at: now,
+                last_change: last,
+                compares,
+                sends_all,
+            });
             let digest = compares.then(|| self.crashes.log.digest());
-            let (from, to_all) = (self.own.clone(), self.group.joint);
+            let (from, to_all) = (self.own.clone(), self.group.is_single);
             let notice = CrashNotice { from, reports, to_all, digest };
             due.push(OutgoingCrashes { to: peer.info.clone(), notice });
         }
         due
     }
 
-    /// Handles a peer's notice. Returns the answer, and what is news.
+    /// Handles a peer's notice. Returns the reply, and notices of the reports that are new.
     pub fn handle_crashes(
         &mut self,
         notice: &CrashNotice,
         now: Duration,
     ) -> (CrashReply, Vec<FleetNotice>) {
-        let passes_on = !notice.to_all && !self.is_home(&notice.from);
-        let news = self.learn_crashes(&notice.reports, passes_on, now);
+        let forwards = !notice.to_all && !self.in_own_data_centre(&notice.from);
+        let news = self.apply_crash_reports(&notice.reports, forwards, now);
         let digest = self.crashes.log.digest();
         let differs = notice.digest.is_some_and(|other| other != digest);
         let reports =
-            if differs { self.crashes.log.reports(MOST_REPORTS, now) } else { vec![] };
+            if differs { self.crashes.log.reports(MAX_REPORTS, now) } else { vec![] };
         (CrashReply { reports, digest }, news)
     }
 
-    /// Handles the answer to a notice. Returns what is news.
+    /// Handles the reply to a notice. Returns notices of the reports that are new.
     pub fn handle_crash_reply(
         &mut self,
         from: &InstanceName,
@@ -136,40 +147,41 @@
         now: Duration,
     ) -> Vec<FleetNotice> {
         let Some(peer) = self.peers.get_mut(from) else { return vec![] };
-        let Some(notice) = peer.crashes.answer() else { return vec![] };
+        let Some(notice) = peer.crash_notices.record_answer() else { return vec![] };
         let info = peer.info.clone();
-        let passes_on = !self.group.joint && !self.is_home(&info);
-        let news = self.learn_crashes(&reply.reports, passes_on, now);
+        let forwards = !self.group.is_single && !self.in_own_data_centre(&info);
+        let news = self.apply_crash_reports(&reply.reports, forwards, now);
         if notice.compares {
-            self.crashes.synced = true;
+            self.crashes.has_synced = true;
             let lacks_some = self.crashes.log.digest() != reply.digest;
             if let Some(peer) = self.peers.get_mut(from) {
-                peer.crashes.tell_all = lacks_some;
+                peer.crash_notices.needs_all = lacks_some;
             }
         }
         news
     }
 
-    /// Records that there was no link for a notice to a peer.
-    pub fn handle_crash_miss(&mut self, to: &InstanceName, now: Duration) {
+    /// Records that a notice couldn't be sent because there is no link to the peer.
+    pub fn handle_crash_no_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
-            peer.crashes.miss(now);
+            peer.crash_notices.record_no_link(now);
         }
     }
 
-    /// Records that a notice broke the link to a peer.
-    pub fn handle_crash_break(&mut self, to: &InstanceName, now: Duration) {
+    /// Records that the link to a peer broke while a notice was in flight.
+    pub fn handle_crash_broken_link(&mut self, to: &InstanceName, now: Duration) {
         if let Some(peer) = self.peers.get_mut(to) {
-            peer.crashes.break_off(now);
+            peer.crash_notices.record_broken_link(now);
         }
     }
 
-    /// Adds what a peer reports. Returns what is news. `passes_on` tells whether that is news for
-    /// others as well, as where another data centre reports it to a few of this one.
-    fn learn_crashes(
+    /// Applies a peer's reports and returns notices of the new ones. `forwards` tells whether
+    /// to send these on to the group, because another data centre sends them to only a few
+    /// instances here.
+    fn apply_crash_reports(
         &mut self,
         reports: &[CrashReport],
-        passes_on: bool,
+        forwards: bool,
         now: Duration,
     ) -> Vec<FleetNotice> {
         let mut news = vec![];
@@ -178,67 +190,70 @@
                 continue;
             }
             news.push(*report);
-            if passes_on {
-                self.crashes.news.push(report.fingerprint);
+            if forwards {
+                self.crashes.changes.push(report.fingerprint);
             }
         }
         if news.is_empty() { vec![] } else { vec![FleetNotice::Crashes(news)] }
     }
 
-    /// Has one peer of the group and one of the others compared with, now and then.
-    fn compare_in_turn(&mut self, now: Duration) {
+    /// Marks the next peer for a comparison once the comparison period is over.
+    fn schedule_comparison(&mut self, now: Duration) {
         let (at, turn) = self.crashes.compared;
         if now < at + COMPARE_PERIOD || self.crashes.log.is_empty() {
             return;
         }
         self.crashes.compared = (now, turn + 1);
         self.crashes.log.expire(now);
-        let names = self.told_peers(now, |peer| &peer.crashes, |_| true);
+        let names = self.peers_to_notify(now, |peer| &peer.crash_notices, |_| true);
         if names.is_empty() {
             return;
         }
         let name = &names[turn as usize % names.len()];
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.crashes.compare = true;
+            peer.crash_notices.needs_comparison = true;
         }
     }
 
-    /// Returns which peers get notices of a kind: those of the group, and a few of each other, as
-    /// far as something is due to them.
-    pub(super) fn told_peers(
+    /// Returns the peers that are to be sent notices of one kind now: those of the group, and a
+    /// few contacts in each other data centre, if a notice is due to them.
+    pub(super) fn peers_to_notify(
         &self,
         now: Duration,
-        contact: impl Fn(&PeerRecord) -> &NoticeContact,
-        is_due: impl Fn(&NoticeContact) -> bool,
+        state: impl Fn(&PeerRecord) -> &NoticeState,
+        is_due: impl Fn(&NoticeState) -> bool,
     ) -> Vec<InstanceName> {
         let timeout = self.liveness_timeout();
-        let near = self.peers.values().filter(|peer| {
-            self.is_near(peer) && is_due(contact(peer)) && peer.heard_within(now, timeout)
+        let local = self.peers.values().filter(|peer| {
+            self.in_own_group(peer)
+                && is_due(state(peer))
+                && peer.heard_within(now, timeout)
         });
-        let far = self.told_contacts(now).into_iter();
-        let far = far.filter(|peer| is_due(contact(peer)));
-        let told = near.chain(far).filter(|peer| contact(peer).may_be_told(now));
-        told.map(|peer| peer.info.name.clone()).collect()
+        let remote = self.contacts_to_notify(now).into_iter();
+        let remote = remote.filter(|peer| is_due(state(peer)));
+        let recipients = local.chain(remote).filter(|peer| state(peer).may_send(now));
+        recipients.map(|peer| peer.info.name.clone()).collect()
     }
 
-    /// Returns the contacts in each other data centre that get notices. Each instance has
-    /// an order of its own, so that not all tell the same ones.
-    fn told_contacts(&self, now: Duration) -> Vec<&PeerRecord> {
-        let timeout = self.far_liveness_timeout();
-        let far = self
+    /// Returns the contacts in each other data centre that are sent notices. Each instance
+    /// orders the candidates differently, so that they don't all notify the same ones.
+    fn contacts_to_notify(&self, now: Duration) -> Vec<&PeerRecord> {
+        let timeout = self.contact_liveness_timeout();
+        let remote = self
             .peers
             .values()
-            .filter(|peer| !self.is_near(peer) && peer.heard_within(now, timeout));
-        let far: Vec<&PeerRecord> = far.collect();
-        let names: Vec<&str> = far.iter().map(|peer| peer.info.name.as_str()).collect();
-        let order = rendezvous_order(u64::from(self.key()), &names);
+            .filter(|peer| !self.in_own_group(peer) && peer.heard_within(now, timeout));
+        let remote: Vec<&PeerRecord> = remote.collect();
+        let names: Vec<&str> =
+            remote.iter().map(|peer| peer.info.name.as_str()).collect();
+        let order = rendezvous_order(u64::from(self.own_key()), &names);
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-        let ordered = order.into_iter().map(|place| far[place]);
-        let told = ordered.filter(|peer| {
+        let ordered = order.into_iter().map(|index| remote[index]);
+        let recipients = ordered.filter(|peer| {
             let count = counts.entry(&peer.info.data_centre).or_default();
             *count += 1;
-            *count <= CONTACTS_TOLD
+            *count <= NOTIFIED_CONTACTS
         });
-        told.collect()
+        recipients.collect()
     }
 }
--- a/crates/flaxtide-policy/src/limit.rs
+++ b/crates/flaxtide-policy/src/limit.rs
@@ -1,60 +1,61 @@
-//! Limits of organisations, held across instances.
+//! Rate limits of organisations, divided among instances.
 
 use std::time::Duration;
 
-/// How much of its rate an organisation may use at once after a pause.
+/// The burst that an organisation may send, as the time in which its rate fills the
+/// bucket.
 const BURST: Duration = Duration::from_secs(1);
 
 /// A token bucket for one organisation at one instance.
 #[derive(Debug, Clone)]
-pub(crate) struct RateLimit {
-    /// How many requests may start now.
-    saved: f64,
-    /// When `saved` was worked out.
-    at: Duration,
-    /// This instance's part of the rate, and until when it holds.
-    part: Option<(f64, Duration)>,
+pub(crate) struct OrganisationLimit {
+    /// The tokens at `updated_at`; each request takes one.
+    tokens: f64,
+    /// When `tokens` was last computed.
+    updated_at: Duration,
+    /// This instance's share of the rate, and when it expires.
+    share: Option<(f64, Duration)>,
 }
 
-impl RateLimit {
-    /// Starts a limit with a full bucket for the given rate a second.
+impl OrganisationLimit {
+    /// Creates a limit with a full bucket for `rate` requests a second.
     pub(crate) fn new(rate: f64, now: Duration) -> Self {
         Self {
-            saved: (rate * BURST.as_secs_f64()).max(1.0),
-            at: now,
-            part: None,
+            tokens: (rate * BURST.as_secs_f64()).max(1.0),
+            updated_at: now,
+            share: None,
         }
     }
 
-    /// Sets this instance's part of the rate.
-    pub(crate) fn set_part(&mut self, part: f64, until: Duration) {
-        self.part = Some((part, until));
+    /// Sets this instance's share of the rate, which expires at `until`.
+    pub(crate) fn set_share(&mut self, share: f64, until: Duration) {
+        self.share = Some((share, until));
     }
 
-    /// Lets a request through, or says after how long one will be.
+    /// Takes a token for a request, or returns how long until there is one.
     ///
-    /// `rate` is for all instances; without an unexpired part, each of `live` instances
-    /// takes an equal one.
+    /// `rate` is the limit over all instances. Without a share in force, this instance
+    /// may use an equal part for each of `live` instances.
     pub(crate) fn admit(
         &mut self,
         rate: u32,
         live: u32,
         now: Duration,
     ) -> Result<(), Duration> {
-        let part = match self.part {
-            Some((part, until)) if now < until => part,
+        let share = match self.share {
+            Some((share, until)) if now < until => share,
             _ => 1.0 / f64::from(live.max(1)),
         };
-        let rate = f64::from(rate) * part;
-        let elapsed = now.saturating_sub(self.at).as_secs_f64();
+        let rate = f64::from(rate) * share;
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         let burst = (rate * BURST.as_secs_f64()).max(1.0);
-        self.saved = (self.saved + rate * elapsed).min(burst);
-        self.at = now;
-        if self.saved >= 1.0 {
-            self.saved -= 1.0;
+        self.tokens = (self.tokens + rate * elapsed).min(burst);
+        self.updated_at = now;
+        if self.tokens >= 1.0 {
+            self.tokens -= 1.0;
             return Ok(());
         }
-        let wait = (1.0 - self.saved) / rate.max(1e-3);
+        let wait = (1.0 - self.tokens) / rate.max(1e-3);
         Err(Duration::from_secs_f64(wait.min(60.0)))
     }
 }
--- a/crates/flaxtide-policy/src/queue.rs
+++ b/crates/flaxtide-policy/src/queue.rs
@@ -1,60 +1,64 @@
-//! The queue of one pool: tiers, then classes, then organisations.
+//! The queue of one pool, ordered by tier, class and organisation.
 //!
-//! Across tiers the order is strict, but for starvation turns. Within a tier the class
-//! whose head is most urgent goes first. Within a class, organisations share by start-time
-//! fair queueing (Goyal, Vin and Cheng, 1996) over expected tokens, with a window within
-//! which the most urgent goes first; within an organisation, first in first out.
+//! Tiers are served in strict order, except for starved classes. Within a tier, the class
+//! whose head is due earliest goes first. Within a class, organisations share by
+//! start-time fair queueing (Goyal, Vin and Cheng, 1996) over expected tokens; among
+//! organisations whose start tags lie within [`FAIRNESS_WINDOW`], the head that is due
+//! earliest goes first. Requests of one organisation are served first in, first out.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 use flaxtide_core::{ClassId, OrganisationId, RequestId, TierRank};
 
-/// Tokens are counted in this many parts in virtual time, so that it can be an integer.
+/// Units of virtual time per token, so that virtual time can be an integer.
 const VIRTUAL_SCALE: f64 = 1024.0;
 
-/// Organisations whose turns are this close, in tokens of virtual time, go by urgency: a
-/// strict order would make one wait that sends a little more than the others just now.
+/// Organisations whose start tags are this close, in units of virtual time, are served by
+/// due time. A strict order would hold back an organisation that sends slightly more than
+/// the others at the moment.
 const FAIRNESS_WINDOW: u64 = 2000 * VIRTUAL_SCALE as u64;
 
-/// At most so many organisations are compared for one turn.
-const COMPARED_FLOWS: usize = 16;
+/// At most this many organisations are compared to find the next request of a class.
+const MAX_COMPARED_FLOWS: usize = 16;
 
 /// A waiting request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct QueueEntry {
-    /// The request.
+    /// The id of the request.
     pub(crate) request: RequestId,
-    /// When it arrived.
+    /// When the request arrived.
     pub(crate) arrived: Duration,
-    /// When it is more urgent than others; see [`PoolQueue::next`].
-    pub(crate) urgency: Duration,
-    /// Its expected work, in tokens.
+    /// When the request should be served; of several heads, the earliest is served first.
+    /// See [`PoolQueue::next`].
+    pub(crate) due_at: Duration,
+    /// The expected work of the request, in tokens.
     pub(crate) work: f64,
 }
 
 /// The waiting requests of one pool.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PoolQueue {
-    /// The classes with their waiting requests.
-    lanes: BTreeMap<(TierRank, ClassId), ClassLane>,
-    /// How many requests wait.
+    /// The queue of each class, highest tier first.
+    classes: BTreeMap<(TierRank, ClassId), ClassQueue>,
+    /// The number of waiting requests.
     len: usize,
 }
 
 /// The waiting requests of one class.
 #[derive(Debug, Clone, Default)]
-struct ClassLane {
-    /// The organisations with waiting requests, by the virtual time of their turn.
-    turns: BTreeSet<(u64, OrganisationId)>,
-    /// The waiting requests of each organisation, and its virtual time.
+struct ClassQueue {
+    /// The organisations with waiting requests, by their start tags.
+    by_start_tag: BTreeSet<(u64, OrganisationId)>,
+    /// The waiting requests and start tag of each organisation. A flow without requests
+    /// is kept at least while its start tag lies ahead of the virtual time.
     flows: BTreeMap<OrganisationId, Flow>,
-    /// The virtual time of the last turn.
+    /// The highest start tag that has been served.
     virtual_time: u64,
-    /// How many requests wait.
+    /// The number of waiting requests.
     len: usize,
-    /// When the class last had a turn, or its first request since came.
-    last_turn: Duration,
+    /// When a request of the class was last served, or the queue last became non-empty.
+    last_served: Duration,
 }
 
 /// The waiting requests of one organisation in one class.
@@ -62,25 +66,25 @@
 struct Flow {
     /// The requests, oldest first.
     entries: VecDeque<QueueEntry>,
-    /// The virtual time at which it may have its next turn.
-    start: u64,
+    /// The virtual time from which the next request may be served.
+    start_tag: u64,
 }
 
-/// The place of the next request in a queue.
+/// The next request to be served, with its place in the queue.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct QueueHead {
-    /// The tier.
+    /// The tier of the request.
     pub(crate) tier: TierRank,
-    /// The class.
+    /// The class of the request.
     pub(crate) class: ClassId,
-    /// The organisation.
+    /// The organisation of the request.
     pub(crate) organisation: OrganisationId,
-    /// The request.
+    /// The request itself.
     pub(crate) entry: QueueEntry,
 }
 
 impl PoolQueue {
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
@@ -94,73 +98,77 @@
         entry: QueueEntry,
         now: Duration,
     ) {
-        let lane = self.lanes.entry((tier, class)).or_default();
-        if lane.len == 0 {
-            lane.last_turn = now;
+        let queue = self.classes.entry((tier, class)).or_default();
+        if queue.len == 0 {
+            queue.last_served = now;
         }
-        lane.len += 1;
+        queue.len += 1;
         self.len += 1;
-        let flow = lane.flows.entry(organisation).or_default();
+        let flow = queue.flows.entry(organisation).or_default();
         if flow.entries.is_empty() {
-            flow.start = flow.start.max(lane.virtual_time);
-            lane.turns.insert((flow.start, organisation));
+            flow.start_tag = flow.start_tag.max(queue.virtual_time);
+            queue.by_start_tag.insert((flow.start_tag, organisation));
         }
         flow.entries.push_back(entry);
     }
 
-    /// Returns the next request in order: of the highest tier that has any, that of the
-    /// class whose head is most urgent.
+    /// Returns the next request: in the highest tier with waiting requests, the head of
+    /// the class that is due earliest.
     pub(crate) fn next(&self) -> Option<QueueHead> {
         let mut best: Option<QueueHead> = None;
-        for (&(tier, class), lane) in &self.lanes {
+        for (&(tier, class), queue) in &self.classes {
             if best.is_some_and(|best| best.tier < tier) {
                 break;
             }
-            let Some(head) = lane.head(tier, class) else { continue };
-            if best.is_none_or(|best| head.entry.urgency < best.entry.urgency) {
+            let Some(head) = queue.head(tier, class) else { continue };
+            if best.is_none_or(|best| head.entry.due_at < best.entry.due_at) {
                 best = Some(head);
             }
         }
         best
     }
 
-    /// Returns the head of the class that has gone longest over its starvation bound,
-    /// among classes below the highest tier that has waiting requests.
+    /// Returns the head of the class that has exceeded its starvation bound by the most,
+    /// among the classes below the highest tier with waiting requests.
     pub(crate) fn starved(
         &self,
         now: Duration,
         bound: impl Fn(ClassId) -> Duration,
     ) -> Option<QueueHead> {
-        let top = self.next()?.tier;
-        let late = |class: ClassId, lane: &ClassLane| {
-            now.saturating_sub(lane.last_turn).checked_sub(bound(class))
+        let top_tier = self.next()?.tier;
+        let overdue = |class: ClassId, queue: &ClassQueue| {
+            now.saturating_sub(queue.last_served).checked_sub(bound(class))
         };
-        let lanes = self.lanes.iter().filter(|((tier, _), _)| *tier > top);
-        let (&(tier, class), lane) = lanes
-            .filter(|((_, class), lane)| lane.len > 0 && late(*class, lane).is_some())
-            .max_by_key(|((_, class), lane)| late(*class, lane))?;
-        lane.head(tier, class)
+        let classes = self.classes.iter().filter(|((tier, _), _)| *tier > top_tier);
+        let (&(tier, class), queue) = classes
+            .filter(|((_, class), queue)| {
+                queue.len > 0 && overdue(*class, queue).is_some()
+            })
+            .max_by_key(|((_, class), queue)| overdue(*class, queue))?;
+        queue.head(tier, class)
     }
 
-    /// Takes out a head that [`next`](Self::next) or [`starved`](Self::starved) returned,
-    /// and charges its organisation by `weight`.
+    /// Removes a head that [`next`](Self::next) or [`starved`](Self::starved) returned,
+    /// and charges its work to its organisation, divided by `weight`.
     pub(crate) fn pop(&mut self, head: &QueueHead, weight: u32, now: Duration) {
-        let Some(lane) = self.lanes.get_mut(&(head.tier, head.class)) else { return };
-        let Some(flow) = lane.flows.get_mut(&head.organisation) else { return };
-        lane.turns.remove(&(flow.start, head.organisation));
-        lane.virtual_time = lane.virtual_time.max(flow.start);
+        let Some(queue) = self.classes.get_mut(&(head.tier, head.class)) else { return };
+        let Some(flow) = queue.flows.get_mut(&head.organisation) else { return };
+        queue.by_start_tag.remove(&(flow.start_tag, head.organisation));
+        queue.virtual_time = queue.virtual_time.max(flow.start_tag);
         flow.entries.pop_front();
-        flow.start += (head.entry.work * VIRTUAL_SCALE) as u64 / u64::from(weight.max(1));
+        flow.start_tag +=
+            (head.entry.work * VIRTUAL_SCALE) as u64 / u64::from(weight.max(1));
         if !flow.entries.is_empty() {
-            lane.turns.insert((flow.start, head.organisation));
+            queue.by_start_tag.insert((flow.start_tag, head.organisation));
         }
-        lane.len -= 1;
-        lane.last_turn = now;
+        queue.len -= 1;
+        queue.last_served = now;
         self.len -= 1;
-        lane.forget_idle();
+        queue.drop_idle_flows();
     }
 
-    /// Takes out a request that isn't to be served, wherever it stands.
+    /// Removes a request at any position without charging its organisation. Returns
+    /// whether the queue held it.
     pub(crate) fn remove(
         &mut self,
         tier: TierRank,
@@ -168,91 +176,92 @@
         organisation: OrganisationId,
         request: RequestId,
     ) -> bool {
-        let Some(lane) = self.lanes.get_mut(&(tier, class)) else { return false };
-        let Some(flow) = lane.flows.get_mut(&organisation) else { return false };
-        let Some(place) = flow.entries.iter().position(|entry| entry.request == request)
+        let Some(queue) = self.classes.get_mut(&(tier, class)) else { return false };
+        let Some(flow) = queue.flows.get_mut(&organisation) else { return false };
+        let Some(index) = flow.entries.iter().position(|entry| entry.request == request)
         else {
             return false;
         };
-        flow.entries.remove(place);
+        flow.entries.remove(index);
         if flow.entries.is_empty() {
-            lane.turns.remove(&(flow.start, organisation));
+            queue.by_start_tag.remove(&(flow.start_tag, organisation));
         }
-        lane.len -= 1;
+        queue.len -= 1;
         self.len -= 1;
         true
     }
 
-    /// Returns the youngest request of the lowest tier below `tier`.
-    pub(crate) fn lowest_below(&self, tier: TierRank) -> Option<RequestId> {
+    /// Returns the newest request of the lowest tier, if that tier is below `tier`.
+    pub(crate) fn eviction_candidate(&self, tier: TierRank) -> Option<RequestId> {
         let lowest = self
-            .lanes
+            .classes
             .iter()
-            .filter(|((rank, _), lane)| *rank > tier && lane.len > 0)
+            .filter(|((rank, _), queue)| *rank > tier && queue.len > 0)
             .map(|((rank, _), _)| *rank)
             .max()?;
-        let lanes = self.lanes.iter().filter(|((rank, _), _)| *rank == lowest);
-        let flows = lanes.flat_map(|(_, lane)| lane.flows.values());
-        let youngest = flows.filter_map(|flow| flow.entries.back());
-        youngest
+        let classes = self.classes.iter().filter(|((rank, _), _)| *rank == lowest);
+        let flows = classes.flat_map(|(_, queue)| queue.flows.values());
+        let newest = flows.filter_map(|flow| flow.entries.back());
+        newest
             .max_by_key(|entry| (entry.arrived, entry.request))
             .map(|entry| entry.request)
     }
 
-    /// Returns how many requests of each class are to be served before one of the given
-    /// class and organisation that comes now.
+    /// Returns, for each class, how many requests would be served before one of the given
+    /// class and organisation that arrives now.
     pub(crate) fn ahead(
         &self,
         tier: TierRank,
         class: ClassId,
         organisation: OrganisationId,
     ) -> impl Iterator<Item = (ClassId, usize)> + '_ {
-        let lanes = self.lanes.range(..=(tier, ClassId::MAX));
-        lanes
-            .filter(|(_, lane)| lane.len > 0)
-            .map(move |(&(_, other), lane)| {
+        let classes = self.classes.range(..=(tier, ClassId::MAX));
+        classes
+            .filter(|(_, queue)| queue.len > 0)
+            .map(move |(&(_, other), queue)| {
                 if other != class {
-                    return (other, lane.len);
+                    return (other, queue.len);
                 }
-                // Organisations take turns, so a short flow isn't held up by a long one.
+                // Organisations alternate, so a short flow isn't delayed by a long one.
                 let own =
-                    lane.flows.get(&organisation).map_or(0, |flow| flow.entries.len());
-                (other, lane.len.min((own + 1) * lane.turns.len()))
+                    queue.flows.get(&organisation).map_or(0, |flow| flow.entries.len());
+                (other, queue.len.min((own + 1) * queue.by_start_tag.len()))
             })
     }
 
-    /// Returns how many requests wait in each tier.
-    pub(crate) fn by_tier(&self) -> BTreeMap<TierRank, usize> {
+    /// Returns the number of waiting requests in each tier.
+    pub(crate) fn count_by_tier(&self) -> BTreeMap<TierRank, usize> {
         let mut counts = BTreeMap::new();
-        for ((tier, _), lane) in &self.lanes {
-            *counts.entry(*tier).or_default() += lane.len;
+        for ((tier, _), queue) in &self.classes {
+            *counts.entry(*tier).or_default() += queue.len;
         }
         counts
     }
 }
 
-impl ClassLane {
+impl ClassQueue {
     /// Returns the next request of the class.
     fn head(&self, tier: TierRank, class: ClassId) -> Option<QueueHead> {
-        let (earliest, _) = *self.turns.first()?;
-        let window = earliest + FAIRNESS_WINDOW;
-        let near = self.turns.iter().take(COMPARED_FLOWS);
-        let near = near.take_while(|(start, _)| *start <= window);
+        let (earliest, _) = *self.by_start_tag.first()?;
+        let window_end = earliest + FAIRNESS_WINDOW;
+        let near = self.by_start_tag.iter().take(MAX_COMPARED_FLOWS);
+        let near = near.take_while(|(tag, _)| *tag <= window_end);
         let heads = near.filter_map(|(_, organisation)| {
             let entry = *self.flows.get(organisation)?.entries.front()?;
             Some(QueueHead { tier, class, organisation: *organisation, entry })
         });
-        heads.min_by_key(|head| head.entry.urgency)
+        heads.min_by_key(|head| head.entry.due_at)
     }
 
-    /// Drops flows that have nothing waiting and owe nothing, once there are many.
-    fn forget_idle(&mut self) {
-        const MANY: usize = 64;
-        if self.flows.len() <= MANY.max(2 * self.turns.len()) {
+    /// Drops flows that are empty and whose start tag isn't ahead of the virtual time,
+    /// once there are many.
+    fn drop_idle_flows(&mut self) {
+        const MIN_KEPT_FLOWS: usize = 64;
+        if self.flows.len() <= MIN_KEPT_FLOWS.max(2 * self.by_start_tag.len()) {
             return;
         }
         let time = self.virtual_time;
         self.flows
-            .retain(|_, flow| !flow.entries.is_empty() || flow.start > time);
+            .retain(|_, flow| !flow.entries.is_empty() || flow.start_tag > time);
     }
 }
--- a/crates/flaxtide-policy/src/router/wait.rs
+++ b/crates/flaxtide-policy/src/router/wait.rs
@@ -1,21 +1,21 @@
-//! Requests that wait for a server: in order while there is room, refused once they would
-//! come too late.
+//! Requests that wait for a server: dispatched in queue order while there is room, and
+//! refused once their response would come too late.
 
 use std::time::Duration;
 
 use flaxtide_core::{PoolId, RequestId};
 
-use super::call::{CallPlace, RoutedCall};
+use super::call::{CallPhase, RoutedCall};
 use super::choose::RouteChoice;
 use super::{RefusalCause, RouteAction, RouteCore};
 
 impl RouteCore {
-    /// Refuses what has waited too long to be served in time.
-    pub(super) fn expire(&mut self, pool: PoolId, now: Duration) {
+    /// Refuses the requests of a pool that are still waiting after their give-up time.
+    pub(super) fn refuse_expired(&mut self, pool: PoolId, now: Duration) {
         let late = |call: &RoutedCall| {
-            call.call.pool == pool
-                && matches!(call.place, CallPlace::Waiting)
-                && now >= call.call.give_up
+            call.details.pool == pool
+                && matches!(call.phase, CallPhase::Waiting)
+                && now >= call.details.give_up
         };
         let mut requests: Vec<RequestId> = self
             .calls
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Returns how long the queue of a pool takes to drain, as callers are told.
+    /// Returns how long the queue of a pool takes to drain, as a retry-after time for
+    /// callers.
     fn drain_time(&self, pool: PoolId) -> Duration {
         let Some(state) = self.pools.get(&pool) else {
             return self.options.no_server_retry;
@@ -51,25 +52,25 @@
             .filter(|server| server.facts.in_service())
             .map(|server| server.facts.slots)
             .sum();
-        let span = state.span.get().unwrap_or(1.0);
+        let span = state.service_time.get().unwrap_or(1.0);
         let seconds = span * state.queue.len() as f64 / f64::from(slots.max(1));
         Duration::from_secs_f64(seconds)
             .clamp(self.options.shortest_retry, self.options.longest_retry)
     }
 
-    /// Gives servers to the requests that wait, in order, while there is room.
-    pub(super) fn pump(&mut self, pool: PoolId, now: Duration) {
-        self.pump_retries(pool, now);
+    /// Dispatches the waiting requests of a pool in queue order while servers have room.
+    pub(super) fn dispatch_queued(&mut self, pool: PoolId, now: Duration) {
+        self.dispatch_retries(pool, now);
         loop {
             let Some(state) = self.pools.get(&pool) else { return };
             let Some(head) = state.queue.next() else { return };
             let request = head.entry.request;
             let Some(choice) = self.choose(pool, request, now) else {
-                if self.opens_too_late(request, now) {
+                if self.no_server_in_time(request, now) {
                     if let Some(state) = self.pools.get_mut(&pool) {
                         state.queue.pop(&head, 1, now);
                     }
-                    self.refuse_closed(request, now);
+                    self.refuse_unavailable(request, now);
                     continue;
                 }
                 return;
@@ -77,7 +78,7 @@
             if let Some(state) = self.pools.get_mut(&pool) {
                 state.queue.pop(&head, 1, now);
             }
-            if self.comes_too_late(request, &choice) {
+            if self.would_answer_late(request, &choice) {
                 self.refuse_early(request, choice.expected);
                 continue;
             }
@@ -85,14 +86,14 @@
         }
     }
 
-    /// Tells whether even the best server would answer a request late.
-    fn comes_too_late(&self, request: RequestId, choice: &RouteChoice) -> bool {
+    /// Returns whether even the best server would respond too late.
+    fn would_answer_late(&self, request: RequestId, choice: &RouteChoice) -> bool {
         let Some(call) = self.calls.get(&request) else { return false };
-        choice.expected > call.call.target.mul_f64(self.options.admit_factor)
+        choice.expected > call.details.target.mul_f64(self.options.admit_factor)
     }
 
-    /// Refuses a request that hasn't been sent, and asks its caller to come back once what
-    /// is at the servers has been read.
+    /// Refuses a request that hasn't been sent, with a retry-after time by which the
+    /// servers should have prefilled their current prompts.
     fn refuse_early(&mut self, request: RequestId, expected: Duration) {
         self.calls.remove(&request);
         let retry_after =
--- a/crates/flaxtide-policy/src/scaling/scaler.rs
+++ b/crates/flaxtide-policy/src/scaling/scaler.rs
@@ -1,4 +1,4 @@
-//! The decision.
+//! The scaler, which decides how many servers to order.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,96 +7,101 @@
 
 use super::ScalingRules;
 use super::demand::DemandLog;
-use super::stock::{OrderOutcome, OrderState, ServerCounts, ServerOrder};
+use super::order::{OrderOutcome, OrderState, ServerCounts, ServerOrder};
 
-/// Servers that are missing for so long beyond their boot are ordered again.
+/// Servers that are still missing this long after their boot time are ordered again.
 const REPLACE_AFTER: Duration = Duration::from_secs(4);
 
-/// What is turned on the scaler.
+/// The parameters of the scaler.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScalerOptions {
-    /// How many times the mean demand the servers can bear: a burst comes without notice, and
-    /// nobody can wait until a server has booted.
-    pub burst: f64,
-    /// How many times the highest demand that was seen: half of the servers may be taken away.
+    /// How many times the mean demand the servers can take. Bursts come without notice,
+    /// and requests can't wait until a server has booted.
+    pub burst_margin: f64,
+    /// How many times the recent peak demand the servers can take, so that the peak can
+    /// still be served when half of the servers are reclaimed.
     pub peak_margin: f64,
-    /// How many times the present demand is to be borne by servers that serve now; below this
-    /// the full price is paid.
+    /// How many times the current demand must be covered by servers that already serve.
+    /// Regular servers are ordered to reach this.
     pub need_margin: f64,
-    /// The span of the mean.
+    /// The span of the mean demand.
     pub mean_span: Duration,
-    /// The span of the peak: after a burst its servers are kept for so long.
+    /// The span of the peak demand. The servers for a burst are kept for this long after
+    /// it.
     pub peak_span: Duration,
-    /// For how long after the first request what stood before is kept.
-    pub learning: Duration,
-    /// For how long no more servers must have been seen when this begins, before any are ordered
-    /// at the full price: an order for as many as are seen would give back those that aren't.
-    pub settling: Duration,
-    /// How many times what stood before is held until then, at the lower price.
-    pub unknown_margin: f64,
-    /// The least time between two orders of servers at the lower price that lower a count.
-    pub lowering_pause: Duration,
-    /// The same for servers at the full price.
-    pub full_price_pause: Duration,
-    /// A count isn't lowered by less than this part.
-    pub lowering_part: f64,
+    /// How long the initial servers are kept after the first request.
+    pub learning_time: Duration,
+    /// How long the initial number of servers must have stayed the same before regular
+    /// servers are ordered. The server list may be incomplete at first, and an order for
+    /// the servers listed so far would release the others.
+    pub settling_time: Duration,
+    /// How many times the initial number of servers are kept as spot servers during the
+    /// learning time.
+    pub startup_margin: f64,
+    /// The minimum time between two orders that reduce the number of spot servers.
+    pub spot_reduction_interval: Duration,
+    /// The minimum time between two orders that reduce the number of regular servers.
+    pub regular_reduction_interval: Duration,
+    /// The minimum reduction of a number of servers by one order, as a fraction of it.
+    pub min_reduction: f64,
 }
 
 impl Default for ScalerOptions {
     fn default() -> Self {
         Self {
-            burst: 3.0,
+            burst_margin: 3.0,
             peak_margin: 2.0,
             need_margin: 1.25,
             mean_span: Duration::from_secs(20),
             peak_span: Duration::from_secs(30),
-            learning: Duration::from_secs(12),
-            unknown_margin: 2.0,
-            settling: Duration::from_millis(1500),
-            lowering_pause: Duration::from_secs(10),
-            full_price_pause: Duration::from_secs(1),
-            lowering_part: 0.15,
+            learning_time: Duration::from_secs(12),
+            startup_margin: 2.0,
+            settling_time: Duration::from_millis(1500),
+            spot_reduction_interval: Duration::from_secs(10),
+            regular_reduction_interval: Duration::from_secs(1),
+            min_reduction: 0.15,
         }
     }
 }
 
-/// Decides how many servers of one service are ordered.
+/// Decides how many servers to order for one service.
 #[derive(Debug, Clone, Default)]
 pub struct ServerScaler {
-    /// What is turned on it.
+    /// The parameters.
     options: ScalerOptions,
-    /// The demand.
+    /// The recent demand.
     demand: DemandLog,
-    /// How many servers stood when this began.
-    began: Option<ServerCounts>,
-    /// Since when that hasn't grown.
-    began_at: Duration,
-    /// The orders, by data centre and price.
+    /// The servers that were running when the scaler started, or `None` before any were
+    /// listed.
+    initial: Option<ServerCounts>,
+    /// When the initial number of servers last grew.
+    initial_since: Duration,
+    /// The state of the orders, by data centre and whether they are for spot servers.
     orders: BTreeMap<(DataCentreName, bool), OrderState>,
 }
 
-/// How many servers there should be.
+/// The number of servers that a service should have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ServerTarget {
-    /// How many must serve now, at whatever price.
+    /// The servers that must be serving now, spot or regular.
     needed: u32,
-    /// How many should be there for what may come.
+    /// The servers that should be available for an increase in demand.
     wanted: u32,
 }
 
 impl ServerScaler {
-    /// Starts with nothing known.
+    /// Creates a scaler that knows nothing yet.
     #[must_use]
     pub fn new(options: ScalerOptions) -> Self {
         Self { options, ..Self::default() }
     }
 
-    /// Records how many requests run at the servers or wait for them.
+    /// Records how many requests are running on the servers or waiting for them.
     pub fn record_demand(&mut self, open: u32, now: Duration) {
         self.demand.record(open, now);
     }
 
-    /// Records what came of an order.
+    /// Records the outcome of an order.
     pub fn record_outcome(
         &mut self,
         order: &ServerOrder,
@@ -107,85 +112,90 @@
         self.orders.entry(key).or_default().record(order.count, outcome, now);
     }
 
-    /// Returns the orders that are due. `slots` is how many requests a server works on at once.
+    /// Returns the orders that are due. `slots` is the number of requests that a server
+    /// runs at once.
     pub fn plan(
         &mut self,
         rules: &ScalingRules,
-        stocks: &BTreeMap<DataCentreName, ServerCounts>,
+        server_counts: &BTreeMap<DataCentreName, ServerCounts>,
         slots: u32,
         now: Duration,
     ) -> Vec<ServerOrder> {
         let mut serving = ServerCounts::default();
-        for stock in stocks.values() {
-            serving.regular += stock.regular;
-            serving.spot += stock.spot;
+        for counts in server_counts.values() {
+            serving.regular += counts.regular;
+            serving.spot += counts.spot;
         }
         if serving.total() == 0 {
-            // Nothing is known yet, or all is lost: what is in force is left as it is.
+            // Either no list has arrived yet or all servers are lost. The orders in force
+            // stay as they are.
             return vec![];
         }
-        let began = self.began(serving, now);
-        let settled = now >= self.began_at + self.options.settling;
-        let target = self.target(began.total(), slots, now);
-        let spot = self.spread_spot(rules, target.wanted, now);
-        let regular = self.spread_regular(rules, stocks, &spot, target, now);
+        let initial = self.initial_counts(serving, now);
+        let settled = now >= self.initial_since + self.options.settling_time;
+        let target = self.target(initial.total(), slots, now);
+        let spot = self.spot_counts(rules, target.wanted, now);
+        let regular = self.regular_counts(rules, server_counts, &spot, target, now);
         let mut due = vec![];
-        // Where none are at the lower price yet, an order for some takes nothing away.
-        let may_order = settled || began.spot == 0;
+        // Without initial spot servers, an order for spot servers can't release any.
+        let may_order = settled || initial.spot == 0;
         for (data_centre, count) in spot.into_iter().filter(|_| may_order) {
-            let stock = stocks.get(&data_centre).copied().unwrap_or_default();
-            due.extend(self.due_order(data_centre, true, count, stock, rules, now));
+            let counts = server_counts.get(&data_centre).copied().unwrap_or_default();
+            due.extend(self.due_order(data_centre, true, count, counts, rules, now));
         }
         for (data_centre, count) in regular.into_iter().filter(|_| settled) {
-            let stock = stocks.get(&data_centre).copied().unwrap_or_default();
-            due.extend(self.due_order(data_centre, false, count, stock, rules, now));
+            let counts = server_counts.get(&data_centre).copied().unwrap_or_default();
+            due.extend(self.due_order(data_centre, false, count, counts, rules, now));
         }
         due
     }
 
-    /// Returns how many servers stood when this began. The list of them may come in pieces, so
-    /// more than at first count as long as they stood before any was ordered.
-    fn began(&mut self, serving: ServerCounts, now: Duration) -> ServerCounts {
-        let began = self.began.get_or_insert_with(|| {
-            self.began_at = now;
+    /// Returns the servers that were running when the scaler started. The list may arrive
+    /// in parts, so further servers count as initial if they appear before any were
+    /// ordered.
+    fn initial_counts(&mut self, serving: ServerCounts, now: Duration) -> ServerCounts {
+        let initial = self.initial.get_or_insert_with(|| {
+            self.initial_since = now;
             serving
         });
-        let orders = self.orders.keys().any(|(_, spot)| *spot);
-        let mut stood = serving;
-        if orders {
-            stood.spot = began.spot;
+        let has_spot_orders = self.orders.keys().any(|(_, spot)| *spot);
+        let mut listed = serving;
+        if has_spot_orders {
+            listed.spot = initial.spot;
         }
-        let settled = now >= self.began_at + self.options.settling;
-        if !settled && (stood.regular > began.regular || stood.spot > began.spot) {
-            began.regular = began.regular.max(stood.regular);
-            began.spot = began.spot.max(stood.spot);
-            self.began_at = now;
+        let settled = now >= self.initial_since + self.options.settling_time;
+        if !settled && (listed.regular > initial.regular || listed.spot > initial.spot) {
+            initial.regular = initial.regular.max(listed.regular);
+            initial.spot = initial.spot.max(listed.spot);
+            self.initial_since = now;
         }
-        *began
+        *initial
     }
 
-    /// Works out how many servers there should be.
-    fn target(&self, began: u32, slots: u32, now: Duration) -> ServerTarget {
+    /// Computes how many servers the service should have.
+    fn target(&self, initial: u32, slots: u32, now: Duration) -> ServerTarget {
         let options = &self.options;
         let servers = |open: f64| (open / f64::from(slots.max(1))).ceil() as u32;
         let peak = f64::from(self.demand.peak(options.peak_span, now));
         let mean = self.demand.mean(options.mean_span, now);
-        let recent = f64::from(self.demand.peak(options.lowering_pause, now));
-        let mut wanted = servers((mean * options.burst).max(peak * options.peak_margin));
+        let recent = f64::from(self.demand.peak(options.spot_reduction_interval, now));
+        let mut wanted =
+            servers((mean * options.burst_margin).max(peak * options.peak_margin));
         let since = self.demand.busy_since();
-        if since.is_none_or(|since| now < since + options.learning) {
-            let least = f64::from(began) * options.unknown_margin;
+        if since.is_none_or(|since| now < since + options.learning_time) {
+            let least = f64::from(initial) * options.startup_margin;
             wanted = wanted.max(least as u32);
         }
         let mut needed = servers(recent * options.need_margin);
         if since.is_none() {
-            needed = needed.max(began);
+            needed = needed.max(initial);
         }
         ServerTarget { needed, wanted: wanted.max(1) }
     }
 
-    /// Spreads the servers at the lower price evenly over the data centres that have some.
-    fn spread_spot(
+    /// Returns how many spot servers each data centre should have: an even share for each
+    /// one that has some available.
+    fn spot_counts(
         &self,
         rules: &ScalingRules,
         wanted: u32,
@@ -195,23 +205,23 @@
             return BTreeMap::new();
         }
         let most = rules.max_servers.saturating_sub(rules.min_servers);
-        let refuses = |name: &DataCentreName| {
+        let is_unavailable = |name: &DataCentreName| {
             let state = self.orders.get(&(name.clone(), true));
             state.is_some_and(|state| state.is_unavailable(now))
         };
-        let open: Vec<&DataCentreName> =
-            rules.prices.keys().filter(|name| !refuses(name)).collect();
-        let part = wanted.div_ceil((open.len() as u32).max(1)).min(most);
-        open.into_iter().map(|name| (name.clone(), part)).collect()
+        let available: Vec<&DataCentreName> =
+            rules.prices.keys().filter(|name| !is_unavailable(name)).collect();
+        let share = wanted.div_ceil((available.len() as u32).max(1)).min(most);
+        available.into_iter().map(|name| (name.clone(), share)).collect()
     }
 
-    /// Returns how many servers at the full price each data centre should have: the fewest that
-    /// are allowed, and what is needed now beyond those at the lower price. No more are ordered
-    /// while enough at the lower price boot, and none given back before these serve.
-    fn spread_regular(
+    /// Returns how many regular servers each data centre should have: the minimum, plus
+    /// what is currently needed beyond the spot servers. None are added while enough spot
+    /// servers are booting, and none are released before these serve.
+    fn regular_counts(
         &self,
         rules: &ScalingRules,
-        stocks: &BTreeMap<DataCentreName, ServerCounts>,
+        server_counts: &BTreeMap<DataCentreName, ServerCounts>,
         spot: &BTreeMap<DataCentreName, u32>,
         target: ServerTarget,
         now: Duration,
@@ -220,56 +230,64 @@
             Some(_) => target.needed,
             None => target.wanted,
         };
-        let stock_of = |name| stocks.get(name).copied().unwrap_or_default();
+        let counts_of = |name| server_counts.get(name).copied().unwrap_or_default();
         let names = || rules.prices.keys();
-        let serving: u32 = names().map(|name| stock_of(name).spot).sum();
-        let coming: u32 = names()
+        let serving: u32 = names().map(|name| counts_of(name).spot).sum();
+        let expected: u32 = names()
             .map(|name| {
-                self.coming(name, stock_of(name), spot.get(name).copied(), rules, now)
+                self.expected_spot(
+                    name,
+                    counts_of(name),
+                    spot.get(name).copied(),
+                    rules,
+                    now,
+                )
             })
             .sum();
-        let places = rules.prices.len().max(1) as u32;
-        let part = |there: u32| goal.saturating_sub(there).div_ceil(places);
-        let parts = names().map(|name| {
-            let stock = stock_of(name);
+        let data_centres = rules.prices.len().max(1) as u32;
+        let per_data_centre =
+            |there: u32| goal.saturating_sub(there).div_ceil(data_centres);
+        let regular_counts = names().map(|name| {
+            let counts = counts_of(name);
             let most =
-                rules.max_servers.saturating_sub(stock.spot).max(rules.min_servers);
-            let (least, enough) = (part(coming.max(serving)), part(serving));
+                rules.max_servers.saturating_sub(counts.spot).max(rules.min_servers);
+            let (least, enough) =
+                (per_data_centre(expected.max(serving)), per_data_centre(serving));
             let state = self.orders.get(&(name.clone(), false));
             let ordered = state.and_then(|state| state.ordered);
-            let current = ordered.map_or(stock.regular, |(count, _)| count);
+            let current = ordered.map_or(counts.regular, |(count, _)| count);
             let count = current.clamp(least, enough.max(least));
             (name.clone(), count.clamp(rules.min_servers, most))
         });
-        parts.collect()
+        regular_counts.collect()
     }
 
-    /// Returns how many servers at the lower price a data centre has, or will have soon if so many
-    /// are ordered there; nothing if it has none to give.
-    fn coming(
+    /// Returns how many spot servers a data centre has, or will soon have if `wanted` are
+    /// ordered there. `wanted` is `None` if it has none available.
+    fn expected_spot(
         &self,
         name: &DataCentreName,
-        stock: ServerCounts,
+        counts: ServerCounts,
         wanted: Option<u32>,
         rules: &ScalingRules,
         now: Duration,
     ) -> u32 {
-        let Some(wanted) = wanted else { return stock.spot };
+        let Some(wanted) = wanted else { return counts.spot };
         let state = self.orders.get(&(name.clone(), true));
         let ordered = state.and_then(|state| state.ordered);
         let overdue = ordered.is_some_and(|(count, at)| {
             count == wanted && now >= at + rules.boot_time + REPLACE_AFTER
         });
-        if overdue { stock.spot } else { wanted.max(stock.spot) }
+        if overdue { counts.spot } else { wanted.max(counts.spot) }
     }
 
-    /// Returns an order if the one in force isn't what it should be.
+    /// Returns an order if the one in force differs from `count` or has to be repeated.
     fn due_order(
         &self,
         data_centre: DataCentreName,
         spot: bool,
         count: u32,
-        stock: ServerCounts,
+        counts: ServerCounts,
         rules: &ScalingRules,
         now: Duration,
     ) -> Option<ServerOrder> {
@@ -280,26 +298,30 @@
         }
         let (current, since) = match state.ordered {
             Some((ordered, since)) => (ordered, Some(since)),
-            None => (stock.of(spot), None),
+            None => (counts.by_kind(spot), None),
         };
         if state.unknown {
             return Some(ServerOrder { data_centre, spot, count });
         }
         if count == current {
-            // What was taken away isn't always replaced.
-            let missed = stock.of(spot) < count;
+            // The platform doesn't always replace servers that it reclaimed.
+            let servers_missing = counts.by_kind(spot) < count;
             let due =
                 since.is_some_and(|since| now >= since + rules.boot_time + REPLACE_AFTER);
-            return (missed && due).then_some(ServerOrder { data_centre, spot, count });
+            return (servers_missing && due).then_some(ServerOrder {
+                data_centre,
+                spot,
+                count,
+            });
         }
         if count < current {
-            let pause = match spot {
-                true => self.options.lowering_pause,
-                false => self.options.full_price_pause,
+            let interval = match spot {
+                true => self.options.spot_reduction_interval,
+                false => self.options.regular_reduction_interval,
             };
-            let rested = since.is_none_or(|since| now >= since + pause);
-            let least = f64::from(current) * self.options.lowering_part;
-            if !rested || f64::from(current - count) < least {
+            let interval_passed = since.is_none_or(|since| now >= since + interval);
+            let least = f64::from(current) * self.options.min_reduction;
+            if !interval_passed || f64::from(current - count) < least {
                 return None;
             }
         }
