--- a/crates/flaxtide-entry/src/backoff.rs
+++ b/crates/flaxtide-entry/src/backoff.rs
@@ -10,7 +10,7 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// For this long after the peers to ask were selected or one of them restarted, unable peers don't
-/// suggest an outage of the platform: they may not have read from it yet.
+/// suggest an outage of the platform: they may not yet know from which version on they can tell changes.
 const PEER_SETTLING_TIME: Duration = Duration::from_secs(3);
 
 /// The backoff of each peer that couldn't answer, until a peer answers again.
@@ -26,8 +26,8 @@
 /// ```
 #[derive(Debug)]
 pub struct PeerBackoff {
-    /// The first backoff of a peer that is unable to answer. It doubles each further time.
-    first: Duration,
+    /// The backoff after a peer was unable to answer for the first time. It doubles each time.
+    initial: Duration,
     /// The peers that couldn't answer.
     entries: HashMap<SocketAddr, BackoffEntry>,
     /// When the peers to ask were last selected.
@@ -48,8 +48,12 @@
 impl PeerBackoff {
     /// Creates a backoff without entries.
     #[must_use]
-    pub fn new(first: Duration) -> Self {
-        Self { first, entries: HashMap::new(), peers_set_at: None }
+    pub fn new(initial: Duration) -> Self {
+        Self {
+            initial,
+            entries: HashMap::new(),
+            peers_set_at: None,
+        }
     }
 
     /// Returns whether a peer may be asked now.
@@ -67,13 +71,14 @@
     /// Returns whether an outage of the platform is likely: a peer that should have read from it
     /// was unable to answer.
     #[must_use]
-    pub fn suggest_outage(&self, now: Duration) -> bool {
+    pub fn suggests_outage(&self, now: Duration) -> bool {
         let settled = self.peers_set_at.is_none_or(|at| now >= at + PEER_SETTLING_TIME);
         settled && self.any_unable()
     }
 
-    /// Sets the peers that are asked from now on, and forgets all others.
-    pub fn set_peers(&mut self, peers: &[SocketAddr], now: Duration) {
+    /// Records that the peers to ask have changed or that one has restarted, and removes the entries
+    /// of all other peers.
+    pub fn retain_peers(&mut self, peers: &[SocketAddr], now: Duration) {
         self.entries.retain(|peer, _| peers.contains(peer));
         self.peers_set_at = Some(now);
     }
@@ -87,7 +92,7 @@
     /// Records that a peer was unable to answer.
     pub fn record_unable(&mut self, peer: SocketAddr, now: Duration) {
         let before = self.entries.get(&peer).filter(|entry| entry.reachable);
-        let duration = before.map_or(self.first, |entry| entry.duration * 2);
+        let duration = before.map_or(self.initial, |entry| entry.duration * 2);
         self.back_off(peer, true, duration.min(MAX_BACKOFF), now);
     }
 
--- a/crates/flaxtide-entry/src/call.rs
+++ b/crates/flaxtide-entry/src/call.rs
@@ -41,7 +41,7 @@
         Err((reply, attempt_id)) => {
             let reply = reply.defer_to_newer_rules(state.has_outdated_rules());
             state.metrics.ends.with_label_values(&[reply.name()]).inc();
-            let version = state.table().map(|table| table.version);
+            let version = state.route_table().map(|table| table.version);
             log::info!(
                 request = attempt_id, outcome = reply.name(), rules_version = version.unwrap_or_default();
                 "turned away"
@@ -62,7 +62,7 @@
     response
 }
 
-/// Why a request is rejected before it becomes a call, and the caller's attempt ID.
+/// Why a request is rejected before it is passed to the router, and the caller's attempt ID.
 type Rejection = (LocalReply, String);
 
 /// What the rules in force say about a request.
@@ -74,7 +74,7 @@
     /// The tier of the request, from its class and its organisation.
     tier: TierRank,
     /// The urgency of the class among all classes; 0 is the most urgent.
-    level: u8,
+    urgency_level: u8,
     /// The service that gets the request, and whether its servers are engines; `None` if the
     /// class has no service.
     service: Option<(String, bool)>,
@@ -93,7 +93,9 @@
     let attempt_id = head.attempt_id.clone().unwrap_or_default();
     let reject = |reply| (reply, attempt_id.clone());
     let matched = match_rules(state, &parts, &head).map_err(reject)?;
-    let MatchedRules { class, caller, tier, level, max_body_bytes, .. } = matched;
+    let MatchedRules {
+        class, caller, tier, urgency_level, max_body_bytes, ..
+    } = matched;
     let wait = head.deadline.unwrap_or(class.class().timeout);
     let body = state
         .wait_until(received_at + wait, read_body(body, max_body_bytes))
@@ -126,7 +128,7 @@
         class: call.class.id,
         organisation: caller.organisation.unwrap_or(NO_ORGANISATION),
         tier,
-        level,
+        level: urgency_level,
         target: call.class.class().latency_target,
         give_up: call
             .deadline
@@ -147,7 +149,7 @@
     parts: &Parts,
     head: &RequestHead,
 ) -> Result<MatchedRules, LocalReply> {
-    let table = state.table().ok_or(LocalReply::NoRules)?;
+    let table = state.route_table().ok_or(LocalReply::NoRules)?;
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host.ok_or(LocalReply::Malformed)?;
     let class = table
@@ -161,7 +163,7 @@
     let service = class.draw_service(&mut *state.rng.borrow_mut()).map(str::to_owned);
     Ok(MatchedRules {
         tier: table.request_tier(&caller, class.class()),
-        level: table.urgency_level(class.class()),
+        urgency_level: table.urgency_level(class.class()),
         service: service.map(|service| {
             let is_engine = table.is_engine(&service);
             (service, is_engine)
@@ -173,10 +175,10 @@
 }
 
 /// Reads a whole body.
-async fn read_body(body: Incoming, max_len: usize) -> Result<Bytes, LocalReply> {
-    let read = Limited::new(body, max_len).collect().await;
+async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, LocalReply> {
+    let read = Limited::new(body, max_bytes).collect().await;
     let collected =
-        read.map_err(|fault| match fault.is::<http_body_util::LengthLimitError>() {
+        read.map_err(|error| match error.is::<http_body_util::LengthLimitError>() {
             true => LocalReply::BodyTooLarge,
             false => LocalReply::Malformed,
         })?;
@@ -204,7 +206,8 @@
             Some(Ok(RouteAction::Refuse { reason, retry_after, expected, .. })) => {
                 return reply_refused(&call, reason, retry_after, expected);
             }
-            // The router decides on every request; this guarantees a response in any case.
+            // The deadline has passed without a decision. The router never drops the sender first;
+            // if it did, the caller would still get a response.
             Some(Err(_)) | None => return call.reply_timed_out(),
         };
         // Registered before the attempt, so that a decision to retry can't be missed.
--- a/crates/flaxtide-entry/src/config.rs
+++ b/crates/flaxtide-entry/src/config.rs
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error with the file, the line and a remedy.
+    /// Returns an error that names the file, and the line if its content is invalid.
     pub fn read(path: &Path) -> Result<Self, EntryError> {
         let text = std::fs::read_to_string(path)
             .map_err(|cause| EntryError::ReadConfig { path: path.to_owned(), cause })?;
@@ -113,7 +113,8 @@
     pub address: SocketAddr,
     /// The tasks to carry out. Unknown names are ignored.
     pub tasks: Vec<String>,
-    /// The lease time, which separates two holders of the duties.
+    /// The minimum time between two holders of the duties. The lease is longer by a margin for
+    /// calls in flight.
     #[serde(deserialize_with = "deserialize_span", default = "usual_lease")]
     pub lease: Duration,
     /// The length of a usage window.
@@ -133,7 +134,7 @@
     /// Returns whether a task is to be carried out.
     #[must_use]
     pub fn has_task(&self, task: &str) -> bool {
-        self.tasks.iter().any(|known| known == task)
+        self.tasks.iter().any(|name| name == task)
     }
 }
 
--- a/crates/flaxtide-entry/src/crash.rs
+++ b/crates/flaxtide-entry/src/crash.rs
@@ -39,7 +39,7 @@
             state.connections.keep(server, connection, None, state.now());
             false
         }
-        Ok(Err(fault)) if fault.kind() == ErrorKind::ConnectionRefused => {
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
             let exited = wait_until_closed(state, server).await;
             if exited {
                 state.connections.record_exit(server, state.now());
--- a/crates/flaxtide-entry/src/directory.rs
+++ b/crates/flaxtide-entry/src/directory.rs
@@ -14,25 +14,26 @@
 
 /// How long a server whose row is missing stays in use if nothing points to an outage, as a
 /// fraction of `leave_within`, the time within which a leaving server must get no more
-/// requests. The server itself serves for longer than this, and the other servers take over
-/// its requests meanwhile.
+/// requests. A leaving server serves for longer than this, so requests sent to it meanwhile
+/// aren't lost, and the remaining servers take over its work.
 const REMOVAL_GRACE_FRACTION: f64 = 0.4;
 
-/// The upper bound for a row that disappears while the platform answers, whatever happened
-/// before, as a fraction of `leave_within`. Together with [`CALL_PAUSE_FRACTION`] and the
-/// period in which rows are checked, it stays within the whole.
+/// The longest time for which a server stays in use whose row disappears while the platform
+/// answers, even after an outage; as a fraction of `leave_within`. The sum of this, of
+/// [`CALL_PAUSE_FRACTION`] and of the period in which rows are checked stays below
+/// `leave_within`.
 const MAX_GRACE_FRACTION: f64 = 0.55;
 
-/// The upper bound, counted from when the row may have disappeared, for a row that is found
-/// missing late, whatever delayed reading the list; as a fraction of `leave_within`. The rest
+/// The longest time for which a server stays in use, counted from when its row was last seen, if
+/// the row is found missing late for whatever reason; as a fraction of `leave_within`. The rest
 /// is for requests that are already on their way.
-const MAX_UNSEEN_FRACTION: f64 = 0.85;
+const MAX_GRACE_SINCE_SEEN_FRACTION: f64 = 0.85;
 
-/// The pause between two calls for the server list, as a fraction of `leave_within`.
+/// The pause between two reads of the server list, as a fraction of `leave_within`.
 pub(crate) const CALL_PAUSE_FRACTION: f64 = 0.35;
 
 /// How long servers have to rewrite their rows after the platform returns. They do so within
-/// two seconds.
+/// two seconds. Records of an outage that are no further apart belong to one outage.
 const RECOVERY_GRACE: Duration = Duration::from_millis(2200);
 
 /// How long a server stays in use whose row disappeared together with many others.
@@ -44,12 +45,12 @@
 /// Rows that disappear within this time of each other count as disappearing together.
 const MASS_LAPSE_WINDOW: Duration = Duration::from_millis(1500);
 
-/// If at least this fraction of a service's rows disappear together, they have lapsed, and
-/// their servers haven't left.
+/// If at least this fraction of a service's rows, and at least two, disappear together, the
+/// servers haven't left: their rows weren't renewed in time.
 const MASS_LAPSE_FRACTION: f64 = 0.34;
 
 /// How long a departed server isn't used after a store restored from a backup lists it again. If
-/// the server doesn't renew its row, the row lapses within three heartbeats of 1.2 s.
+/// the server doesn't renew its row, the row expires within three heartbeats of 1.2 s.
 const RESTORED_ROW_HOLD: Duration = Duration::from_secs(5);
 
 /// How long a departed server is remembered: longer than the age of a backup of the store.
@@ -61,7 +62,7 @@
 /// use std::time::Duration;
 /// use flaxtide_entry::ServerDirectory;
 /// let mut directory = ServerDirectory::new(Duration::from_secs(3));
-/// assert!(!directory.remove("unknown", Duration::ZERO));
+/// assert!(!directory.mark_missing("unknown", Duration::ZERO));
 /// assert!(directory.expire(Duration::from_secs(60)).is_empty());
 /// ```
 #[derive(Debug)]
@@ -123,7 +124,7 @@
 
 impl DirectoryEntry {
     /// Returns whether the server's row is missing.
-    pub(crate) fn lapsed(&self) -> bool {
+    pub(crate) fn is_row_missing(&self) -> bool {
         self.missing.is_some()
     }
 }
@@ -167,11 +168,11 @@
         entry.leaving |= known.is_some_and(|known| {
             known.entry.leaving && known.entry.started == entry.started
         });
-        if !self.servers.contains_key(&name) && self.holds_back_row(&entry, now) {
+        if !self.servers.contains_key(&name) && self.hold_back_row(&entry, now) {
             return false;
         }
         let known = self.servers.get(&name);
-        if known.is_some_and(|known| !known.lapsed() && known.entry == entry) {
+        if known.is_some_and(|known| !known.is_row_missing() && known.entry == entry) {
             return false;
         }
         self.servers.insert(name, DirectoryEntry { entry, missing: None });
@@ -185,9 +186,9 @@
         !std::mem::replace(&mut server.entry.leaving, true)
     }
 
-    /// Returns whether the row of an unknown server is ignored, for now or for good, because the
-    /// server has left.
-    fn holds_back_row(&mut self, entry: &ServerEntry, now: Duration) -> bool {
+    /// Stores or ignores the row of an unknown server if the server has departed. Returns whether
+    /// the row must not be applied now.
+    fn hold_back_row(&mut self, entry: &ServerEntry, now: Duration) -> bool {
         let departed = self.departed.get(&entry.name);
         let departed = departed.filter(|departed| {
             entry.started.is_none() || departed.started == entry.started
@@ -197,7 +198,7 @@
             return true;
         }
         if departed.era >= self.era {
-            // The row had lapsed and the server has written it again.
+            // The row had expired and the server has written it again.
             return false;
         }
         let until = now + RESTORED_ROW_HOLD;
@@ -206,7 +207,7 @@
         true
     }
 
-    /// Remembers that a server has left.
+    /// Remembers that a server has departed.
     fn record_departure(&mut self, entry: &ServerEntry, now: Duration) {
         self.departed
             .retain(|_, departed| now < departed.left_at + DEPARTED_RETENTION);
@@ -219,8 +220,8 @@
         self.departed.insert(entry.name.clone(), departed);
     }
 
-    /// Puts servers into use that a restored store has listed for so long that they must be
-    /// running. Returns whether there are any.
+    /// Puts held servers into use whose hold has ended: a server that isn't running would have
+    /// lost its row by then. Returns whether there are any.
     pub(crate) fn release_held(&mut self, now: Duration) -> bool {
         let due = self.held.iter().filter(|(_, (_, until))| now >= *until);
         let due: Vec<ServerName> = due.map(|(name, _)| name.clone()).collect();
@@ -247,13 +248,18 @@
     }
 
     /// Records that a row has just disappeared. Returns whether that changes anything.
-    pub fn remove(&mut self, name: &str, now: Duration) -> bool {
-        self.remove_unseen(name, Duration::ZERO, now)
+    pub fn mark_missing(&mut self, name: &str, now: Duration) -> bool {
+        self.mark_missing_within(name, Duration::ZERO, now)
     }
 
     /// Records that a row has disappeared within the last `unseen`, during which the list wasn't
     /// read. Returns whether that changes anything.
-    pub fn remove_unseen(&mut self, name: &str, unseen: Duration, now: Duration) -> bool {
+    pub fn mark_missing_within(
+        &mut self,
+        name: &str,
+        unseen: Duration,
+        now: Duration,
+    ) -> bool {
         self.held.remove(name);
         let Some(server) = self.servers.get_mut(name) else { return false };
         if server.entry.leaving {
@@ -283,7 +289,7 @@
         let mut changed = false;
         for name in known {
             if !listed.contains(&name) {
-                changed |= self.remove_unseen(&name, unseen, now);
+                changed |= self.mark_missing_within(&name, unseen, now);
             }
         }
         changed
@@ -311,10 +317,10 @@
             return noticed_at + MASS_LAPSE_GRACE;
         }
         let scaled = |fraction| self.leave_within.mul_f64(fraction);
-        let latest_end = row.last_seen_at + scaled(MAX_UNSEEN_FRACTION);
+        let latest_end = row.last_seen_at + scaled(MAX_GRACE_SINCE_SEEN_FRACTION);
         let normal_end = (noticed_at + scaled(REMOVAL_GRACE_FRACTION)).min(latest_end);
-        // A row that disappeared while the platform answered is gone for good, even if an outage
-        // has begun since.
+        // A row that disappeared while the platform answered means that the server has left, even
+        // if an outage has begun since.
         let Some(outage) = self.outage.filter(|outage| noticed_at >= outage.since) else {
             return normal_end;
         };
@@ -345,7 +351,7 @@
 
     /// Returns whether the row of any server is missing.
     pub(crate) fn has_missing_rows(&self) -> bool {
-        self.servers.values().any(DirectoryEntry::lapsed)
+        self.servers.values().any(DirectoryEntry::is_row_missing)
     }
 
     /// Returns a server by name.
--- a/crates/flaxtide-entry/src/duty/view.rs
+++ b/crates/flaxtide-entry/src/duty/view.rs
@@ -15,7 +15,7 @@
     if !duties.needs_view() {
         return;
     }
-    let Some(table) = state.table() else { return };
+    let Some(table) = state.route_table() else { return };
     let names = table.organisation_names();
     let services = table.services.iter().filter_map(|service| {
         Some(ScaledService {
@@ -42,7 +42,7 @@
     for listed in state.directory.borrow().of_service(service) {
         let entry = &listed.entry;
         let counts = server_counts.entry(entry.data_centre.clone()).or_default();
-        if entry.leaving || listed.lapsed() {
+        if entry.leaving || listed.is_row_missing() {
             continue;
         }
         match entry.spot {
--- a/crates/flaxtide-entry/src/error.rs
+++ b/crates/flaxtide-entry/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that keep an instance from starting.
+//! Errors at the start of an instance, or when its instance file is reloaded.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,11 +6,11 @@
 
 use derive_more::{Display, Error};
 
-/// An error that keeps an entry instance from starting.
+/// An error at the start of an entry instance, or when its instance file is reloaded.
 #[derive(Debug, Display, Error)]
 pub enum EntryError {
     /// The instance file can't be read.
-    #[display("{}: {cause}; check the path and its permissions", path.display())]
+    #[display("failed to read the instance file {}: {cause}; check the path and its permissions", path.display())]
     ReadConfig {
         /// The path of the file.
         path: PathBuf,
@@ -31,7 +31,7 @@
         "failed to listen for {purpose} on {address}: {cause}; check whether the address is in use"
     )]
     Listen {
-        /// The clients that the listener is for.
+        /// What the listener is for.
         purpose: &'static str,
         /// The address to listen on.
         address: SocketAddr,
--- a/crates/flaxtide-entry/src/exchange.rs
+++ b/crates/flaxtide-entry/src/exchange.rs
@@ -21,7 +21,8 @@
 use crate::state::TrafficState;
 use crate::upstream::{ServerConnection, connect};
 
-/// Hop-by-hop headers, in addition to those that `Connection` names.
+/// Headers that aren't forwarded: hop-by-hop ones, in addition to those that `Connection` names,
+/// and `Content-Length` and `Expect`, which the instance handles itself.
 const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     CONTENT_LENGTH,
@@ -33,8 +34,8 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// How often a request is sent over another connection because the idle one turned out to
-/// be closed before any byte was written.
+/// How many connections are tried for a request, as long as each turns out to be closed before
+/// any byte was written.
 const MAX_STALE_CONNECTIONS: usize = 3;
 
 /// How long reading the rest of a refusal may take.
@@ -67,7 +68,7 @@
 
 impl CallerRequest {
     /// Returns the fingerprint that identifies repeats of the request. It hashes the body, so
-    /// it is computed only once a server has crashed.
+    /// it isn't computed before a server has crashed.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         let path = self.uri.path_and_query().map_or("", |path| path.as_str());
         let caller = self.organisation.as_deref();
@@ -79,11 +80,11 @@
 
 /// The head of an accepted response, and its body still to be read.
 pub(crate) struct ResponseStart {
-    /// The status.
+    /// The HTTP status.
     pub(crate) status: StatusCode,
     /// The headers, without hop-by-hop ones.
     pub(crate) headers: HeaderMap,
-    /// The body.
+    /// The body, still to be read.
     pub(crate) body: UpstreamBody,
 }
 
@@ -157,7 +158,7 @@
 ///
 /// Returns the fault; [`RouteFault::not_run`] tells whether it guarantees that the request
 /// hasn't run.
-pub(crate) async fn exchange(
+pub(crate) async fn send_attempt(
     state: &Rc<TrafficState>,
     request: &CallerRequest,
     attempt: ServerAttempt<'_>,
@@ -203,8 +204,8 @@
         conn.used = true;
         state.metrics.connections.with_label_values(&[kind]).inc();
         match conn.sender.try_send_request(outgoing).await {
-            Ok(response) => return check(state, request, server, sent, conn, response),
-            Err(mut fault) => match fault.take_message() {
+            Ok(resp) => return check_head(state, request, server, sent, conn, resp),
+            Err(mut error) => match error.take_message() {
                 // No byte of it was written, so it can be sent again.
                 Some(unsent) => outgoing = unsent,
                 None => return Err(RouteFault::Broken),
@@ -237,7 +238,7 @@
 }
 
 /// Checks the head of a response.
-fn check(
+fn check_head(
     state: &Rc<TrafficState>,
     request: &CallerRequest,
     server: ServerId,
@@ -247,13 +248,15 @@
 ) -> Result<ResponseStart, RouteFault> {
     let (parts, body) = response.into_parts();
     let head = state.dialect.read_response(parts.status.as_u16(), &parts.headers);
+    // Another server has taken over the address.
     if head.replaced {
         return Err(RouteFault::Replaced);
     }
-    // A response to another request shows that the connection is out of step.
     let matches_request = head.attempt_id == request.attempt_id;
     if matches_request || (head.not_run && head.attempt_id.is_none()) {
         let mut statement = head.statement;
+        // A response without a rate limit lifts an earlier limit only if it is a success whose seal
+        // header shows that the server vouches for it.
         let is_sealed_success = parts.status.is_success() && head.sealed;
         if statement.rate == StatedRate::Unlimited && !is_sealed_success {
             statement.rate = StatedRate::Unstated;
@@ -266,6 +269,8 @@
         drain_refusal(state, UpstreamBody { body, connection, server, keep_alive });
         return Err(RouteFault::Full);
     }
+    // A response to another request shows that the connection's requests and responses no longer
+    // correspond, so the connection isn't reused.
     if !matches_request || (parts.status.is_success() && !head.sealed) {
         return Err(RouteFault::Broken);
     }
--- a/crates/flaxtide-entry/src/feed.rs
+++ b/crates/flaxtide-entry/src/feed.rs
@@ -89,7 +89,7 @@
                 state.directory.borrow_mut().record_outage(now);
             }
             // Rules that are in force already need no decoding.
-            FeedEvent::PeerRules(copy) if !state.needs_rules(copy.version) => {}
+            FeedEvent::PeerRules(copy) if !state.would_install(copy.version) => {}
             FeedEvent::PeerRules(copy) => {
                 apply_peer_rules(&state, &*feed, &shared, copy);
             }
@@ -194,7 +194,7 @@
 ) -> bool {
     let mut directory = state.directory.borrow_mut();
     let Some(text) = row.text else {
-        let changed = directory.remove_unseen(&row.name, unseen, now);
+        let changed = directory.mark_missing_within(&row.name, unseen, now);
         if changed {
             let unseen_ms = unseen.as_millis() as u64;
             log::info!(server = row.name, unseen_ms; "server no longer listed");
--- a/crates/flaxtide-entry/src/instance.rs
+++ b/crates/flaxtide-entry/src/instance.rs
@@ -44,8 +44,9 @@
 /// The longest time between two checks of waiting requests and other timed state.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often idle connections and the instance file are checked, in ticks.
-const TICKS_PER_ROUND: u64 = 5;
+/// The interval of the less frequent checks in ticks: idle connections, the instance file, duties
+/// and some metrics.
+const TICKS_PER_SLOW_CHECK: u64 = 5;
 
 /// The stack size of a thread with one small task.
 const WORKER_STACK_BYTES: usize = 256 * 1024;
@@ -217,7 +218,7 @@
     }
 }
 
-/// Opens a listener.
+/// Opens a listener; `purpose` names it in the error.
 fn open_listener(
     purpose: &'static str,
     address: std::net::SocketAddr,
@@ -300,7 +301,7 @@
         state.quarantine.maintain(&state);
         state.pushback.maintain(&state);
         publish_to_peers(&state, &state.fleet, &events);
-        if ticks.is_multiple_of(TICKS_PER_ROUND) {
+        if ticks.is_multiple_of(TICKS_PER_SLOW_CHECK) {
             expire_and_reload(&state, &path);
             if let Some(shared_duties) = &state.duties {
                 shared_duties.sample_wall_time();
@@ -312,7 +313,8 @@
     }
 }
 
-/// Removes servers whose row has been missing for too long.
+/// Puts held servers into use whose hold has ended, and removes servers whose row has been missing
+/// for too long.
 fn expire_servers(state: &TrafficState) {
     if state.directory.borrow_mut().release_held(state.now()) {
         state.update_router_servers();
@@ -320,11 +322,11 @@
     if !state.directory.borrow().has_missing_rows() {
         return;
     }
-    let gone = state.directory.borrow_mut().expire(state.now());
-    for server in &gone {
-        log::info!(server; "server removed: its row is missing");
+    let removed = state.directory.borrow_mut().expire(state.now());
+    for server in &removed {
+        log::info!(server; "server removed: the platform has not listed it for too long");
     }
-    if !gone.is_empty() {
+    if !removed.is_empty() {
         state.update_router_servers();
     }
 }
--- a/crates/flaxtide-entry/src/jump.rs
+++ b/crates/flaxtide-entry/src/jump.rs
@@ -7,7 +7,7 @@
 
 use crate::state::TrafficState;
 
-/// A tick that is late by this much is a clock jump. A busy instance with an eighth of a core
+/// Two ticks that are this far apart show a clock jump. A busy instance with an eighth of a core
 /// may be late by some hundred milliseconds.
 const MIN_JUMP: Duration = Duration::from_secs(1);
 
@@ -53,7 +53,7 @@
     state.metrics.time_jumps.inc();
     log::warn!(span_ms = span.as_millis() as u64; "clock jumped");
     state.not_ready_until.set(now + REJOIN_DELAY);
-    state.connections.close_idle();
+    state.connections.close_all_idle();
     state.with_router(|core, now| core.discount_stall(span, now));
     state.clock_jumped.notify_waiters();
 }
@@ -62,19 +62,19 @@
     /// Waits for a future until a time on the clock; returns `None` if it isn't done by then.
     /// Timers don't count the time of a suspension, so the time is checked again after a clock
     /// jump. After a late timer, the future gets some more time to read what has arrived.
-    pub(crate) async fn wait_until<Outcome>(
+    pub(crate) async fn wait_until<Output>(
         &self,
         mut until: Duration,
-        outcome: impl Future<Output = Outcome>,
-    ) -> Option<Outcome> {
-        let mut outcome = pin!(outcome);
+        future: impl Future<Output = Output>,
+    ) -> Option<Output> {
+        let mut future = pin!(future);
         loop {
-            let left = until.saturating_sub(self.now());
+            let remaining = until.saturating_sub(self.now());
             let jumped = self.clock_jumped.notified();
             let timer_fired = tokio::select! {
                 biased;
-                outcome = &mut outcome => return Some(outcome),
-                () = tokio::time::sleep(left) => true,
+                output = &mut future => return Some(output),
+                () = tokio::time::sleep(remaining) => true,
                 () = jumped => false,
             };
             let now = self.now();
--- a/crates/flaxtide-entry/src/logging.rs
+++ b/crates/flaxtide-entry/src/logging.rs
@@ -14,7 +14,7 @@
 use log::LevelFilter;
 use log::kv::{self, Key, Value, VisitSource};
 
-/// The capacity of the queue in lines: one second of the busiest instance.
+/// The capacity of the queue: the lines that the busiest instance logs in one second.
 const QUEUE_LINES: usize = 4096;
 
 /// How long the writer collects lines before it writes them, so that it wakes up rarely.
@@ -57,7 +57,8 @@
         return;
     }
     let mut builder = Builder::from_env(Env::new().filter_or("FLAXTIDE_LOG", "info"));
-    // Time-outs of calls to peers are routine, and membership handles them.
+    // tarpc logs each time-out of a call to a peer. These are routine, and the fleet's membership
+    // handles them.
     builder.filter_module("tarpc", LevelFilter::Off);
     builder.target(Target::Pipe(Box::new(QueueWriter { lines, dropped })));
     builder.format(|out, record| {
--- a/crates/flaxtide-entry/src/names.rs
+++ b/crates/flaxtide-entry/src/names.rs
@@ -10,7 +10,7 @@
 /// Assigns IDs to services and to incarnations of servers. An ID never changes.
 #[derive(Debug, Default)]
 pub(crate) struct IdTable {
-    /// The IDs of services by name.
+    /// The IDs of pools by service. The router calls the servers of a service a pool.
     pools: HashMap<String, PoolId>,
     /// The IDs of servers by incarnation.
     servers: HashMap<String, ServerId>,
@@ -31,7 +31,7 @@
 }
 
 impl IdTable {
-    /// Returns the ID of a service, and assigns one if it is new.
+    /// Returns the ID of a service's pool, and assigns one if it is new.
     pub(crate) fn pool_id(&mut self, service: &str) -> PoolId {
         if let Some(pool) = self.pools.get(service) {
             return *pool;
--- a/crates/flaxtide-entry/src/open_call.rs
+++ b/crates/flaxtide-entry/src/open_call.rs
@@ -1,4 +1,5 @@
-//! An open call: one caller's request, its attempts at backend servers, and its outcome.
+//! An open call. A call is a caller's request that the rules accept, with all its attempts at
+//! backend servers and its outcome.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,7 +11,7 @@
 use crate::contract::RequestHead;
 use crate::crash::server_has_exited;
 use crate::duty::CallUsage;
-use crate::exchange::{CallerRequest, ResponseStart, ServerAttempt, exchange};
+use crate::exchange::{CallerRequest, ResponseStart, ServerAttempt, send_attempt};
 use crate::reply::{CallerResponse, LocalReply};
 use crate::routes::ClassMatch;
 use crate::state::TrafficState;
@@ -18,11 +19,11 @@
 /// The longest `Retry-After` that a caller is given.
 pub(crate) const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A caller is told to retry after at most the remaining time divided by this, so that the
-/// retry can still finish before the deadline.
+/// `Retry-After` is at most the time left until the deadline divided by this, so that the retry
+/// can still finish.
 pub(crate) const RETRY_DIVISOR: u32 = 3;
 
-/// A request in progress. Dropping it tells the router that the request has ended.
+/// A call in progress. Dropping it reports its end to the router.
 pub(crate) struct OpenCall {
     /// The state shared by all tasks of the traffic thread.
     pub(crate) state: Rc<TrafficState>,
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Logs and counts the outcome of the request. Only the first call has an effect.
+    /// Logs and counts the outcome of the request. Has no effect if they
+    /// have already been recorded.
     pub(crate) fn record_end(&self, end: &'static str, status: u16) {
         if self.end_recorded.replace(true) {
             return;
@@ -151,8 +153,8 @@
         self.count_usage();
     }
 
-    /// Counts the request in the usage report: a stream as of its first event, any other
-    /// request as of when it was sent.
+    /// Counts the request in the usage report. A stream counts from its first event, any other
+    /// request from when it was sent.
     fn count_usage(&self) {
         let Some(usage) = &self.usage else { return };
         let streams = self.class.class().kind.streams();
@@ -250,7 +252,7 @@
             last_event,
             new_connection,
         };
-        let sent = exchange(&self.state, request, attempt);
+        let sent = send_attempt(&self.state, request, attempt);
         let mut sent = std::pin::pin!(sent);
         loop {
             let time_left = self.time_left();
@@ -273,7 +275,8 @@
         }
     }
 
-    /// Returns whether the request may be taken from a server that is silent.
+    /// Returns whether the attempt may be aborted because its server is silent. `resumable` tells
+    /// whether another server can resume the stream.
     pub(crate) fn may_abort_silent(&self, resumable: bool) -> bool {
         self.state.with_router(|core, now| {
             core.may_abort_silent(self.request_id, resumable, now)
--- a/crates/flaxtide-entry/src/pushback.rs
+++ b/crates/flaxtide-entry/src/pushback.rs
@@ -1,5 +1,6 @@
-//! What servers state about their limits in responses, and its exchange with peers; on the
-//! traffic thread.
+//! The statements of servers, and their exchange with peers; on the traffic thread. A statement
+//! is the rate limit, the backoff or the departure that a server announces in the headers of a
+//! response. A report passes it on to peers.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -80,9 +81,9 @@
             log_leaving(state, server.unwrap_or_default(), "peer");
         }
         let effect = server.and_then(|server| {
-            let heard_at = report.heard_at(received_at);
+            let stated_at = report.heard_at(received_at);
             state.with_router(|core, now| {
-                core.record_peer_rate(server, report.rate, heard_at, now)
+                core.record_peer_rate(server, report.rate, stated_at, now)
             })
         });
         match (server, effect) {
@@ -126,7 +127,7 @@
     /// Publishes the latest statement of a server to peers.
     fn publish(&self, state: &TrafficState, server: ServerId) {
         let known = state.with_router(|core, _| core.stated_rate(server));
-        let (Some(key), Some((rate, heard_at))) = (state.server_key(server), known)
+        let (Some(key), Some((rate, stated_at))) = (state.server_key(server), known)
         else {
             return;
         };
@@ -134,7 +135,7 @@
         self.schedule.borrow_mut().record_sent(server, stated, state.now());
         let leaving = state.is_leaving(server);
         let report = PushbackReport { server: key, rate, age_ms: 0, leaving };
-        self.send(state, heard_at, report);
+        self.send(state, stated_at, report);
     }
 
     /// Passes a report to the fleet thread, or keeps it for later if its queue is full.
@@ -168,7 +169,8 @@
     log::info!(server = name, rest_ms = duration.as_millis() as u64; "server asks for backoff");
 }
 
-/// Logs the request rate that a server states; -1 for none.
+/// Logs a change of the request rate that a server states. `rate` is -1 if there is no limit;
+/// `part` is this instance's share of it, or -1 if that is unknown.
 fn log_rate(
     state: &TrafficState,
     server: ServerId,
@@ -179,6 +181,6 @@
     log::info!(
         server = state.server_name(server).unwrap_or_default(), source,
         rate = rate.map_or(-1.0, RequestRate::per_second), part = share.unwrap_or(-1.0);
-        "server stated a request rate"
+        "stated request rate changed"
     );
 }
--- a/crates/flaxtide-entry/src/quarantine.rs
+++ b/crates/flaxtide-entry/src/quarantine.rs
@@ -13,11 +13,11 @@
 /// within a round of heartbeats; if none does, the instance serves all the same.
 const PEER_SYNC_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The maximum number of groups of reports that wait for the fleet thread, which takes
-/// hundreds per second.
+/// The maximum number of batches of reports queued for the fleet thread, which accepts hundreds
+/// of batches per second.
 const MAX_UNSENT: usize = 256;
 
-/// How often requests are forgotten that haven't been seen for long.
+/// How often entries are removed whose requests haven't been seen for long.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The requests that crash servers, as known to the traffic thread.
@@ -98,12 +98,13 @@
         self.update_metrics(state);
     }
 
-    /// Records whether a peer has sent its crash log. Never reset.
+    /// Records that a peer has sent its crash log, if `synced`. Once set, it stays set.
     pub(crate) fn set_synced(&self, synced: bool) {
         self.synced.set(self.synced.get() || synced);
     }
 
-    /// Returns whether the peers' crash logs have arrived or are no longer waited for.
+    /// Returns whether a peer's crash log has arrived or is no longer waited for. The clock starts
+    /// at zero with the instance.
     pub(crate) fn is_synced(&self, now: Duration) -> bool {
         self.synced.get() || now >= PEER_SYNC_TIMEOUT
     }
--- a/crates/flaxtide-entry/src/reply.rs
+++ b/crates/flaxtide-entry/src/reply.rs
@@ -39,7 +39,7 @@
     Stopping,
     /// No server is available.
     NoServer,
-    /// The response would come after the caller's deadline.
+    /// The request waited too long for a server, or would have to; no server has run it.
     TooLate,
     /// Servers exit when they run the request, so it is sent to none.
     Quarantined,
@@ -52,9 +52,11 @@
 impl LocalReply {
     /// Replaces a rejection that newer rules might lift by a temporary one, if the rules in
     /// force are outdated: callers don't retry after a permanent rejection.
-    pub(crate) fn defer_to_newer_rules(self, outdated: bool) -> Self {
+    pub(crate) fn defer_to_newer_rules(self, rules_outdated: bool) -> Self {
         match self {
-            Self::UnknownKey | Self::UnknownTarget if outdated => Self::OutdatedRules,
+            Self::UnknownKey | Self::UnknownTarget if rules_outdated => {
+                Self::OutdatedRules
+            }
             reply => reply,
         }
     }
--- a/crates/flaxtide-entry/src/response.rs
+++ b/crates/flaxtide-entry/src/response.rs
@@ -55,7 +55,7 @@
     if start.status.is_success() {
         state.quarantine.clear(state, request);
     }
-    Ok(ReceivedResponse::Whole(complete_response(
+    Ok(ReceivedResponse::Whole(build_response(
         call,
         start.status,
         start.headers,
@@ -91,16 +91,11 @@
         return Ok(ReceivedResponse::Retry);
     }
     let (status, headers) = (start.status, start.headers);
-    Ok(ReceivedResponse::Whole(complete_response(
-        call,
-        status,
-        headers,
-        collected.freeze(),
-    )))
+    Ok(ReceivedResponse::Whole(build_response(call, status, headers, collected.freeze())))
 }
 
 /// Builds the caller's response from a server's complete one and records the end of the call.
-fn complete_response(
+fn build_response(
     call: &OpenCall,
     status: StatusCode,
     headers: hyper::HeaderMap,
--- a/crates/flaxtide-entry/src/routes.rs
+++ b/crates/flaxtide-entry/src/routes.rs
@@ -73,7 +73,7 @@
                 std::cmp::Reverse(rules.classes[usize::from(*class)].prefix.len())
             });
         }
-        let tier_pairs = rank_tiers(&rules);
+        let tier_pairs = sorted_tier_pairs(&rules);
         let class_tiers: BTreeSet<TierRank> =
             rules.classes.iter().map(|class| class.tier).collect();
         Self {
@@ -102,7 +102,7 @@
         TierRank::try_from(idx).unwrap_or(TierRank::MAX)
     }
 
-    /// Returns the class whose path prefix is the longest match.
+    /// Returns the class of a host whose path prefix is the longest match.
     pub(crate) fn find_class(&self, host: &str, path: &str) -> Option<ClassMatch> {
         let name = host_name(host).to_ascii_lowercase();
         let classes = self.hosts.get(&name)?;
@@ -136,13 +136,15 @@
 
     /// Returns the names of the organisations.
     pub(crate) fn organisation_names(&self) -> impl Iterator<Item = &str> {
-        self.organisations.iter().map(|known| known.name.as_str())
+        self.organisations
+            .iter()
+            .map(|organisation| organisation.name.as_str())
     }
 
     /// Returns whether the servers of a service are engines.
     pub(crate) fn is_engine(&self, service: &str) -> bool {
         let mut services = self.services.iter();
-        services.any(|known| known.name == service && known.engine.is_some())
+        services.any(|other| other.name == service && other.engine.is_some())
     }
 
     /// Returns the holder of a key, or `None` if the key is unknown.
@@ -182,8 +184,11 @@
 }
 
 /// Returns all pairs of tiers that requests can have, most urgent first.
-fn rank_tiers(rules: &EntryRules) -> Vec<TierPair> {
-    let organisations = rules.organisations.iter().filter_map(|known| known.tier);
+fn sorted_tier_pairs(rules: &EntryRules) -> Vec<TierPair> {
+    let organisations = rules
+        .organisations
+        .iter()
+        .filter_map(|organisation| organisation.tier);
     let organisations: BTreeSet<TierRank> = organisations.collect();
     let mut pairs = BTreeSet::new();
     for class in &rules.classes {
--- a/crates/flaxtide-entry/src/source.rs
+++ b/crates/flaxtide-entry/src/source.rs
@@ -94,7 +94,7 @@
         if state.plan == plan {
             return false;
         }
-        state.backoff.set_peers(&peers_of(&plan), now);
+        state.backoff.retain_peers(&peers_of(&plan), now);
         state.plan = plan;
         true
     }
@@ -151,7 +151,7 @@
     pub(crate) fn call_window(&self) -> Duration {
         let now = self.clock.now();
         let state = self.lock();
-        let readers_answer = state.backoff.suggest_outage(now);
+        let readers_answer = state.backoff.suggests_outage(now);
         first_call_window(state.plan.standby, readers_answer, self.leave_within)
     }
 
--- a/crates/flaxtide-entry/src/state.rs
+++ b/crates/flaxtide-entry/src/state.rs
@@ -28,10 +28,11 @@
 use crate::quarantine::CallQuarantine;
 use crate::routes::RouteTable;
 use crate::source::ServerListSource;
-use crate::stop::LAST_CALL_MARGIN;
+use crate::stop::MIN_REQUEST_TIME;
 use crate::upstream::ServerConnections;
 
-/// How many requests a plain server runs at once if neither its service nor its row says.
+/// How many requests a plain server runs at once if neither its service's settings nor its row in
+/// the platform's store states a number.
 const DEFAULT_PLAIN_SERVER_SLOTS: u32 = 6;
 
 /// The phase of a planned stop.
@@ -67,7 +68,7 @@
     pub(crate) pushback: PushbackExchange,
     /// The state shared with the duties thread; `None` if the instance has no duties.
     pub(crate) duties: Option<Arc<SharedDuties>>,
-    /// The rules in force; `None` until the first have arrived.
+    /// The rules in force, indexed for look-up; `None` until the first have arrived.
     table: RefCell<Option<Rc<RouteTable>>>,
     /// The servers that may be used.
     pub(crate) directory: RefCell<ServerDirectory>,
@@ -95,7 +96,8 @@
     pub(crate) phase_changed: Notify,
     /// The number of requests in progress.
     pub(crate) open_calls: Cell<usize>,
-    /// When the process must end. Set in the late phase of a stop.
+    /// When the process must end. Set once `LAST_STREAM_START` has passed since a stop began; from
+    /// then on, no new streams are accepted.
     pub(crate) stop_deadline: Cell<Option<Duration>>,
 }
 
@@ -160,7 +162,7 @@
     }
 
     /// Returns the rules in force.
-    pub(crate) fn table(&self) -> Option<Rc<RouteTable>> {
+    pub(crate) fn route_table(&self) -> Option<Rc<RouteTable>> {
         self.table.borrow().clone()
     }
 
@@ -195,7 +197,7 @@
     /// Returns whether a request that starts now might not end before the process must.
     pub(crate) fn is_too_late_to_start(&self, streams: bool) -> bool {
         let Some(end) = self.stop_deadline.get() else { return false };
-        streams || self.now() + LAST_CALL_MARGIN > end
+        streams || self.now() + MIN_REQUEST_TIME > end
     }
 
     /// Returns the ID for a new request.
@@ -205,7 +207,7 @@
         request
     }
 
-    /// Returns the ID of a service.
+    /// Returns the ID of a service's pool, as the router calls the servers of a service.
     pub(crate) fn pool_id(&self, service: &str) -> PoolId {
         self.ids.borrow_mut().pool_id(service)
     }
@@ -281,14 +283,15 @@
         self.newest_rules.get() > self.rules_version()
     }
 
-    /// Returns whether rules of a version would replace those in force.
-    pub(crate) fn needs_rules(&self, version: SettingsVersion) -> bool {
+    /// Returns whether rules of a version would be put in force: they are newer than those that
+    /// are, or there are none.
+    pub(crate) fn would_install(&self, version: SettingsVersion) -> bool {
         self.table.borrow().is_none() || version > self.rules_version()
     }
 
     /// Puts rules in force unless newer ones are. Returns whether it did.
     pub(crate) fn install_rules(&self, rules: EntryRules) -> bool {
-        if !self.needs_rules(rules.version) {
+        if !self.would_install(rules.version) {
             return false;
         }
         self.metrics.rules_version.set(rules.version as i64);
@@ -300,7 +303,7 @@
 
     /// Passes the servers of each service to the router.
     pub(crate) fn update_router_servers(&self) {
-        let Some(table) = self.table() else { return };
+        let Some(table) = self.route_table() else { return };
         let local_data_centre = self.config().data_centre.clone();
         for service in &table.services {
             let engine = service.engine;
@@ -319,7 +322,7 @@
                     data_centre: fleet_key(&entry.data_centre),
                     local: entry.data_centre == local_data_centre,
                     leaving: entry.leaving,
-                    lapsed: listed.lapsed(),
+                    lapsed: listed.is_row_missing(),
                 }
             });
             let servers: Vec<RoutedServer> = servers.collect();
--- a/crates/flaxtide-entry/src/stop.rs
+++ b/crates/flaxtide-entry/src/stop.rs
@@ -15,13 +15,14 @@
 /// once a second and acts on the second failed check.
 const BALANCER_REACTION_TIME: Duration = Duration::from_millis(2300);
 
-/// A stream that starts later than this after the signal may not end before the process must.
+/// Streams are refused from this time after the signal on, as they might not end before the
+/// process must.
 const LAST_STREAM_START: Duration = Duration::from_millis(2800);
 
-/// A request that starts less than this before the process must end is refused.
-pub(crate) const LAST_CALL_MARGIN: Duration = Duration::from_millis(2000);
+/// A request is refused if less than this is left until the process must end.
+pub(crate) const MIN_REQUEST_TIME: Duration = Duration::from_millis(2000);
 
-/// The part of the time allowed for a stop that is left when the last requests are cut off.
+/// The last requests are cut off this long before the end of the time allowed for a stop.
 const STOP_MARGIN: Duration = Duration::from_millis(350);
 
 /// How often a stopping instance checks whether all requests have ended.
@@ -77,8 +78,8 @@
             state.update_router_servers();
             log::info!(cause; "instance file reloaded");
         }
-        Err(fault) => {
-            log::error!(cause, fault = fault.to_string(); "instance file rejected");
+        Err(error) => {
+            log::error!(cause, fault = error.to_string(); "instance file rejected; the previous one stays in force");
         }
     }
 }
--- a/crates/flaxtide-entry/src/upstream.rs
+++ b/crates/flaxtide-entry/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers: opened, pooled while idle, closed when in doubt.
+//! Connections to backend servers: opened, pooled while idle, closed if their state is unknown.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -45,7 +45,8 @@
 /// The fraction of the server's stated idle time-out for which a connection may be reused.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
-/// How long it is remembered that a server has exited.
+/// How long it is remembered that a server has exited. `EXIT_VALIDITY` in `crash.rs` limits its
+/// use further.
 const EXIT_RETENTION: Duration = Duration::from_secs(10);
 
 /// The maximum number of idle connections to one server.
@@ -70,7 +71,7 @@
     expires_at: Duration,
 }
 
-/// A connection to a server. Dropping it closes the connection, which cancels the request
+/// A connection to a server. Dropping it closes the connection at once, which cancels the request
 /// that the server runs for it.
 pub(crate) struct ServerConnection {
     /// Sends requests over the connection.
@@ -88,7 +89,8 @@
 }
 
 impl ServerConnections {
-    /// Returns an idle connection to a server, if there is an open one.
+    /// Removes and returns an open idle connection to a server, if there is one. Drops those that
+    /// have expired or closed on the way.
     pub(crate) fn take(
         &self,
         server: ServerId,
@@ -113,7 +115,8 @@
         found
     }
 
-    /// Adds a connection to the idle ones after a complete, valid response.
+    /// Adds a connection to the idle ones, unless there are too many. It must have no response
+    /// outstanding.
     pub(crate) fn keep(
         &self,
         server: ServerId,
@@ -172,14 +175,14 @@
         connections.any(|entry| !entry.connection.sender.is_closed())
     }
 
-    /// Closes the idle connections to a server after another one went silent: they may have
-    /// lost their peer too.
+    /// Closes the idle connections to a server after another one went silent: the server may be
+    /// unreachable over them too.
     pub(crate) fn close_idle_of(&self, server: ServerId) {
         self.idle.borrow_mut().remove(&server);
     }
 
     /// Closes all idle connections.
-    pub(crate) fn close_idle(&self) {
+    pub(crate) fn close_all_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
@@ -220,8 +223,8 @@
     Ok(ServerConnection { sender, task: task.abort_handle(), used: false })
 }
 
-/// Enables TCP keepalive and a time-out, so that the system closes a connection whose peer is
-/// unreachable.
+/// Enables TCP keepalive and a time-out, so that the system closes a connection whose other end
+/// is unreachable.
 pub(crate) fn enable_keepalive(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
--- a/crates/flaxtide-entry/tests/directory.rs
+++ b/crates/flaxtide-entry/tests/directory.rs
@@ -56,7 +56,7 @@
 #[test]
 fn a_server_whose_row_disappeared_before_an_outage_is_removed_during_it() {
     let mut directory = directory();
-    directory.remove("i-0", ms(17_200));
+    directory.mark_missing("i-0", ms(17_200));
     let removed_at = removed_after_outage(&mut directory, 18_100, 25_000).unwrap();
     assert!(removed_at <= 17_200 + 3_000, "removed at {removed_at}");
 }
@@ -66,7 +66,7 @@
 fn a_server_whose_row_disappeared_between_two_outages_is_removed_in_the_second() {
     let mut directory = directory();
     assert_eq!(removed_after_outage(&mut directory, 1_000, 4_000), None);
-    directory.remove("i-0", ms(30_000));
+    directory.mark_missing("i-0", ms(30_000));
     let removed_at = removed_after_outage(&mut directory, 30_900, 40_000).unwrap();
     assert!(removed_at <= 30_000 + 3_000, "removed at {removed_at}");
 }
@@ -75,7 +75,7 @@
 fn a_server_whose_row_disappears_in_an_outage_stays_in_use_until_after_it() {
     let mut directory = directory();
     directory.record_outage(ms(10_000));
-    directory.remove("i-0", ms(10_500));
+    directory.mark_missing("i-0", ms(10_500));
     let removed_at = removed_after_outage(&mut directory, 10_600, 18_000).unwrap();
     assert!(removed_at >= 18_000 + 2_000, "removed at {removed_at}");
 }
@@ -88,7 +88,7 @@
     for unseen in (0..=2500).step_by(100) {
         let mut directory = directory();
         let noticed_at = 20_000 + unseen;
-        directory.remove_unseen("i-0", ms(unseen), ms(noticed_at));
+        directory.mark_missing_within("i-0", ms(unseen), ms(noticed_at));
         let removed_at = (noticed_at..noticed_at + 5_000)
             .find(|now| !directory.expire(ms(*now)).is_empty())
             .unwrap();
--- a/crates/flaxtide-entry/tests/pauses.rs
+++ b/crates/flaxtide-entry/tests/pauses.rs
@@ -48,7 +48,8 @@
     assert!(!backoff.any_unable());
 }
 
-/// The next failure of all peers may have another cause, hours later.
+/// Entries left from an earlier failure must not make a later one, with another cause, look like an
+/// outage.
 #[test]
 fn a_success_resets_the_backoff_of_all_unable_peers() {
     let mut backoff = PeerBackoff::new(FIRST);
@@ -66,7 +67,7 @@
     let mut backoff = PeerBackoff::new(FIRST);
     backoff.record_unable(peer(1), Duration::ZERO);
     backoff.record_unreachable(peer(2), Duration::ZERO);
-    backoff.set_peers(&[peer(2), peer(3)], Duration::ZERO);
+    backoff.retain_peers(&[peer(2), peer(3)], Duration::ZERO);
     assert!(!backoff.any_unable());
     assert!(!backoff.may_ask(peer(2), Duration::ZERO));
 }
@@ -82,11 +83,11 @@
         .step_by(100)
         .map(|millis| start + Duration::from_millis(millis))
     {
-        backoff.set_peers(&[peer(1), peer(2)], start);
+        backoff.retain_peers(&[peer(1), peer(2)], start);
         backoff.record_unable(peer(1), now);
         assert!(backoff.any_unable());
-        assert!(!backoff.suggest_outage(now), "after {:?}", now - start);
+        assert!(!backoff.suggests_outage(now), "after {:?}", now - start);
     }
     let later = start + Duration::from_secs(3);
-    assert!(backoff.suggest_outage(later));
+    assert!(backoff.suggests_outage(later));
 }
