--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -10,8 +10,8 @@
 use crossbeam::channel::{Receiver, Sender, bounded};
 use flaxtide_core::{InstanceName, MilliClock, ServerId, SettingsVersion};
 use flaxtide_fleet::{
-    DutyHolder, FleetEvent, FleetKey, FleetNode, FleetNotice, FleetThread, FleetTiming,
-    FleetUpdate, LinkBytes, NodeStatus, OwnLoad, PartRead, PeerInfo, RowQuestion,
+    DutyHolder, FleetCommand, FleetKey, FleetNode, FleetThread, FleetTiming, FleetUpdate,
+    LinkBytes, NodeEvent, NodeStatus, OwnLoad, PartRead, PeerInfo, RowRequest,
     SettingsCopy, fleet_key,
 };
 use flaxtide_policy::{
@@ -46,12 +46,12 @@
 #[derive(Debug, Clone)]
 pub(crate) struct FleetLink {
     /// The queue of events.
-    events: Sender<FleetEvent>,
+    events: Sender<FleetCommand>,
 }
 
 impl FleetLink {
     /// Creates a link and the receiver for the fleet thread.
-    pub(crate) fn new() -> (Self, Receiver<FleetEvent>) {
+    pub(crate) fn new() -> (Self, Receiver<FleetCommand>) {
         let (events, queue) = bounded(FLEET_QUEUE_LEN);
         (Self { events }, queue)
     }
@@ -59,7 +59,7 @@
     /// Announces a new version of the rules to peers.
     pub(crate) fn announce(&self, version: SettingsVersion) {
         self.update(move |node, _| node.set_version(version));
-        self.send(FleetEvent::SendHeartbeats);
+        self.send(FleetCommand::SendHeartbeats);
     }
 
     /// Tells the fleet thread that rules from a peer can't be put in force.
@@ -70,7 +70,7 @@
     /// Announces to peers that this instance is stopping.
     pub(crate) fn leave(&self) {
         self.update(|node, _| node.leave());
-        self.send(FleetEvent::SendHeartbeats);
+        self.send(FleetCommand::SendHeartbeats);
     }
 
     /// Announces to peers that this instance holds the duties.
@@ -79,8 +79,8 @@
     }
 
     /// Asks a peer for the rows that it has read.
-    pub(crate) fn ask_rows(&self, question: RowQuestion) {
-        self.send(FleetEvent::AskRows(question));
+    pub(crate) fn ask_rows(&self, question: RowRequest) {
+        self.send(FleetCommand::AskRows(question));
     }
 
     /// Reports crashes to peers. The ages in the reports count from `since` on `clock`.
@@ -120,14 +120,14 @@
         &self,
         change: impl FnOnce(&mut FleetNode, Duration) + Send + 'static,
     ) -> bool {
-        self.send(FleetEvent::Update(FleetUpdate::new(change)))
+        self.send(FleetCommand::Update(FleetUpdate::new(change)))
     }
 
     /// Sends an event to the fleet thread. If the queue is full because the thread is
     /// slow, the event is dropped: the node's state is published again soon, and a
     /// question without an answer counts as a peer that doesn't respond. Returns whether
     /// there was room.
-    fn send(&self, event: FleetEvent) -> bool {
+    fn send(&self, event: FleetCommand) -> bool {
         let sent = self.events.try_send(event).is_ok();
         if !sent {
             log::warn!("queue to the fleet thread is full, event dropped");
@@ -193,31 +193,31 @@
 }
 
 /// Forwards notices from peers to the traffic thread.
-fn forward_notices(events: &mpsc::Sender<FeedEvent>, notices: Vec<FleetNotice>) {
+fn forward_notices(events: &mpsc::Sender<FeedEvent>, notices: Vec<NodeEvent>) {
     for notice in notices {
         match notice {
-            FleetNotice::PeerLoads(peer, loads) => {
+            NodeEvent::PeerLoads(peer, loads) => {
                 forward(events, FeedEvent::PeerLoads(peer, loads));
             }
-            FleetNotice::GroupLoads(data_centre, loads) => {
+            NodeEvent::GroupLoads(data_centre, loads) => {
                 forward(events, FeedEvent::PeerLoads(data_centre, loads));
             }
-            FleetNotice::PeerUnresponsive(servers) => {
+            NodeEvent::PeerUnresponsive(servers) => {
                 forward(events, FeedEvent::PeerUnresponsive(servers));
             }
-            FleetNotice::PeerReads(reads) => forward(events, FeedEvent::PeerReads(reads)),
-            FleetNotice::Crashes(reports) => {
+            NodeEvent::PeerReads(reads) => forward(events, FeedEvent::PeerReads(reads)),
+            NodeEvent::Crashes(reports) => {
                 forward_reliably(events.clone(), FeedEvent::Crashes(reports));
             }
-            FleetNotice::Pushback(reports) => {
+            NodeEvent::Pushback(reports) => {
                 forward_reliably(events.clone(), FeedEvent::Pushback(reports));
             }
             // Slots and rates aren't shared out among instances here, as every instance
             // may use every server. The fleet thread fetches newer rules by itself.
-            FleetNotice::Load(_)
-            | FleetNotice::Share(..)
-            | FleetNotice::Rate(..)
-            | FleetNotice::Version(..) => {}
+            NodeEvent::Load(_)
+            | NodeEvent::Share(..)
+            | NodeEvent::Rate(..)
+            | NodeEvent::Version(..) => {}
         }
     }
 }
