--- a/crates/flaxtide-entry/src/feed.rs
+++ b/crates/flaxtide-entry/src/feed.rs
@@ -127,6 +127,7 @@
     shared: &SharedRules,
     copy: RulesCopy,
 ) {
+    // The announced version, named as its key in the log line.
     let told = copy.version;
     let version = apply_rules(state, feed, shared, copy.text, "peer");
     if version != Some(told) {
