--- a/crates/flaxtide-entry/src/contract/dialect.rs
+++ b/crates/flaxtide-entry/src/contract/dialect.rs
@@ -57,11 +57,12 @@
 pub struct ResponseHead {
     /// The id of the request that it responds to.
     pub attempt_id: Option<String>,
-    /// Whether the response has the seal by which a server confirms that it is its own.
+    /// Whether the response has the server's seal, by which the server confirms that it
+    /// wrote the response.
     pub sealed: bool,
     /// Whether the server states that it hasn't run the request.
     pub not_run: bool,
-    /// Whether the address now belongs to another server.
+    /// Whether the address to which the request was sent now belongs to another server.
     pub replaced: bool,
     /// How long the server keeps the idle connection open.
     pub keep_alive: Option<Duration>,
--- a/crates/flaxtide-entry/src/contract/duty.rs
+++ b/crates/flaxtide-entry/src/contract/duty.rs
@@ -90,7 +90,8 @@
 pub struct DutyCredentials {
     /// The name of the instance.
     pub holder: InstanceName,
-    /// The fence, which increases with each holder.
+    /// The fence, which increases with each holder and after an order with an unknown
+    /// outcome.
     pub fence: u64,
 }
 
--- a/crates/flaxtide-entry/src/contract/feed.rs
+++ b/crates/flaxtide-entry/src/contract/feed.rs
@@ -30,7 +30,7 @@
     ) -> Result<FeedBatch, FeedError>;
 
     /// Returns the total number of bytes received in answers on a topic. It includes
-    /// answers that are still incomplete, but not refusals.
+    /// answers that are still incomplete, but not refusals, and it never decreases.
     fn received_bytes(&self, topic: FeedTopic) -> u64;
 
     /// Parses the text of rules, whether from the platform or from a peer.
@@ -75,12 +75,12 @@
     pub name: String,
     /// The text of the row, or `None` if it was removed.
     pub text: Option<String>,
-    /// The version at which the row changed, if it is known. A reader that has all rows
-    /// up to a version lacks exactly those with a higher one.
+    /// The version at which the row changed, if it is known. An instance that has all
+    /// rows up to a version lacks exactly those with a higher one.
     pub version: Option<StoreVersion>,
 }
 
-/// A failed call, or content that is invalid.
+/// Why a call of the feed or of a duty failed, or why content is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum FeedError {
     /// The platform no longer has the changes after the given version.
@@ -99,7 +99,7 @@
         cause: String,
     },
     /// The content can't be decoded.
-    #[display("{what} can't be decoded ({cause}); the last valid one stays in force")]
+    #[display("{what} can't be decoded ({cause}) and is ignored")]
     BadContent {
         /// A description of the content.
         what: String,
--- a/crates/flaxtide-entry/src/duty/orders.rs
+++ b/crates/flaxtide-entry/src/duty/orders.rs
@@ -16,7 +16,7 @@
 pub(super) struct ServiceOrder {
     /// The name of the service.
     pub(super) service: String,
-    /// The number of servers to order, and where.
+    /// The data centre, the kind and the number of the servers.
     pub(super) order: ServerOrder,
 }
 
--- a/crates/flaxtide-entry/src/duty/reports.rs
+++ b/crates/flaxtide-entry/src/duty/reports.rs
@@ -139,10 +139,10 @@
         if !is_forced && (elapsed < SETTLE_AFTER || !discovery_over) {
             return false;
         }
-        let may_be_incomplete =
+        let accept_incomplete =
             is_forced || elapsed >= self.due_within.mul_f64(INCOMPLETE_SETTLE_FRACTION);
         let (total, complete) = duties.window_total(window);
-        if !may_be_incomplete && !complete {
+        if !accept_incomplete && !complete {
             return false;
         }
         let names = duties.view().organisations;
--- a/crates/flaxtide-entry/src/duty/shared.rs
+++ b/crates/flaxtide-entry/src/duty/shared.rs
@@ -12,7 +12,8 @@
     WindowNumber, WindowTotal, window_of,
 };
 
-/// How long an instance's report of its open requests is valid.
+/// How long an instance's report of its open requests is valid, and the instance counts
+/// as reporting.
 const OPEN_COUNT_LIFE: Duration = Duration::from_secs(5);
 
 /// A service whose servers may be ordered.
@@ -28,7 +29,7 @@
     pub(crate) server_counts: BTreeMap<DataCentreName, ServerCounts>,
 }
 
-/// A view of the rules and the servers for the holder of the duties.
+/// A copy of what the duty thread needs of the rules and the servers.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct DutyView {
     /// The names of the organisations by their keys, to write reports.
@@ -63,15 +64,16 @@
     is_candidate: bool,
     /// Whether the instance is stopping.
     stopping: bool,
-    /// The counts of all instances, or `None` unless this instance holds the duties.
-    peers: Option<PeerUsage>,
+    /// The counts that instances have reported, or `None` unless this instance holds the
+    /// duties.
+    usage: Option<ReportedUsage>,
     /// The latest view from the traffic thread.
     view: DutyView,
 }
 
-/// The counts that instances have reported to the holder.
+/// The counts that instances have reported to this one as the holder.
 #[derive(Debug)]
-struct PeerUsage {
+struct ReportedUsage {
     /// The usage counts.
     tally: UsageTally,
     /// The open requests of each instance by service, and when it reported them.
@@ -90,7 +92,7 @@
             open: BTreeMap::new(),
             is_candidate: false,
             stopping: false,
-            peers: None,
+            usage: None,
             view: DutyView::default(),
         });
         Self { clock, window, state }
@@ -144,7 +146,7 @@
     /// take them over.
     pub(crate) fn needs_view(&self) -> bool {
         let state = self.lock();
-        state.is_candidate || state.peers.is_some()
+        state.is_candidate || state.usage.is_some()
     }
 
     /// Sets the view. The traffic thread calls this.
@@ -158,42 +160,42 @@
     }
 
     /// Starts to collect reports from peers, beginning with the counts that the previous
-    /// holder had collected.
+    /// holder had collected. `first_window` is the first window that isn't settled.
     pub(crate) fn begin_holding(
         &self,
         drafts: BTreeMap<WindowNumber, UsageCounts>,
-        open_from: WindowNumber,
+        first_window: WindowNumber,
     ) {
         let mut tally = UsageTally::default();
-        tally.inherit(drafts, open_from);
-        self.lock().peers = Some(PeerUsage { tally, open: BTreeMap::new() });
+        tally.inherit(drafts, first_window);
+        self.lock().usage = Some(ReportedUsage { tally, open: BTreeMap::new() });
     }
 
     /// Stops collecting reports from peers. Returns whether it was collecting.
     pub(crate) fn end_holding(&self) -> bool {
-        self.lock().peers.take().is_some()
+        self.lock().usage.take().is_some()
     }
 
     /// Returns the total of a window, and whether all instances have reported all of it.
     pub(crate) fn window_total(&self, window: WindowNumber) -> (WindowTotal, bool) {
         let now = self.clock.now();
         let state = self.lock();
-        let Some(peers) = &state.peers else { return (WindowTotal::default(), false) };
-        let total = peers.tally.total(window, self.window, now);
-        let reporting = peers
+        let Some(usage) = &state.usage else { return (WindowTotal::default(), false) };
+        let total = usage.tally.total(window, self.window, now);
+        let reporting = usage
             .open
             .values()
             .filter(|(at, _)| now < *at + OPEN_COUNT_LIFE)
             .count();
         let all_reported = reporting as u32 >= state.view.live;
-        (total, all_reported && peers.tally.is_complete(window, self.window, now))
+        (total, all_reported && usage.tally.is_complete(window, self.window, now))
     }
 
     /// Drops the counts of all windows up to and including `window`.
     pub(crate) fn close_window(&self, window: WindowNumber) {
         let now = self.clock.now();
-        if let Some(peers) = &mut self.lock().peers {
-            peers.tally.close(window, now);
+        if let Some(usage) = &mut self.lock().usage {
+            usage.tally.close(window, now);
         }
     }
 
@@ -201,9 +203,9 @@
     pub(crate) fn drafts(&self) -> BTreeMap<WindowNumber, UsageCounts> {
         let state = self.lock();
         state
-            .peers
+            .usage
             .as_ref()
-            .map(|peers| peers.tally.drafts())
+            .map(|usage| usage.tally.drafts())
             .unwrap_or_default()
     }
 
@@ -212,8 +214,8 @@
     pub(crate) fn open_requests(&self, service: FleetKey) -> Option<u32> {
         let now = self.clock.now();
         let state = self.lock();
-        let peers = state.peers.as_ref()?;
-        let recent = peers.open.values().filter(|(at, _)| now < *at + OPEN_COUNT_LIFE);
+        let usage = state.usage.as_ref()?;
+        let recent = usage.open.values().filter(|(at, _)| now < *at + OPEN_COUNT_LIFE);
         let mut any_recent = false;
         let mut sum = 0;
         for (_, open) in recent {
@@ -250,14 +252,14 @@
         let now = self.clock.now();
         let mut state = self.lock();
         let current = window_of(state.wall.now(), self.window);
-        let Some(peers) = &mut state.peers else { return false };
+        let Some(usage) = &mut state.usage else { return false };
         let name = fleet_key(&notice.from.name);
         if notice.leaving {
-            peers.open.remove(&name);
+            usage.open.remove(&name);
         } else {
-            peers.open.insert(name, (now, notice.open));
+            usage.open.insert(name, (now, notice.open));
         }
-        peers.tally.record_report(
+        usage.tally.record_report(
             UsageSource { name, epoch: notice.epoch },
             fleet_key(&notice.from.data_centre),
             Duration::from_millis(notice.told_until_ms),
@@ -265,7 +267,7 @@
             notice.windows,
             now,
         );
-        peers.tally.expire(current, now);
+        usage.tally.expire(current, now);
         true
     }
 }
--- a/crates/flaxtide-entry/src/duty/thread.rs
+++ b/crates/flaxtide-entry/src/duty/thread.rs
@@ -48,7 +48,7 @@
     duties: Arc<SharedDuties>,
     /// The link to the fleet thread, which announces the holder to peers.
     link: FleetLink,
-    /// Counts the calls and shows the held fence.
+    /// Counts the calls and exports the held fence.
     metrics: Arc<EntryMetrics>,
     /// The enabled duties and their timing.
     config: DutyConfig,
@@ -118,12 +118,13 @@
         }
     }
 
-    /// Does what is due now.
+    /// Keeps the lease and, while it is held, sends due reports and orders.
     fn run_once(&mut self) {
         if self.held_fence.is_none() && !self.duties.is_candidate() {
             return;
         }
         self.keep_lease();
+        // The platform checks fences.
         let fence = self.watch.fence(self.clock.now(), true);
         self.update_holding(fence);
         if fence.is_none() {
@@ -150,7 +151,8 @@
             self.retry_at = self.clock.now() + RETRY_PERIOD;
             return;
         }
-        // The decision is made for the moment of the read, not for a later one.
+        // The decision is based on the time before the read, so the lease counts from
+        // then.
         if let LeaseStep::Write { expected, row } = self.watch.step(now) {
             self.write_lease(expected, &row, now);
         }
@@ -178,12 +180,13 @@
         true
     }
 
-    /// Writes the row with a lease. `asked_at` is the time for which the write was decided.
+    /// Writes the row with a lease. `decided_at` is the time that the decision to write
+    /// is based on.
     fn write_lease(
         &mut self,
         expected: Option<u64>,
         lease: &LeaseRow,
-        asked_at: Duration,
+        decided_at: Duration,
     ) {
         let mut row = DutyRow {
             lease: lease.clone(),
@@ -199,13 +202,13 @@
         let version = match written {
             Ok(version) => version,
             Err(fault) => {
-                log::info!(cause = fault.to_string(); "duty row possibly not written");
+                log::info!(cause = fault.to_string(); "write of the duty row not confirmed");
                 self.retry_at = self.clock.now() + RETRY_PERIOD;
                 None
             }
         };
         self.count("lease", if version.is_some() { "written" } else { "failed" });
-        self.watch.record_write(lease, version, asked_at);
+        self.watch.record_write(lease, version, decided_at);
         if version.is_some() {
             self.reports.record_row(&row);
         }
--- a/crates/flaxtide-entry/src/duty/view.rs
+++ b/crates/flaxtide-entry/src/duty/view.rs
@@ -1,4 +1,4 @@
-//! Shows the rules and the servers to the thread of the duties.
+//! Copies what the duty thread needs of the rules and the servers.
 
 use std::collections::BTreeMap;
 
@@ -9,8 +9,7 @@
 use super::shared::{DutyView, ScaledService, SharedDuties};
 use crate::state::TrafficState;
 
-/// Updates the view for the holder of the duties, if this instance is a candidate or the
-/// holder.
+/// Updates the view for the duty thread, if this instance is a candidate or the holder.
 pub(crate) fn update_duty_view(state: &TrafficState, duties: &SharedDuties) {
     if !duties.needs_view() {
         return;
@@ -32,8 +31,8 @@
     });
 }
 
-/// Counts the serving servers of a service in each data centre. Leaving servers don't
-/// count.
+/// Counts the serving servers of a service in each data centre. Leaving and lapsed ones
+/// don't count, but their data centre is listed.
 fn count_servers(
     state: &TrafficState,
     service: &str,
--- a/crates/flaxtide-entry/src/feed.rs
+++ b/crates/flaxtide-entry/src/feed.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc::Receiver;
 
 use crate::contract::{FeedBatch, FeedRow, FeedTopic, PlatformFeed};
-use crate::fleet::{apply_peer_loads, apply_peer_reads, apply_peer_unresponsive};
+use crate::fleet::{apply_peer_loads, apply_peer_prefills, apply_peer_unresponsive};
 use crate::shared_rules::{RulesCopy, SharedRules};
 use crate::state::TrafficState;
 
@@ -38,7 +38,7 @@
     /// A peer has reported its requests at servers.
     PeerLoads(InstanceName, Vec<OwnLoad>),
     /// Peers have reported prompt parts that servers prefilled for them.
-    PeerReads(Vec<PartRead>),
+    Prefills(Vec<PartRead>),
     /// A peer has found servers unresponsive.
     PeerUnresponsive(Vec<FleetKey>),
     /// Peers have reported servers that crashed while running requests.
@@ -51,8 +51,8 @@
         live: u32,
         /// The newest version of the rules that peers have announced.
         newest_rules: SettingsVersion,
-        /// Whether a peer has sent the requests that are known to crash servers.
-        knows_crashes: bool,
+        /// Whether this instance has got the known crashes from a peer.
+        crashes_synced: bool,
         /// The live instances, or `None` until they are known.
         group: Option<Arc<InstanceGroup>>,
     },
@@ -85,6 +85,7 @@
             } => {
                 apply_servers(&state, &*feed, batch, is_snapshot, unseen);
             }
+            // An outage lasts until the platform answers again, so both events extend it.
             FeedEvent::Lost | FeedEvent::Regained => {
                 state.directory.borrow_mut().record_outage(now);
             }
@@ -97,15 +98,15 @@
             FeedEvent::PeerUnresponsive(servers) => {
                 apply_peer_unresponsive(&state, &servers);
             }
-            FeedEvent::PeerReads(reads) => apply_peer_reads(&state, &reads),
+            FeedEvent::Prefills(reads) => apply_peer_prefills(&state, &reads),
             FeedEvent::Crashes(reports) => {
                 state.quarantine.apply_reports(&state, &reports);
             }
             FeedEvent::Pushback(reports) => {
                 state.pushback.apply_reports(&state, &reports);
             }
-            FeedEvent::Fleet { live, newest_rules, knows_crashes, group } => {
-                state.quarantine.set_synced(knows_crashes);
+            FeedEvent::Fleet { live, newest_rules, crashes_synced, group } => {
+                state.quarantine.set_synced(crashes_synced);
                 state.newest_rules.set(newest_rules);
                 state.metrics.instances.set(i64::from(live));
                 state.with_router(|core, now| {
@@ -127,7 +128,7 @@
     shared: &SharedRules,
     copy: RulesCopy,
 ) {
-    // The announced version, named as its key in the log line.
+    // The version that the peer announced. The log line has it under this name.
     let told = copy.version;
     let version = apply_rules(state, feed, shared, copy.text, "peer");
     if version != Some(told) {
--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -38,8 +38,8 @@
 const TOKENS_PER_LOAD_UNIT: u32 = 16;
 
 /// The largest fleet in which all instances exchange full state, whatever their data
-/// centres. With more, heartbeats at their longest period would exceed the 17 KB/s for
-/// control traffic.
+/// centres. With more, heartbeats at their longest period would exceed the limit of 17
+/// KB/s on control traffic.
 const SINGLE_GROUP_LIMIT: u32 = 58;
 
 /// The sending end of the queue to the fleet thread.
@@ -200,12 +200,14 @@
                 forward(events, FeedEvent::PeerLoads(peer, loads));
             }
             FleetNotice::GroupLoads(data_centre, loads) => {
+                // The loads of another data centre count as those of one peer under its
+                // name.
                 forward(events, FeedEvent::PeerLoads(data_centre, loads));
             }
             FleetNotice::PeerUnresponsive(servers) => {
                 forward(events, FeedEvent::PeerUnresponsive(servers));
             }
-            FleetNotice::PeerReads(reads) => forward(events, FeedEvent::PeerReads(reads)),
+            FleetNotice::PeerReads(reads) => forward(events, FeedEvent::Prefills(reads)),
             FleetNotice::Crashes(reports) => {
                 forward_reliably(events.clone(), FeedEvent::Crashes(reports));
             }
@@ -286,19 +288,22 @@
         .iter()
         .filter_map(|prefill| to_part_read(state, prefill))
         .collect();
-    let silent = state.with_router(|core, now| core.silent_servers(now));
-    let silent: Vec<FleetKey> =
-        silent.iter().filter_map(|server| state.server_key(*server)).collect();
+    let unresponsive = state.with_router(|core, now| core.silent_servers(now));
+    let unresponsive: Vec<FleetKey> = unresponsive
+        .iter()
+        .filter_map(|server| state.server_key(*server))
+        .collect();
     let events = events.clone();
     let source = state.source.clone();
     let version = state.rules_version();
     source.record_rules(version, state.newest_rules.get());
     let duties = state.duties.clone();
-    let alone_below = state.config().read_alone_below;
+    let read_alone_below = state.config().read_alone_below;
     link.update(move |node, now| {
         // Repeated each time, as the queue may have been full when the rules changed.
         node.set_version(version);
-        // Each heartbeat reports the prefills since the previous one.
+        // Each heartbeat reports the prefills since the previous one, with a margin of
+        // two updates.
         let recent = node.period() + PUBLISH_PERIOD * 2;
         let reads = reads.iter().filter(|(age, _)| *age < recent).map(|(_, read)| *read);
         let reads = reads.collect();
@@ -306,12 +311,12 @@
             NodeStatus {
                 loads,
                 reads,
-                unresponsive: silent,
+                unresponsive,
                 ..NodeStatus::default()
             },
             now,
         );
-        let plan = node.list_plan(alone_below);
+        let plan = node.list_plan(read_alone_below);
         let (reader, standby) = (plan.reader, plan.standby);
         if source.set_plan(plan) {
             log::info!(reader:? = reader, standby; "server list reader changed");
@@ -322,13 +327,13 @@
         }
         let live = node.fleet_size(now);
         let newest_rules = node.newest_known_version(now);
-        let knows_crashes = node.has_synced_crashes();
+        let crashes_synced = node.has_synced_crashes();
         let group = node.instance_group(now);
         // A dropped event is repeated with the next update.
         let _ = events.try_send(FeedEvent::Fleet {
             live,
             newest_rules,
-            knows_crashes,
+            crashes_synced,
             group,
         });
     });
@@ -351,7 +356,7 @@
 }
 
 /// Applies peers' reports of prompt parts that servers have prefilled.
-pub(crate) fn apply_peer_reads(state: &TrafficState, reads: &[PartRead]) {
+pub(crate) fn apply_peer_prefills(state: &TrafficState, reads: &[PartRead]) {
     let known = reads.iter().filter_map(|read| {
         let server = state.server_with_key(read.server)?;
         Some((server, read.part))
--- a/crates/flaxtide-entry/src/follow.rs
+++ b/crates/flaxtide-entry/src/follow.rs
@@ -12,18 +12,20 @@
 pub(crate) const FOLLOW_WAIT: Duration = Duration::from_secs(25);
 
 /// How long a call waits for changes soon after a failed one. A store that has just
-/// recovered may not report all changes to calls that were already waiting.
+/// recovered may not report all changes to calls that wait for them, so the calls are
+/// repeated soon.
 const SHORT_WAIT: Duration = Duration::from_millis(1000);
 
-/// For how long after a failed call the short wait applies.
+/// For how long the short wait applies after a failed call, or after the readers have
+/// stopped answering.
 const SHORT_WAIT_SPAN: Duration = Duration::from_secs(10);
 
-/// The pause after the first failed call.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
+/// The pause after the first failed call. It doubles with each further one.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// The longest pause after a failed call. New rules must be in force within seconds of
 /// the platform's recovery.
-const MAX_PAUSE: Duration = Duration::from_millis(600);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(600);
 
 /// Without an answer from the platform or a peer for this long, the platform counts as
 /// down, and rows may lapse because servers can't renew them. Servers renew their rows
@@ -34,16 +36,18 @@
 /// of `leave_within`.
 const STANDBY_FRACTION: f64 = 0.05;
 
-/// The same for all other instances if no reader is reachable. It is short, because the
+/// The window of instances that aren't standbys if no reader is reachable, as a fraction
+/// of `leave_within`. It is much shorter than [`READERS_FAILING_WINDOW`], because the
 /// known rows must not become too old.
 const NO_READER_FRACTION: f64 = 0.1;
 
-/// The window of all other instances if readers are reachable but can't answer. The platform
-/// is failing then, so the calls to it are spread.
+/// The window of instances that aren't standbys if readers respond that they can't
+/// answer. The platform is failing then, so the calls to it are spread.
 const READERS_FAILING_WINDOW: Duration = Duration::from_secs(3);
 
 /// Returns the window within which an instance that has readers makes its first call to
-/// the platform after they stop answering. `leave_within` is the time within which a
+/// the platform after they stop answering. `readers_reachable` says whether they still
+/// respond, if only that they can't answer. `leave_within` is the time within which a
 /// leaving server must stop getting requests.
 ///
 /// ```
@@ -57,21 +61,22 @@
 #[must_use]
 pub fn first_call_window(
     standby: bool,
-    readers_answer: bool,
+    readers_reachable: bool,
     leave_within: Duration,
 ) -> Duration {
-    match (standby, readers_answer) {
+    match (standby, readers_reachable) {
         (true, _) => leave_within.mul_f64(STANDBY_FRACTION),
         (false, false) => leave_within.mul_f64(NO_READER_FRACTION),
         (false, true) => READERS_FAILING_WINDOW,
     }
 }
 
-/// The pause after the first failed call of such an instance. It doubles with each
-/// further one.
+/// The base of the delay after the first failed call of an instance whose readers don't
+/// answer, on top of the retry pause. It doubles with each further one.
 const FIRST_BACKOFF: Duration = Duration::from_secs(4);
 
-/// The longest such pause. A reader usually reports the platform's recovery earlier.
+/// The longest base of that delay. A reader usually reports the platform's recovery
+/// earlier.
 const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
 /// Decides when an instance that has readers calls the platform itself, while none of
@@ -149,7 +154,7 @@
 pub struct FollowState {
     /// All changes up to this version are known. `None` if everything must be read.
     after: Option<StoreVersion>,
-    /// The last pause, while calls fail.
+    /// The pause after the last call if it failed, or `None` if it succeeded.
     pause: Option<Duration>,
     /// The last pause after the store had dropped its history, until an answer with
     /// changes. Without a pause, everything would be read without end from a store that
@@ -207,8 +212,8 @@
         FollowAnswer { is_snapshot, regained: self.pause.take().is_some() }
     }
 
-    /// Records that all changes up to `until` are known. Returns for how long changes were
-    /// unknown before this.
+    /// Records that all changes up to `until` are known. Returns how long before `now`
+    /// the changes known so far ended.
     pub fn record_coverage(&mut self, until: Duration, now: Duration) -> Duration {
         let known = self
             .known_until
@@ -256,5 +261,7 @@
 
 /// Returns the pause after a failed call, given the previous pause.
 fn next_pause(last: Option<Duration>) -> Duration {
-    last.map_or(FIRST_PAUSE, |last| (last * 2).clamp(FIRST_PAUSE, MAX_PAUSE))
+    last.map_or(FIRST_RETRY_PAUSE, |last| {
+        (last * 2).clamp(FIRST_RETRY_PAUSE, MAX_RETRY_PAUSE)
+    })
 }
--- a/crates/flaxtide-entry/src/follower.rs
+++ b/crates/flaxtide-entry/src/follower.rs
@@ -51,12 +51,12 @@
     pub(crate) call_pause: Duration,
     /// Knows which peer to ask instead of the platform.
     pub(crate) source: Arc<ServerListSource>,
-    /// The log that answers peers and the link over which peers are asked. `None` for the
-    /// rules, which peers push.
-    pub(crate) list: Option<(Arc<ServerListLog>, FleetLink)>,
+    /// The log from which peers are answered, and the link over which they are asked.
+    /// `None` for the rules, which peers push.
+    pub(crate) log_and_link: Option<(Arc<ServerListLog>, FleetLink)>,
     /// The queue to the traffic thread.
     pub(crate) events: Sender<FeedEvent>,
-    /// Counts the calls and shows the state of the platform.
+    /// Counts the calls and exports whether the platform is reachable.
     pub(crate) metrics: Arc<EntryMetrics>,
 }
 
@@ -65,7 +65,7 @@
     /// the platform.
     fn poll_peers(&self, after: Option<StoreVersion>) -> Option<PeerUpdate> {
         let after = after?;
-        let Some((list, link)) = self.list.as_ref() else {
+        let Some((list, link)) = self.log_and_link.as_ref() else {
             // Peers push newer rules by themselves as long as their readers keep reading.
             let pushed =
                 self.source.reader_answered_lately() && !self.source.rules_overdue();
@@ -108,7 +108,7 @@
             Some(version) => self.feed.follow(self.topic, version, wait),
         };
         self.count(if read.is_ok() { "ok" } else { "failed" });
-        if let (Ok(batch), Some((list, _))) = (&read, &self.list) {
+        if let (Ok(batch), Some((list, _))) = (&read, &self.log_and_link) {
             list.record(batch, after);
         }
         read
@@ -116,7 +116,7 @@
 
     /// Returns how long a call waits for changes, and the pause after it.
     fn timing(&self) -> (Duration, Duration) {
-        let list = self.list.as_ref();
+        let list = self.log_and_link.as_ref();
         let timing = list.and_then(|(list, _)| {
             list.reader_timing(self.source.reader(), self.call_pause)
         });
@@ -170,7 +170,8 @@
         }
     }
 
-    /// Handles an answer. Returns whether the traffic thread still receives events.
+    /// Records an answer, and sends its rows and a recovery from an outage to the traffic
+    /// thread. Returns whether the traffic thread still receives events.
     fn handle_batch(
         &self,
         state: &mut FollowState,
@@ -183,7 +184,7 @@
         if regained {
             log_dependency(self.topic, true, None, &self.metrics);
         }
-        if regained && was_outage && !self.send_outage(FeedEvent::Regained) {
+        if regained && was_outage && !self.send_availability(FeedEvent::Regained) {
             return false;
         }
         let news = is_snapshot || !batch.rows.is_empty();
@@ -209,7 +210,7 @@
         if lost {
             log_dependency(self.topic, false, Some(fault), &self.metrics);
         }
-        let delivered = !state.is_outage(now) || self.send_outage(FeedEvent::Lost);
+        let delivered = !state.is_outage(now) || self.send_availability(FeedEvent::Lost);
         thread::sleep(pause);
         delivered
     }
@@ -217,7 +218,7 @@
     /// Tells the traffic thread that the platform is lost or regained, but only for the
     /// server list: answers on other topics don't show whether the list is current.
     /// Returns whether it still receives events.
-    fn send_outage(&self, event: FeedEvent) -> bool {
+    fn send_availability(&self, event: FeedEvent) -> bool {
         self.topic != FeedTopic::Servers || self.send_event(event)
     }
 
@@ -226,7 +227,7 @@
         self.events.blocking_send(event).is_ok()
     }
 
-    /// Counts a call by its result.
+    /// Counts an answer or a failed call by its result: `ok`, `failed`, or `peer`.
     fn count(&self, result: &str) {
         let topic = self.topic.to_string();
         self.metrics
@@ -264,9 +265,10 @@
                 Some(delay) => {
                     state.shorten_waits(clock.now());
                     thread::sleep(delay.min(PEER_RETRY_PERIOD));
-                    // During an outage, a row may lapse only because its server can't
-                    // renew it.
-                    !state.is_outage(clock.now()) || follower.send_outage(FeedEvent::Lost)
+                    // During an outage, rows may lapse merely because servers can't renew
+                    // them, so the traffic thread must know of it.
+                    !state.is_outage(clock.now())
+                        || follower.send_availability(FeedEvent::Lost)
                 }
                 None => follower.call_platform(&mut state, &mut backoff, &clock),
             },
@@ -287,7 +289,7 @@
     log::info!(topic, cause = fault.to_string(), pause_ms; "platform call failed");
 }
 
-/// Logs and shows whether the platform is reachable.
+/// Logs whether the platform is reachable, and exports it.
 fn log_dependency(
     topic: FeedTopic,
     up: bool,
--- a/crates/flaxtide-entry/src/instance.rs
+++ b/crates/flaxtide-entry/src/instance.rs
@@ -164,7 +164,7 @@
             !config.seeds.is_empty(),
         ));
         for topic in [FeedTopic::Rules, FeedTopic::Servers] {
-            let (call_pause, list) = match topic {
+            let (call_pause, log_and_link) = match topic {
                 FeedTopic::Rules => (Duration::ZERO, None),
                 FeedTopic::Servers => {
                     let call_pause = config.leave_within.mul_f64(FEED_PART);
@@ -178,7 +178,7 @@
                 topic,
                 call_pause,
                 source,
-                list,
+                log_and_link,
                 events,
                 metrics,
             })?;
--- a/crates/flaxtide-entry/src/reader.rs
+++ b/crates/flaxtide-entry/src/reader.rs
@@ -1,4 +1,5 @@
-//! The part of the platform's server list that this instance has read, kept for peers.
+//! A log of the changes to the platform's server list that this instance has read, from
+//! which it answers peers.
 //!
 //! In a small fleet, each instance reads the list from the platform for itself. In a
 //! large one, a few readers do so, and their peers ask them for the changes.
@@ -34,8 +35,8 @@
 /// The pause after a reader's call, as a fraction of `leave_within`.
 const READER_PAUSE_FRACTION: f64 = 0.15;
 
-/// How long a call of an instance that has readers, but gets no answer from them, waits
-/// for changes. It asks the readers again afterwards.
+/// How long a call to the platform waits for changes if the instance's readers don't
+/// answer. It is short, because the readers are asked again after it.
 const FALLBACK_WAIT: Duration = Duration::from_secs(2);
 
 /// The changes of the server list that this instance has read from the platform, for
@@ -72,7 +73,7 @@
     rows: Option<BTreeMap<String, String>>,
     /// Spans between two complete reads. Only the difference between their ends is known,
     /// so an instance whose version lies inside a span can't be answered.
-    gaps: Vec<(StoreVersion, StoreVersion)>,
+    diffed_spans: Vec<(StoreVersion, StoreVersion)>,
     /// The changes after `base`, oldest first.
     chunks: VecDeque<LogChunk>,
     /// When the platform last answered this instance.
@@ -119,15 +120,15 @@
             state.base = chunk.version;
         }
         let base = state.base;
-        state.gaps.retain(|(_, to)| *to > base);
+        state.diffed_spans.retain(|(_, to)| *to > base);
         drop(state);
         if !batch.rows.is_empty() {
             self.changed.notify_waiters();
         }
     }
 
-    /// Clears the log after rows came from a peer instead of the platform: what was read
-    /// before them can't be continued any more.
+    /// Clears the log after rows came from a peer instead of the platform: the log misses
+    /// the changes up to that answer, so later changes can't be appended to it.
     pub(crate) fn clear(&self) {
         *self.lock() = LogState::default();
     }
@@ -162,7 +163,7 @@
         let max_age = self.leave_within.mul_f64(MAX_AGE_FRACTION);
         let confirmed_at = state.confirmed_at?;
         let unknown = version < state.base || version > state.version;
-        if now > confirmed_at + max_age || unknown || state.is_in_gap(version) {
+        if now > confirmed_at + max_age || unknown || state.is_in_diffed_span(version) {
             return None;
         }
         Some(state.answer(version))
@@ -186,7 +187,7 @@
             Some(before) if batch.version > self.version => {
                 let rows = diff_rows(&before, &rows);
                 let changes = FeedBatch { rows, version: batch.version };
-                self.gaps.push((self.version, batch.version));
+                self.diffed_spans.push((self.version, batch.version));
                 self.chunks.extend(split_batch(&changes, self.version));
             }
             _ => self.start_at(batch.version),
@@ -214,14 +215,16 @@
     /// Drops all changes up to a version.
     fn start_at(&mut self, base: StoreVersion) {
         self.chunks.clear();
-        self.gaps.clear();
+        self.diffed_spans.clear();
         self.base = base;
     }
 
     /// Returns whether a version lies strictly inside a span of which only the difference
     /// is known.
-    fn is_in_gap(&self, version: StoreVersion) -> bool {
-        self.gaps.iter().any(|(from, to)| *from < version && version < *to)
+    fn is_in_diffed_span(&self, version: StoreVersion) -> bool {
+        self.diffed_spans
+            .iter()
+            .any(|(from, to)| *from < version && version < *to)
     }
 
     /// Returns the oldest changes after a version that fit into one answer. The answer's
@@ -261,7 +264,7 @@
         .collect()
 }
 
-/// Copies a row for a peer.
+/// Converts a logged row to the form for peers, without its version.
 fn copy_row(row: &FeedRow) -> RowCopy {
     RowCopy { name: row.name.clone(), text: row.text.clone() }
 }
--- a/crates/flaxtide-entry/src/relay.rs
+++ b/crates/flaxtide-entry/src/relay.rs
@@ -17,7 +17,8 @@
 use crate::reply::ResponseBody;
 
 /// A server that sends nothing for this long in the middle of a resumable stream is
-/// replaced by another. It lies below the two seconds for which callers wait at least.
+/// replaced by another. Callers wait for at least two seconds, so this leaves time for
+/// the other server.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// A stream of events from a server to a caller.
@@ -199,12 +200,12 @@
     Either::Right(StreamBody::new(pieces.boxed_local()))
 }
 
-/// Splits a stream of bytes after its last complete event.
+/// Separates complete events from the beginning of the next one.
 #[derive(Debug, Default)]
 struct EventSplitter {
     /// The beginning of an event that isn't complete yet.
     partial: BytesMut,
-    /// The id of the last complete event, if it had a number as its id.
+    /// The last numeric id among the complete events. It stays if newer events have none.
     last_event: Option<u64>,
 }
 
--- a/crates/flaxtide-entry/src/source.rs
+++ b/crates/flaxtide-entry/src/source.rs
@@ -1,6 +1,6 @@
 //! Chooses where an instance gets the server list: from the reader that its group has
 //! assigned to it, else from another reader or a standby that can answer, else from the
-//! platform itself.
+//! platform itself. Also tells whether peers can be expected to push newer rules.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -19,12 +19,13 @@
 /// How long a question to a reader waits for changes, as a fraction of `leave_within`.
 const QUESTION_WAIT_FRACTION: f64 = 0.15;
 
-/// How much longer than that the answer may take, as a fraction of `leave_within`.
+/// How long after the end of the question's wait the answer may arrive, as a fraction of
+/// `leave_within`.
 const ANSWER_MARGIN_FRACTION: f64 = 0.1;
 
 /// How long a peer that couldn't answer isn't asked again, as a fraction of
-/// `leave_within`. It doubles each time. A standby can answer as soon as it has called
-/// the platform.
+/// `leave_within`. It doubles each time. The first pause is short, because a standby can
+/// answer as soon as it has called the platform.
 const UNABLE_PAUSE_FRACTION: f64 = 0.1;
 
 /// How long an answer counts as a sign that readers reach the platform, as a fraction of
@@ -38,27 +39,27 @@
 
 /// How long a new instance that has just read everything waits to learn its reader before
 /// it waits for changes at the platform. Peers find each other within three rounds of
-/// heartbeats. It saves the platform two calls for each instance that starts.
+/// heartbeats. The wait saves the platform two calls for each instance that starts.
 const STARTUP_WAIT: Duration = Duration::from_secs(3);
 
 /// Chooses where this instance gets the server list.
 pub(crate) struct ServerListSource {
-    /// The clock for all times of this type.
+    /// The clock of `startup_until` and of all times in `state`.
     clock: MilliClock,
     /// The time within which a leaving server must stop getting requests.
     leave_within: Duration,
     /// When a new instance stops waiting for a reader.
     startup_until: Duration,
-    /// The peers to ask and their latest answers.
+    /// The mutable state behind the lock.
     state: Mutex<SourceState>,
 }
 
-/// The peers to ask and their latest answers.
+/// The assigned peers, their latest answers, and the lag of the rules.
 #[derive(Debug)]
 struct SourceState {
     /// The readers, as assigned in the group.
     plan: ListPlan,
-    /// Which peers couldn't answer, and until when they aren't asked.
+    /// Which peers couldn't answer, and until when they aren't asked again.
     backoff: PeerBackoff,
     /// When a peer last answered.
     last_answer: Option<Duration>,
@@ -141,7 +142,8 @@
     }
 
     /// Returns the time up to which a peer's answer includes all changes, if it was asked
-    /// at `asked`.
+    /// at `asked`. The peer's own last read may be older by [`MAX_AGE_FRACTION`] of
+    /// `leave_within`.
     pub(crate) fn covered_until(&self, asked: Duration) -> Duration {
         asked.saturating_sub(self.leave_within.mul_f64(MAX_AGE_FRACTION))
     }
@@ -151,8 +153,8 @@
     pub(crate) fn call_window(&self) -> Duration {
         let now = self.clock.now();
         let state = self.lock();
-        let readers_answer = state.backoff.suggest_outage(now);
-        first_call_window(state.plan.standby, readers_answer, self.leave_within)
+        let readers_reachable = state.backoff.suggest_outage(now);
+        first_call_window(state.plan.standby, readers_reachable, self.leave_within)
     }
 
     /// Asks peers for the changes after a version. The first one waits for changes; if it
--- a/crates/flaxtide-entry/tests/follow.rs
+++ b/crates/flaxtide-entry/tests/follow.rs
@@ -14,14 +14,14 @@
 /// Returns the pauses, in milliseconds, with a store that answers each complete read and
 /// fails each call for changes.
 fn pauses(state: &mut FollowState, fault: &FeedError, times: u64) -> Vec<u128> {
-    let one = |version| {
+    let fail_once = |version| {
         if state.after().is_none() {
             assert!(state.record_answer(version).is_snapshot);
         }
         let fault = state.record_fault(fault, Duration::ZERO);
         fault.pause.as_millis()
     };
-    (0..times).map(one).collect()
+    (0..times).map(fail_once).collect()
 }
 
 #[test]
@@ -45,6 +45,7 @@
     assert!(lost(state.record_fault(&REFUSED, Duration::ZERO)));
 }
 
+/// A store that has just recovered may not report all changes to calls that wait long.
 #[test]
 fn calls_wait_briefly_after_a_failed_call() {
     let seconds = Duration::from_secs;
@@ -57,6 +58,8 @@
     assert_eq!(state.max_wait(seconds(15)), seconds(25));
 }
 
+/// Readers that don't answer may be the first sign of an outage, and a store that
+/// restarts never answers the calls from before.
 #[test]
 fn calls_wait_briefly_after_readers_stop_answering() {
     let seconds = Duration::from_secs;
@@ -76,6 +79,8 @@
     assert_eq!(state.after(), None);
 }
 
+/// Without pauses, everything would be read without end from a store that keeps no
+/// history.
 #[test]
 fn repeated_rereads_have_growing_pauses() {
     let mut state = FollowState::default();
--- a/crates/flaxtide-entry/tests/lag.rs
+++ b/crates/flaxtide-entry/tests/lag.rs
@@ -9,6 +9,8 @@
     Duration::from_millis(millis)
 }
 
+/// Otherwise an instance would read the rules from the platform although peers push each
+/// version in time.
 #[test]
 fn frequent_rules_that_each_arrive_in_time_cause_no_lasting_lag() {
     let mut lag = RulesLag::default();
--- a/crates/flaxtide-entry/tests/reader.rs
+++ b/crates/flaxtide-entry/tests/reader.rs
@@ -103,6 +103,7 @@
     assert_eq!(names_if_known(&log, 6), None, "newer than the last read");
 }
 
+/// An answer from before the gap would lack the changes that another instance has read.
 #[test]
 fn versions_before_a_gap_are_not_answered() {
     let log = log();
@@ -115,12 +116,14 @@
 
 #[test]
 fn an_outdated_log_does_not_answer() {
+    // With no time for leaving servers, any answer of the platform is too old.
     let log = ServerListLog::new(Duration::ZERO);
     log.record(&batch(5, &["a"]), None);
     std::thread::sleep(Duration::from_millis(5));
     assert_eq!(names_if_known(&log, 5), None);
 }
 
+/// A long answer over a narrow link misses its deadline and is requested again and again.
 #[test]
 fn many_batches_are_answered_in_short_answers() {
     let log = log();
@@ -134,6 +137,8 @@
     assert_all_in_short_answers(&ask_until_current(&log, 5), "many batches");
 }
 
+/// The same holds for many rows that are read at once: they must be split by their
+/// versions.
 #[test]
 fn a_large_batch_is_answered_in_short_answers() {
     let log = log();
@@ -145,7 +150,7 @@
     let answers = ask_until_current(&log, 5);
     assert_all_in_short_answers(&answers, "one batch");
     assert_eq!(answers.last().unwrap().version, version);
-    // Versions of answers are those of their last rows, so a peer that continues at the
+    // The version of an answer is that of its last row, so a peer that continues at the
     // platform or at another reader misses nothing.
     for changes in &answers[..answers.len() - 1] {
         let last = changes.rows.last().unwrap();
@@ -154,6 +159,8 @@
     }
 }
 
+/// A peer continues after the version of an answer, possibly with another reader. If an
+/// answer ended at a version that isn't known to be complete, the peer would lose rows.
 #[test]
 fn a_batch_without_usable_row_versions_is_not_split() {
     /// A function from the number of a row to its version.
@@ -178,6 +185,7 @@
     }
 }
 
+/// A peer would lose rows if an answer ended in the middle of a version.
 #[test]
 fn rows_of_one_version_stay_together() {
     let log = log();
@@ -218,7 +226,8 @@
         .collect();
     assert_eq!(rows, [("c", None), ("b", Some("2")), ("d", Some("1"))]);
     assert_eq!(changes.version, 20);
-    // Which changes happened before and which after 15 isn't known.
+    // Which changes happened before and which after 15 isn't known, so a peer at 15 can't
+    // be answered.
     assert!(log.changes_after(15).is_none());
     log.record(&batch(22, &["e"]), Some(20));
     assert_eq!(names_after(&log, 10), ["c", "b", "d", "e"]);
@@ -234,7 +243,7 @@
     assert_eq!(names_after(&log, first), ["lost", "again"]);
     assert_eq!(changes.version, second);
     // Versions that the log hasn't seen can't be answered: later ones of the first era,
-    // and others of the second era than that of the read.
+    // and versions of the second era before and after that of the read.
     assert!(log.changes_after(store_version(1, 95)).is_none());
     assert!(log.changes_after(store_version(2, 30)).is_none());
     assert!(log.changes_after(store_version(2, 41)).is_none());
