--- a/crates/flaxtide-entry/src/follow.rs
+++ b/crates/flaxtide-entry/src/follow.rs
@@ -72,7 +72,7 @@
 }
 
 /// The base of the delay after the first failed call of an instance whose readers don't
-/// answer, on top of the retry pause. It doubles with each further one.
+/// answer. It doubles with each further one.
 const FIRST_BACKOFF: Duration = Duration::from_secs(4);
 
 /// The longest base of that delay. A reader usually reports the platform's recovery
