--- a/crates/flaxtide/src/call/keyed.rs
+++ b/crates/flaxtide/src/call/keyed.rs
@@ -13,9 +13,9 @@
 use super::CallDuty;
 use crate::claim::{ClaimEnd, claim};
 use crate::explain::StepKind;
-use crate::link::WholeAnswer;
+use crate::link::FullResponse;
 use crate::messages::SettleJob;
-use crate::settle::hand_over;
+use crate::settle::queue_settlement;
 
 /// The largest body that is recorded in a row of the table, in bytes. Larger ones, and
 /// those that aren't text, go to the object store.
@@ -83,7 +83,7 @@
                 if step == ClaimStep::Abandon {
                     let row = attempt.row(RowPhase::Released);
                     let settlement = ClaimSettlement::new(row, None);
-                    hand_over(shared, SettleJob { key, settlement, done: None });
+                    queue_settlement(shared, SettleJob { key, settlement, done: None });
                 }
                 self.end_unclaimed(call, step);
                 KeyedEnd::Over
@@ -173,7 +173,7 @@
     }
 
     /// Reads a recorded answer.
-    fn read_record(&self, outcome: &str) -> Option<WholeAnswer> {
+    fn read_record(&self, outcome: &str) -> Option<FullResponse> {
         let record: RecordedAnswer = serde_json::from_str(outcome).ok()?;
         let body = match (record.body, record.object) {
             (Some(body), _) => body.into_bytes(),
@@ -181,12 +181,12 @@
             (None, None) => vec![],
         };
         let content_type = record.content_type;
-        Some(WholeAnswer { status: record.status, content_type, body })
+        Some(FullResponse { status: record.status, content_type, body })
     }
 
     /// Records the outcome of a request that may not be repeated, so that a repeat of its
     /// key gets the same answer.
-    pub(super) fn record(&mut self, answer: &WholeAnswer) {
+    pub(super) fn record(&mut self, answer: &FullResponse) {
         let Some(held) = self.held.take() else { return };
         let Some(outcome) = self.write_record(&held, answer) else {
             log::warn!(
@@ -198,14 +198,14 @@
         let settlement = ClaimSettlement::new(row, Some(held.version));
         let (done, settled) = bounded(1);
         let done = Some(done);
-        hand_over(self.shared, SettleJob { key: held.key, settlement, done });
+        queue_settlement(self.shared, SettleJob { key: held.key, settlement, done });
         if settled.recv_timeout(RECORD_WAIT).is_err() {
             log::warn!("an answer goes out before its record is in the table");
         }
     }
 
     /// Puts an answer into the form in which it is recorded.
-    fn write_record(&self, held: &HeldClaim, answer: &WholeAnswer) -> Option<String> {
+    fn write_record(&self, held: &HeldClaim, answer: &FullResponse) -> Option<String> {
         let mut record = RecordedAnswer {
             status: answer.status,
             content_type: answer.content_type.clone(),
@@ -229,7 +229,10 @@
         let Some(held) = self.held.take() else { return };
         let row = ClaimRow { phase: RowPhase::Released, ..held.row };
         let settlement = ClaimSettlement::new(row, Some(held.version));
-        hand_over(self.shared, SettleJob { key: held.key, settlement, done: None });
+        queue_settlement(
+            self.shared,
+            SettleJob { key: held.key, settlement, done: None },
+        );
     }
 
     /// Returns the key of the request's claim.
--- a/crates/flaxtide/src/call/mod.rs
+++ b/crates/flaxtide/src/call/mod.rs
@@ -225,7 +225,7 @@
             request: self.id,
             address: view.servers.get(&dispatch.server)?.address,
             priority: dispatch.priority,
-            patience: dispatch.patience,
+            patience: dispatch.silence_timeout,
         };
         Some(match &self.request.payload {
             CallPayload::Completion(payload) => {
--- a/crates/flaxtide/src/call/outcome.rs
+++ b/crates/flaxtide/src/call/outcome.rs
@@ -7,7 +7,7 @@
 
 use super::CallDuty;
 use crate::explain::StepKind;
-use crate::link::WholeAnswer;
+use crate::link::FullResponse;
 use crate::request::CallPayload;
 
 impl CallDuty<'_> {
@@ -15,7 +15,7 @@
     pub(super) fn answered(
         &mut self,
         call: Call<Dispatched>,
-        answer: Option<&WholeAnswer>,
+        answer: Option<&FullResponse>,
     ) {
         let tokens = self.progress.tokens;
         let now = self.shared.now();
@@ -33,7 +33,7 @@
     }
 
     /// Records the answer of a call that may not be repeated; others keep none.
-    fn record_answer(&mut self, answer: Option<&WholeAnswer>) {
+    fn record_answer(&mut self, answer: Option<&FullResponse>) {
         if self.held.is_none() {
             return;
         }
--- a/crates/flaxtide/src/decide.rs
+++ b/crates/flaxtide/src/decide.rs
@@ -106,7 +106,7 @@
                 request,
                 choice,
                 priority,
-                silence_timeout: patience,
+                silence_timeout,
                 attempt,
             } => {
                 let step = self.describe(&choice, priority, attempt);
@@ -115,7 +115,7 @@
                     self.shared.metrics.retries.inc();
                 }
                 let server = choice.server;
-                let dispatch = CallDispatch { server, priority, patience };
+                let dispatch = CallDispatch { server, priority, silence_timeout };
                 self.order(request, CallOrder::Dispatch(dispatch));
             }
             PolicyAction::Refuse { request, reason, retry_after } => {
--- a/crates/flaxtide/src/exchange/completion.rs
+++ b/crates/flaxtide/src/exchange/completion.rs
@@ -9,7 +9,7 @@
 use super::event::{CompletionChunk, EventReader, ServerEvent};
 use super::{AttemptEnd, ServerAttempt, connect_fault, read_fault, refusal_of};
 use crate::explain::StepKind;
-use crate::link::{CallerLink, REQUEST_ID_HEADER, StreamLink, WholeAnswer};
+use crate::link::{CallerLink, FullResponse, REQUEST_ID_HEADER, StreamLink};
 use crate::request::CompletionPayload;
 
 /// The decision core hears of an answer's pace every so many tokens.
@@ -62,7 +62,7 @@
     }
 
     /// Gives the caller a whole answer, or its record as a stream.
-    pub(crate) fn answer(&mut self, answer: &WholeAnswer) -> std::io::Result<()> {
+    pub(crate) fn answer(&mut self, answer: &FullResponse) -> std::io::Result<()> {
         match self.link.take() {
             Some(link) => link.answer(answer),
             None => Ok(()),
@@ -110,9 +110,9 @@
         &self,
         request: RequestId,
         payload: &CompletionPayload,
-    ) -> WholeAnswer {
+    ) -> FullResponse {
         let body = self.whole(request, payload);
-        WholeAnswer {
+        FullResponse {
             status: 200,
             content_type: "application/json".into(),
             body: serde_json::to_vec(&body).unwrap_or_default(),
--- a/crates/flaxtide/src/exchange/mod.rs
+++ b/crates/flaxtide/src/exchange/mod.rs
@@ -14,7 +14,7 @@
 
 pub(crate) use self::completion::{AnswerProgress, exchange_completion};
 pub(crate) use self::plain::exchange_plain;
-use crate::link::WholeAnswer;
+use crate::link::FullResponse;
 use crate::shared::SharedState;
 
 /// How long a connection to a backend server may take to open.
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub(crate) enum AttemptEnd {
     /// The whole answer is there.
-    Whole(WholeAnswer),
+    Whole(FullResponse),
     /// The whole answer has been passed on as a stream.
     Streamed,
     /// The server failed.
--- a/crates/flaxtide/src/exchange/plain.rs
+++ b/crates/flaxtide/src/exchange/plain.rs
@@ -6,7 +6,7 @@
 use flaxtide_policy::ServerFault;
 
 use super::{AttemptEnd, ServerAttempt, connect_fault, read_fault, refusal_of};
-use crate::link::{REQUEST_ID_HEADER, WholeAnswer};
+use crate::link::{FullResponse, REQUEST_ID_HEADER};
 use crate::request::{KEY_HEADER, PlainPayload};
 
 /// Sends a call to a server and reads its whole answer.
@@ -45,7 +45,7 @@
         return AttemptEnd::Fault(ServerFault::Broken);
     }
     match response.bytes() {
-        Ok(body) => AttemptEnd::Whole(WholeAnswer { status, content_type, body }),
+        Ok(body) => AttemptEnd::Whole(FullResponse { status, content_type, body }),
         Err(cause) => AttemptEnd::Fault(body_fault(&cause)),
     }
 }
--- a/crates/flaxtide/src/messages.rs
+++ b/crates/flaxtide/src/messages.rs
@@ -45,7 +45,7 @@
     /// The priority for the engine.
     pub(crate) priority: TierRank,
     /// How long the server may be silent.
-    pub(crate) patience: Option<Duration>,
+    pub(crate) silence_timeout: Option<Duration>,
 }
 
 /// How things stand in the decision core.
--- a/crates/flaxtide/src/settle.rs
+++ b/crates/flaxtide/src/settle.rs
@@ -47,7 +47,7 @@
 }
 
 /// Hands a settlement to the settle thread.
-pub(crate) fn hand_over(shared: &SharedState, job: SettleJob) {
+pub(crate) fn queue_settlement(shared: &SharedState, job: SettleJob) {
     shared.unsettled.fetch_add(1, Ordering::SeqCst);
     if let Err(cause) = shared.settle_jobs.try_send(job) {
         shared.unsettled.fetch_sub(1, Ordering::SeqCst);
