--- a/crates/flaxtide-policy/src/pushback/group.rs
+++ b/crates/flaxtide-policy/src/pushback/group.rs
@@ -101,7 +101,8 @@
         if self.other_data_centres.contains(&data_centre) {
             return false;
         }
-        let weight = |candidate: DataCentreKey| {
+        let weight =
+            |candidate: DataCentreKey| {
             (rendezvous_weight(name_hash, candidate.into()), candidate)
         };
         let own = weight(self.own.data_centre);
--- a/crates/flaxtide/src/call/keyed.rs
+++ b/crates/flaxtide/src/call/keyed.rs
@@ -10,8 +10,8 @@
 };
 use serde::{Deserialize, Serialize};
 
-use super::CallDuty;
-use crate::claim::{ClaimEnd, claim};
+use super::CallHandler;
+use crate::claim::{ClaimOutcome, claim};
 use crate::explain::StepKind;
 use crate::link::FullResponse;
 use crate::messages::SettleJob;
@@ -19,14 +19,14 @@
 
 /// The largest body that is recorded in a row of the table, in bytes. Larger ones, and
 /// those that aren't text, go to the object store.
-const ROW_BODY_LIMIT: usize = 16 * 1024;
+const MAX_ROW_BODY_BYTES: usize = 16 * 1024;
 
 /// How long an answer waits for its record in the table. After that it goes out, and the
 /// record follows.
-const RECORD_WAIT: Duration = Duration::from_secs(1);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// When to ask again about a request that another attempt holds.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// A claim that this call holds.
 pub(super) struct HeldClaim {
@@ -39,11 +39,11 @@
 }
 
 /// How claiming ended.
-pub(super) enum KeyedEnd {
+pub(super) enum KeyedOutcome {
     /// This call alone may send the request.
     Held(Call<Claimed>),
     /// The call is over.
-    Over,
+    Ended,
 }
 
 /// An answer as it is recorded.
@@ -61,23 +61,23 @@
     object: Option<String>,
 }
 
-impl CallDuty<'_> {
+impl CallHandler<'_> {
     /// Claims the right to run the request, or ends the call.
-    pub(super) fn claim(&mut self, call: Call<Queued>) -> KeyedEnd {
+    pub(super) fn claim(&mut self, call: Call<Queued>) -> KeyedOutcome {
         let shared = self.shared;
         let key = self.claim_key();
         let mut attempt =
             ClaimAttempt::new(shared.next_attempt(), self.request.body_hash);
         let give_up = self.arrived + self.request.profile.give_up;
         match claim(shared, &key, &mut attempt, give_up) {
-            ClaimEnd::Held(version) => {
+            ClaimOutcome::Held(version) => {
                 let row = attempt.row(RowPhase::Held);
                 let call = call.claim(row.attempt);
                 self.held = Some(HeldClaim { key, row, version });
                 shared.log.add(self.id, shared.now(), StepKind::Claimed);
-                KeyedEnd::Held(call)
+                KeyedOutcome::Held(call)
             }
-            ClaimEnd::Closed(step) => {
+            ClaimOutcome::NotHeld(step) => {
                 // The slot at the server goes to the next request.
                 shared.tell(PolicyEvent::Abandon { request: self.id });
                 if step == ClaimStep::Abandon {
@@ -86,7 +86,7 @@
                     queue_settlement(shared, SettleJob { key, settlement, done: None });
                 }
                 self.end_unclaimed(call, step);
-                KeyedEnd::Over
+                KeyedOutcome::Ended
             }
         }
     }
@@ -95,7 +95,7 @@
     fn end_unclaimed(&mut self, call: Call<Queued>, step: ClaimStep) {
         match step {
             ClaimStep::Replay { outcome } => self.replay(call, &outcome),
-            ClaimStep::HeldByOther => self.defer(call),
+            ClaimStep::HeldByOther => self.refuse_in_progress(call),
             ClaimStep::Mismatch => {
                 let message = "the Idempotency-Key came with another body before";
                 let reason = FailureReason::KeyReused;
@@ -107,7 +107,7 @@
                                answer in time; whether an earlier one under the same key \
                                ran can't be known now";
                 let reason = FailureReason::ClaimUnavailable;
-                let failed = call.refuse_unverified(reason, message, Some(ASK_AGAIN));
+                let failed = call.refuse_unverified(reason, message, Some(RETRY_AFTER));
                 self.end_refused(&failed.body);
             }
         }
@@ -132,7 +132,7 @@
                     let failed = call.refuse(reason, message, retry_after);
                     self.end_refused(&failed.body);
                 }
-                RowPhase::Held => self.defer(call),
+                RowPhase::Held => self.refuse_in_progress(call),
                 RowPhase::Done { outcome } if row.body_hash == self.request.body_hash => {
                     self.replay(call, &outcome);
                 }
@@ -146,21 +146,21 @@
     }
 
     /// Tells the caller that another attempt may have run the request.
-    fn defer(&mut self, call: Call<Queued>) {
+    fn refuse_in_progress(&mut self, call: Call<Queued>) {
         let message = "an attempt under the same Idempotency-Key is running or has run, \
                        and its outcome isn't recorded yet";
         let reason = FailureReason::InProgress;
-        let failed = call.refuse_unverified(reason, message, Some(ASK_AGAIN));
+        let failed = call.refuse_unverified(reason, message, Some(RETRY_AFTER));
         self.end_refused(&failed.body);
     }
 
     /// Gives the recorded answer again.
     fn replay(&mut self, call: Call<Queued>, outcome: &str) {
-        let Some(answer) = self.read_record(outcome) else {
+        let Some(response) = self.read_outcome(outcome) else {
             let message =
                 "the request has run, but its recorded answer can't be read now";
             let reason = FailureReason::InProgress;
-            let failed = call.refuse_unverified(reason, message, Some(ASK_AGAIN));
+            let failed = call.refuse_unverified(reason, message, Some(RETRY_AFTER));
             self.end_refused(&failed.body);
             return;
         };
@@ -169,11 +169,11 @@
         let labels = [self.request.profile.name.as_str(), "replayed"];
         shared.metrics.requests.with_label_values(&labels).inc();
         // A caller that has gone can ask again.
-        let _ = self.progress.answer(&answer);
+        let _ = self.progress.send_response(&response);
     }
 
     /// Reads a recorded answer.
-    fn read_record(&self, outcome: &str) -> Option<FullResponse> {
+    fn read_outcome(&self, outcome: &str) -> Option<FullResponse> {
         let record: RecordedAnswer = serde_json::from_str(outcome).ok()?;
         let body = match (record.body, record.object) {
             (Some(body), _) => body.into_bytes(),
@@ -186,9 +186,9 @@
 
     /// Records the outcome of a request that may not be repeated, so that a repeat of its
     /// key gets the same answer.
-    pub(super) fn record(&mut self, answer: &FullResponse) {
+    pub(super) fn record_outcome(&mut self, response: &FullResponse) {
         let Some(held) = self.held.take() else { return };
-        let Some(outcome) = self.write_record(&held, answer) else {
+        let Some(outcome) = self.encode_outcome(&held, response) else {
             log::warn!(
                 "an outcome can't be recorded, as the object store doesn't answer"
             );
@@ -199,25 +199,29 @@
         let (done, settled) = bounded(1);
         let done = Some(done);
         queue_settlement(self.shared, SettleJob { key: held.key, settlement, done });
-        if settled.recv_timeout(RECORD_WAIT).is_err() {
+        if settled.recv_timeout(RECORD_TIMEOUT).is_err() {
             log::warn!("an answer goes out before its record is in the table");
         }
     }
 
     /// Puts an answer into the form in which it is recorded.
-    fn write_record(&self, held: &HeldClaim, answer: &FullResponse) -> Option<String> {
+    fn encode_outcome(
+        &self,
+        held: &HeldClaim,
+        response: &FullResponse,
+    ) -> Option<String> {
         let mut record = RecordedAnswer {
-            status: answer.status,
-            content_type: answer.content_type.clone(),
+            status: response.status,
+            content_type: response.content_type.clone(),
             body: None,
             object: None,
         };
-        let text = std::str::from_utf8(&answer.body).ok();
-        match text.filter(|text| text.len() <= ROW_BODY_LIMIT) {
+        let text = std::str::from_utf8(&response.body).ok();
+        match text.filter(|text| text.len() <= MAX_ROW_BODY_BYTES) {
             Some(text) => record.body = Some(text.to_owned()),
             None => {
                 let key = format!("outcomes/{:016x}", held.row.attempt);
-                self.shared.platform.put(&key, &answer.body).ok()?;
+                self.shared.platform.put(&key, &response.body).ok()?;
                 record.object = Some(key);
             }
         }
@@ -225,7 +229,7 @@
     }
 
     /// Releases the claim of a request that hasn't been sent and won't be.
-    pub(super) fn release(&mut self) {
+    pub(super) fn release_claim(&mut self) {
         let Some(held) = self.held.take() else { return };
         let row = ClaimRow { phase: RowPhase::Released, ..held.row };
         let settlement = ClaimSettlement::new(row, Some(held.version));
--- a/crates/flaxtide/src/call/mod.rs
+++ b/crates/flaxtide/src/call/mod.rs
@@ -14,9 +14,9 @@
 use flaxtide_policy::{CallArrival, PolicyEvent, ServerFault};
 use tiny_http::Request;
 
-use self::keyed::{HeldClaim, KeyedEnd};
+use self::keyed::{HeldClaim, KeyedOutcome};
 use crate::exchange::{
-    AnswerProgress, AttemptEnd, ServerAttempt, exchange_completion, exchange_plain,
+    AttemptOutcome, ResponseProgress, ServerAttempt, exchange_completion, exchange_plain,
 };
 use crate::explain::{DecisionRecord, StepKind};
 use crate::link::{CallerLink, refusal};
@@ -25,15 +25,15 @@
 use crate::shared::SharedState;
 
 /// The most orders that a call may not have taken yet.
-const ORDER_RING: usize = 4;
+const ORDER_CAPACITY: usize = 4;
 
 /// Leads a request from its arrival to its end.
 pub(crate) fn serve_call(shared: &Arc<SharedState>, mut request: Request) {
     let id = shared.next_request();
     shared.metrics.received.inc();
-    let closing = shared.leaving();
+    let close_connection = shared.leaving();
     let keyed = is_keyed(&request);
-    if let Some(reason) = closed_reason(shared) {
+    if let Some(reason) = rejection_reason(shared) {
         let message = match reason {
             FailureReason::Stopping => "this instance is stopping",
             _ => "this instance has no settings yet",
@@ -43,10 +43,10 @@
         return;
     }
     let view = shared.view();
-    let read = CallRequest::read(&mut request, &view);
-    let link = CallerLink::new(request, id, closing);
-    match read {
-        Ok(read) => CallDuty::new(shared, id, read, link).lead(),
+    let parsed = CallRequest::read(&mut request, &view);
+    let link = CallerLink::new(request, id, close_connection);
+    match parsed {
+        Ok(request) => CallHandler::new(shared, id, request, link).run(),
         Err(fault) => {
             let body = refusal(id, fault.reason, &fault.message, keyed);
             refuse_early(shared, link, &body);
@@ -55,7 +55,7 @@
 }
 
 /// Returns why no request is taken now, if none is.
-fn closed_reason(shared: &SharedState) -> Option<FailureReason> {
+fn rejection_reason(shared: &SharedState) -> Option<FailureReason> {
     if shared.closed() {
         return Some(FailureReason::Stopping);
     }
@@ -75,7 +75,7 @@
 }
 
 /// The duty of leading one call.
-struct CallDuty<'a> {
+struct CallHandler<'a> {
     /// What all threads share.
     shared: &'a Arc<SharedState>,
     /// The request's id.
@@ -83,7 +83,7 @@
     /// What the caller asks for.
     request: CallRequest,
     /// What has come of the answer.
-    progress: AnswerProgress,
+    progress: ResponseProgress,
     /// When the request came.
     arrived: Duration,
     /// The claim that this call holds, where the request may not be repeated.
@@ -100,7 +100,7 @@
     Dispatched(Call<Dispatched>),
 }
 
-impl<'a> CallDuty<'a> {
+impl<'a> CallHandler<'a> {
     /// Makes the duty of a request that has been read.
     fn new(
         shared: &'a Arc<SharedState>,
@@ -112,19 +112,19 @@
             CallPayload::Completion(payload) => payload.stream,
             CallPayload::Plain(_) => false,
         };
-        let progress = AnswerProgress::new(link, stream, request.key.is_some());
+        let progress = ResponseProgress::new(link, stream, request.key.is_some());
         let arrived = shared.now();
         Self { shared, id, request, progress, arrived, held: None }
     }
 
     /// Leads the call to its end.
-    fn lead(mut self) {
+    fn run(mut self) {
         self.open_record();
-        let orders = self.arrive();
+        let orders = self.submit();
         let mut call = Some(OpenCall::Queued(Call::receive(self.id).queue()));
         while let Some(open) = call.take() {
             let Ok(order) = orders.recv() else {
-                self.lose(open);
+                self.abort(open);
                 return;
             };
             call = match order {
@@ -156,8 +156,8 @@
         self.shared.log.open(self.id, record);
     }
 
-    /// Tells the decision core of the request and returns the ring of its orders.
-    fn arrive(&self) -> Receiver<CallOrder> {
+    /// Tells the decision core of the request and returns the receiver of its orders.
+    fn submit(&self) -> Receiver<CallOrder> {
         let request = &self.request;
         let (prompt_tokens, prefix) = match &request.payload {
             CallPayload::Completion(payload) => (payload.prompt_tokens, payload.prefix),
@@ -176,11 +176,11 @@
             first_token: Some(request.profile.first_token),
             repeatable: request.repeatable,
         };
-        let (orders, ring) = bounded(ORDER_RING);
-        // The decision thread outlives all calls; without it the ring is closed, which
+        let (orders, receiver) = bounded(ORDER_CAPACITY);
+        // The decision thread outlives all calls; without it the receiver is closed, which
         // ends the call.
         let _ = self.shared.decisions.send(DecisionMessage::Arrive(arrival, orders));
-        ring
+        receiver
     }
 
     /// Sends the request to a server. Returns the call if it is still open.
@@ -188,44 +188,44 @@
         let call = match open {
             OpenCall::Queued(call) if self.request.key.is_some() => {
                 match self.claim(call) {
-                    KeyedEnd::Held(call) => call.dispatch(),
-                    KeyedEnd::Over => return None,
+                    KeyedOutcome::Held(call) => call.dispatch(),
+                    KeyedOutcome::Ended => return None,
                 }
             }
             OpenCall::Queued(call) => call.dispatch(),
             OpenCall::Claimed(call) => call.dispatch(),
             OpenCall::Dispatched(call) => call,
         };
-        let Some(end) = self.exchange(dispatch) else {
+        let Some(outcome) = self.run_attempt(dispatch) else {
             // The settings no longer hold the server.
-            return self.server_failed(call, ServerFault::NotRun);
+            return self.handle_fault(call, ServerFault::NotRun);
         };
-        match end {
-            AttemptEnd::Whole(answer) => {
-                self.answered(call, Some(&answer));
+        match outcome {
+            AttemptOutcome::Complete(response) => {
+                self.end_answered(call, Some(&response));
                 None
             }
-            AttemptEnd::Streamed => {
-                self.answered(call, None);
+            AttemptOutcome::Streamed => {
+                self.end_answered(call, None);
                 None
             }
-            AttemptEnd::Fault(fault) => self.server_failed(call, fault),
-            AttemptEnd::CallerGone => {
-                self.caller_gone(call);
+            AttemptOutcome::Fault(fault) => self.handle_fault(call, fault),
+            AttemptOutcome::CallerGone => {
+                self.end_caller_gone(call);
                 None
             }
         }
     }
 
     /// Makes one attempt at a server.
-    fn exchange(&mut self, dispatch: &CallDispatch) -> Option<AttemptEnd> {
+    fn run_attempt(&mut self, dispatch: &CallDispatch) -> Option<AttemptOutcome> {
         let view = self.shared.view();
         let attempt = ServerAttempt {
             shared: self.shared,
-            request: self.id,
+            request_id: self.id,
             address: view.servers.get(&dispatch.server)?.address,
             priority: dispatch.priority,
-            patience: dispatch.silence_timeout,
+            silence_timeout: dispatch.silence_timeout,
         };
         Some(match &self.request.payload {
             CallPayload::Completion(payload) => {
@@ -239,7 +239,7 @@
 
     /// Takes in that a server failed the request, and leaves it to the decision core what
     /// follows.
-    fn server_failed(
+    fn handle_fault(
         &mut self,
         call: Call<Dispatched>,
         fault: ServerFault,
@@ -251,8 +251,8 @@
         self.shared.log.add(self.id, self.shared.now(), step);
         let request = self.id;
         self.shared.tell(PolicyEvent::Fail { request, fault, passed_on });
-        let unsent = matches!(fault, ServerFault::NotRun | ServerFault::Leaving);
-        if !unsent || self.progress.tokens > 0 {
+        let not_run = matches!(fault, ServerFault::NotRun | ServerFault::Leaving);
+        if !not_run || self.progress.tokens > 0 {
             return Some(OpenCall::Dispatched(call));
         }
         let call = call.take_back();
@@ -276,7 +276,7 @@
             }
             OpenCall::Claimed(call) => {
                 let failed = call.refuse(reason, &message, retry_after);
-                self.release();
+                self.release_claim();
                 self.end_refused(&failed.body);
             }
             // An earlier attempt may have run: the core's word would be untrue.
@@ -303,14 +303,14 @@
             }
             OpenCall::Claimed(call) => {
                 let failed = call.refuse(reason, message, Some(retry_after));
-                self.release();
+                self.release_claim();
                 self.end_refused(&failed.body);
             }
         }
     }
 
     /// Ends a call whose orders have stopped, as the decision thread has ended.
-    fn lose(&mut self, open: OpenCall) {
+    fn abort(&mut self, open: OpenCall) {
         log::error!(request_id = format_request_id(self.id); "the decision thread is gone");
         self.refuse(open, FailureReason::Stopping, Duration::from_secs(1));
     }
--- a/crates/flaxtide/src/call/outcome.rs
+++ b/crates/flaxtide/src/call/outcome.rs
@@ -5,43 +5,44 @@
 };
 use flaxtide_policy::PolicyEvent;
 
-use super::CallDuty;
+use super::CallHandler;
 use crate::explain::StepKind;
 use crate::link::FullResponse;
 use crate::request::CallPayload;
 
-impl CallDuty<'_> {
+impl CallHandler<'_> {
     /// Ends a call whose answer is whole. A stream has been passed on already.
-    pub(super) fn answered(
+    pub(super) fn end_answered(
         &mut self,
         call: Call<Dispatched>,
-        answer: Option<&FullResponse>,
+        response: Option<&FullResponse>,
     ) {
         let tokens = self.progress.tokens;
         let now = self.shared.now();
         self.progress.first_token.get_or_insert(now);
         self.shared.tell(PolicyEvent::Finish { request: self.id, tokens });
-        self.record_answer(answer);
-        if answer.is_some_and(|answer| self.progress.answer(answer).is_err()) {
-            self.caller_gone(call);
+        self.record_response(response);
+        if response.is_some_and(|response| self.progress.send_response(response).is_err())
+        {
+            self.end_caller_gone(call);
             return;
         }
         let _ = call.answer();
         let met_target = self.met_target();
-        self.count_answer(met_target);
-        self.end(CallEnd::Answered, StepKind::Answered { tokens, met_target });
+        self.count_response(met_target);
+        self.record_end(CallEnd::Answered, StepKind::Answered { tokens, met_target });
     }
 
     /// Records the answer of a call that may not be repeated; others keep none.
-    fn record_answer(&mut self, answer: Option<&FullResponse>) {
+    fn record_response(&mut self, response: Option<&FullResponse>) {
         if self.held.is_none() {
             return;
         }
-        match (answer, &self.request.payload) {
-            (Some(answer), _) => self.record(answer),
+        match (response, &self.request.payload) {
+            (Some(response), _) => self.record_outcome(response),
             (None, CallPayload::Completion(payload)) => {
-                let answer = self.progress.whole_answer(self.id, payload);
-                self.record(&answer);
+                let response = self.progress.full_response(self.id, payload);
+                self.record_outcome(&response);
             }
             // A plain service's answer is never streamed.
             (None, CallPayload::Plain(_)) => {}
@@ -57,7 +58,7 @@
         // A caller that has gone needs no answer.
         let _ = self.progress.fail(body);
         let (reason, retry_after_ms) = (body.reason, body.retry_after_ms);
-        self.end(CallEnd::Refused, StepKind::Refused { reason, retry_after_ms });
+        self.record_end(CallEnd::Refused, StepKind::Refused { reason, retry_after_ms });
     }
 
     /// Ends a call that may have run, without a whole answer.
@@ -68,18 +69,18 @@
         metrics.attainment.with_label_values(&labels).inc();
         // A caller that has gone needs no answer.
         let _ = self.progress.fail(body);
-        self.end(CallEnd::Failed, StepKind::Failed { reason: body.reason });
+        self.record_end(CallEnd::Failed, StepKind::Failed { reason: body.reason });
     }
 
     /// Ends a call whose caller has gone. Its stream at the engine is cancelled, as the
     /// connection closes.
-    pub(super) fn caller_gone(&mut self, call: Call<Dispatched>) {
+    pub(super) fn end_caller_gone(&mut self, call: Call<Dispatched>) {
         let reason = FailureReason::CallerGone;
         let _ = call.fail(reason, "the caller has gone", None);
         self.shared.tell(PolicyEvent::CallerGone { request: self.id });
         let tokens = u64::from(self.progress.tokens);
         self.shared.metrics.wasted_tokens.inc_by(tokens);
-        self.end(CallEnd::Failed, StepKind::CallerGone);
+        self.record_end(CallEnd::Failed, StepKind::CallerGone);
     }
 
     /// Tells whether the answer met its latency target.
@@ -90,12 +91,12 @@
             return false;
         }
         let Some(last) = self.progress.last_token else { return true };
-        let further = self.progress.tokens.saturating_sub(1);
-        last.saturating_sub(first) <= profile.between_tokens * further
+        let later_tokens = self.progress.tokens.saturating_sub(1);
+        last.saturating_sub(first) <= profile.between_tokens * later_tokens
     }
 
     /// Counts an answer.
-    fn count_answer(&self, met_target: bool) {
+    fn count_response(&self, met_target: bool) {
         let metrics = &self.shared.metrics;
         let class = self.request.profile.name.as_str();
         let met = if met_target { "yes" } else { "no" };
@@ -110,7 +111,7 @@
     }
 
     /// Counts and records the end of the call.
-    fn end(&self, end: CallEnd, step: StepKind) {
+    fn record_end(&self, end: CallEnd, step: StepKind) {
         let name = match end {
             CallEnd::Answered => "answered",
             CallEnd::Refused => "refused",
--- a/crates/flaxtide/src/claim.rs
+++ b/crates/flaxtide/src/claim.rs
@@ -10,40 +10,40 @@
 use crate::shared::SharedState;
 
 /// The most claims in one group commit.
-const GROUP_LIMIT: usize = 64;
+const MAX_GROUP_SIZE: usize = 64;
 
 /// What the table takes from all instances together, in writes a second; the platform
 /// names several hundred, and settings and leases need some too.
-const FLEET_WRITES: f64 = 300.0;
+const FLEET_WRITES_PER_SECOND: f64 = 300.0;
 
 /// How many writes may be made at once after a pause.
 const WRITE_BURST: f64 = 8.0;
 
 /// How often the thread looks whether it is to end.
-const STOP_PERIOD: Duration = Duration::from_millis(200);
+const STOP_CHECK_PERIOD: Duration = Duration::from_millis(200);
 
 /// How a claim ended.
 #[derive(Debug)]
-pub(crate) enum ClaimEnd {
+pub(crate) enum ClaimOutcome {
     /// This attempt alone may send the request; the row has this version.
     Held(u64),
     /// It may not be sent by this attempt.
-    Closed(ClaimStep),
+    NotHeld(ClaimStep),
 }
 
 /// Runs the claim thread until the instance stops.
 pub(crate) fn write_claims(shared: &Arc<SharedState>, jobs: &Receiver<ClaimJob>) {
     let mut budget = WriteBudget::new(shared.now());
     while !shared.stopped() {
-        let first = match jobs.recv_timeout(STOP_PERIOD) {
+        let first = match jobs.recv_timeout(STOP_CHECK_PERIOD) {
             Ok(first) => first,
             Err(RecvTimeoutError::Timeout) => continue,
             Err(RecvTimeoutError::Disconnected) => return,
         };
         // While the budget lets nothing through, more claims join the group.
-        std::thread::sleep(budget.take(fleet_size(shared), shared.now()));
+        std::thread::sleep(budget.take(instance_count(shared), shared.now()));
         let mut group = vec![first];
-        group.extend(jobs.try_iter().take(GROUP_LIMIT - 1));
+        group.extend(jobs.try_iter().take(MAX_GROUP_SIZE - 1));
         write_group(shared, &group);
     }
 }
@@ -72,7 +72,7 @@
 }
 
 /// Returns how many instances share the table, as far as this one knows.
-fn fleet_size(shared: &SharedState) -> f64 {
+fn instance_count(shared: &SharedState) -> f64 {
     (shared.metrics.live_peers.get() + 1).max(1) as f64
 }
 
@@ -83,7 +83,7 @@
     key: &str,
     attempt: &mut ClaimAttempt,
     give_up: Duration,
-) -> ClaimEnd {
+) -> ClaimOutcome {
     loop {
         match attempt.step() {
             ClaimStep::Write { expected } => {
@@ -92,11 +92,11 @@
             }
             ClaimStep::ReadBack => attempt.reply(shared.claims.read(key)),
             ClaimStep::Send if shared.now() < give_up => {
-                return ClaimEnd::Held(attempt.held_version().unwrap_or_default());
+                return ClaimOutcome::Held(attempt.held_version().unwrap_or_default());
             }
             // A freeze or a slow table has used up the time.
             ClaimStep::Send => attempt.abandon(),
-            step => return ClaimEnd::Closed(step),
+            step => return ClaimOutcome::NotHeld(step),
         }
         if shared.now() >= give_up {
             attempt.abandon();
@@ -117,30 +117,30 @@
         return TableReply::NotDone;
     }
     // Once the job is in the ring, it may be written at any time.
-    let patience = 2 * shared.config.platform_timeout;
-    replies.recv_timeout(patience).unwrap_or(TableReply::NoAnswer)
+    let timeout = 2 * shared.config.platform_timeout;
+    replies.recv_timeout(timeout).unwrap_or(TableReply::NoAnswer)
 }
 
 /// The writes that this instance may make: its part of what the table takes.
 struct WriteBudget {
     /// How many writes may be made now; below zero when one has been taken in advance.
-    saved: f64,
-    /// When `saved` was worked out.
-    at: Duration,
+    available: f64,
+    /// When `available` was worked out.
+    updated_at: Duration,
 }
 
 impl WriteBudget {
     /// Starts with a full budget.
     fn new(now: Duration) -> Self {
-        Self { saved: WRITE_BURST, at: now }
+        Self { available: WRITE_BURST, updated_at: now }
     }
 
     /// Takes a write out of the budget and returns how long to wait before making it.
-    fn take(&mut self, fleet: f64, now: Duration) -> Duration {
-        let rate = FLEET_WRITES / fleet;
-        let elapsed = now.saturating_sub(self.at).as_secs_f64();
-        self.saved = (self.saved + elapsed * rate).min(WRITE_BURST) - 1.0;
-        self.at = now;
-        Duration::from_secs_f64((-self.saved / rate).clamp(0.0, 2.0))
+    fn take(&mut self, instances: f64, now: Duration) -> Duration {
+        let rate = FLEET_WRITES_PER_SECOND / instances;
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.available = (self.available + elapsed * rate).min(WRITE_BURST) - 1.0;
+        self.updated_at = now;
+        Duration::from_secs_f64((-self.available / rate).clamp(0.0, 2.0))
     }
 }
--- a/crates/flaxtide/src/decide.rs
+++ b/crates/flaxtide/src/decide.rs
@@ -21,22 +21,22 @@
 /// Runs the decision thread until every sender is gone or the instance stops.
 pub(crate) fn decide(shared: &Arc<SharedState>, messages: &Receiver<DecisionMessage>) {
     let seed = shared.config.seed.unwrap_or_else(|| rand::rng().random());
-    let mut duty = DecisionDuty {
+    let mut thread = DecisionThread {
         shared: shared.clone(),
         core: DecisionCore::new(PolicyOptions::default(), seed),
         orders: HashMap::new(),
     };
     while !shared.stopped() {
-        match messages.recv_timeout(duty.wait()) {
-            Ok(message) => duty.take(message),
-            Err(RecvTimeoutError::Timeout) => duty.happen(PolicyEvent::Tick),
+        match messages.recv_timeout(thread.wait_time()) {
+            Ok(message) => thread.handle_message(message),
+            Err(RecvTimeoutError::Timeout) => thread.handle_event(PolicyEvent::Tick),
             Err(RecvTimeoutError::Disconnected) => return,
         }
     }
 }
 
 /// The state of the decision thread.
-struct DecisionDuty {
+struct DecisionThread {
     /// What all threads share.
     shared: Arc<SharedState>,
     /// The decision core.
@@ -45,30 +45,30 @@
     orders: HashMap<RequestId, Sender<CallOrder>>,
 }
 
-impl DecisionDuty {
+impl DecisionThread {
     /// Returns how long to wait for a message.
-    fn wait(&self) -> Duration {
+    fn wait_time(&self) -> Duration {
         let Some(expiry) = self.core.next_expiry() else { return TICK_PERIOD };
         expiry.saturating_sub(self.shared.now()).min(TICK_PERIOD)
     }
 
     /// Takes in a message.
-    fn take(&mut self, message: DecisionMessage) {
+    fn handle_message(&mut self, message: DecisionMessage) {
         match message {
             DecisionMessage::Arrive(arrival, orders) => {
                 self.orders.insert(arrival.request, orders);
-                self.happen(PolicyEvent::Arrive(arrival));
+                self.handle_event(PolicyEvent::Arrive(arrival));
             }
             DecisionMessage::Event(event) => {
                 let ended = ended_request(&event);
-                self.happen(event);
+                self.handle_event(event);
                 if let Some(request) = ended {
                     self.orders.remove(&request);
                 }
             }
             DecisionMessage::Events(events) => {
                 for event in events {
-                    self.happen(event);
+                    self.handle_event(event);
                 }
             }
             DecisionMessage::Summarise { take_usage, reply } => {
@@ -79,7 +79,7 @@
                 };
                 let (pools, slots) = (self.core.summary(), self.core.slots(now));
                 let summary = DecisionSummary { pools, slots, usage };
-                self.show_queue(&summary);
+                self.update_queue_metrics(&summary);
                 // Whoever asked may have stopped waiting.
                 let _ = reply.send(summary);
             }
@@ -87,15 +87,15 @@
     }
 
     /// Tells the core what happened and does what it decides.
-    fn happen(&mut self, event: PolicyEvent) {
+    fn handle_event(&mut self, event: PolicyEvent) {
         let now = self.shared.now();
         for action in self.core.handle(event, now) {
-            self.act(action, now);
+            self.apply_action(action, now);
         }
     }
 
     /// Does what the core has decided.
-    fn act(&mut self, action: PolicyAction, now: Duration) {
+    fn apply_action(&mut self, action: PolicyAction, now: Duration) {
         let log = &self.shared.log;
         match action {
             PolicyAction::Wait { request, place, predicted } => {
@@ -109,28 +109,28 @@
                 silence_timeout,
                 attempt,
             } => {
-                let step = self.describe(&choice, priority, attempt);
+                let step = self.dispatch_step(&choice, priority, attempt);
                 log.add(request, now, step);
                 if attempt > 1 {
                     self.shared.metrics.retries.inc();
                 }
                 let server = choice.server;
                 let dispatch = CallDispatch { server, priority, silence_timeout };
-                self.order(request, CallOrder::Dispatch(dispatch));
+                self.send_order(request, CallOrder::Dispatch(dispatch));
             }
             PolicyAction::Refuse { request, reason, retry_after } => {
-                self.order(request, CallOrder::Refuse(reason, retry_after));
+                self.send_order(request, CallOrder::Refuse(reason, retry_after));
                 self.orders.remove(&request);
             }
             PolicyAction::GiveUp { request, retry_after } => {
-                self.order(request, CallOrder::GiveUp(retry_after));
+                self.send_order(request, CallOrder::GiveUp(retry_after));
                 self.orders.remove(&request);
             }
         }
     }
 
     /// Sends an order to the thread of a call.
-    fn order(&self, request: RequestId, order: CallOrder) {
+    fn send_order(&self, request: RequestId, order: CallOrder) {
         let Some(orders) = self.orders.get(&request) else { return };
         // A call has at most one order that it hasn't taken yet, so its ring has room.
         if orders.try_send(order).is_err() {
@@ -139,7 +139,7 @@
     }
 
     /// Describes a choice for the record.
-    fn describe(
+    fn dispatch_step(
         &self,
         choice: &ServerChoice,
         priority: TierRank,
@@ -160,7 +160,7 @@
     }
 
     /// Shows the queues in the metrics.
-    fn show_queue(&self, summary: &DecisionSummary) {
+    fn update_queue_metrics(&self, summary: &DecisionSummary) {
         let mut waiting: BTreeMap<TierRank, usize> = BTreeMap::new();
         for pool in summary.pools.values() {
             for (tier, count) in &pool.waiting {
@@ -179,8 +179,8 @@
     /// How long the decision thread may take to answer.
     const SUMMARY_TIMEOUT: Duration = Duration::from_secs(1);
     let (reply, replies) = bounded(1);
-    let question = DecisionMessage::Summarise { take_usage, reply };
-    if shared.decisions.send(question).is_err() {
+    let message = DecisionMessage::Summarise { take_usage, reply };
+    if shared.decisions.send(message).is_err() {
         return DecisionSummary::default();
     }
     replies.recv_timeout(SUMMARY_TIMEOUT).unwrap_or_default()
--- a/crates/flaxtide/src/exchange/completion.rs
+++ b/crates/flaxtide/src/exchange/completion.rs
@@ -7,19 +7,22 @@
 use serde_json::{Value, json};
 
 use super::event::{CompletionChunk, EventReader, ServerEvent};
-use super::{AttemptEnd, ServerAttempt, connect_fault, read_fault, refusal_of};
+use super::{
+    AttemptOutcome, ServerAttempt, classify_read_error, classify_send_error,
+    refusal_fault,
+};
 use crate::explain::StepKind;
 use crate::link::{CallerLink, FullResponse, REQUEST_ID_HEADER, StreamLink};
 use crate::request::CompletionPayload;
 
 /// The decision core hears of an answer's pace every so many tokens.
-const PACE_TOKENS: u32 = 16;
+const TOKENS_PER_PROGRESS_EVENT: u32 = 16;
 
 /// The data that ends a stream.
 const DONE: &str = "[DONE]";
 
 /// What has come of an answer so far, over all attempts.
-pub(crate) struct AnswerProgress {
+pub(crate) struct ResponseProgress {
     /// The link to the caller, until a stream begins.
     link: Option<CallerLink>,
     /// The stream to the caller, once it has begun.
@@ -28,7 +31,7 @@
     wants_stream: bool,
     /// The text so far.
     text: String,
-    /// Whether the text is kept: for a whole answer, or for the record of an outcome.
+    /// Whether the text is kept: for a full_body answer, or for the record of an outcome.
     keeps_text: bool,
     /// How many tokens have come.
     pub(crate) tokens: u32,
@@ -37,10 +40,10 @@
     /// When the last token came.
     pub(crate) last_token: Option<Duration>,
     /// When the decision core last heard of the pace, and at how many tokens.
-    pace_mark: (Duration, u32),
+    last_progress: (Duration, u32),
 }
 
-impl AnswerProgress {
+impl ResponseProgress {
     /// Starts without any token.
     pub(crate) fn new(link: CallerLink, wants_stream: bool, keeps_text: bool) -> Self {
         Self {
@@ -52,7 +55,7 @@
             tokens: 0,
             first_token: None,
             last_token: None,
-            pace_mark: (Duration::ZERO, 0),
+            last_progress: (Duration::ZERO, 0),
         }
     }
 
@@ -61,15 +64,18 @@
         if self.stream.is_some() { self.tokens } else { 0 }
     }
 
-    /// Gives the caller a whole answer, or its record as a stream.
-    pub(crate) fn answer(&mut self, answer: &FullResponse) -> std::io::Result<()> {
+    /// Gives the caller a full_body answer, or its record as a stream.
+    pub(crate) fn send_response(
+        &mut self,
+        response: &FullResponse,
+    ) -> std::io::Result<()> {
         match self.link.take() {
-            Some(link) => link.answer(answer),
+            Some(link) => link.answer(response),
             None => Ok(()),
         }
     }
 
-    /// Gives the caller the final word on a request that isn't answered whole.
+    /// Gives the caller the final word on a request that isn't answered full_body.
     pub(crate) fn fail(&mut self, body: &FailureBody) -> std::io::Result<()> {
         if let Some(stream) = self.stream.take() {
             return stream.fail(body);
@@ -78,7 +84,12 @@
     }
 
     /// Passes on one token.
-    fn pass(&mut self, data: &str, text: &str, now: Duration) -> std::io::Result<()> {
+    fn pass_token(
+        &mut self,
+        data: &str,
+        text: &str,
+        now: Duration,
+    ) -> std::io::Result<()> {
         self.tokens += 1;
         self.last_token = Some(now);
         self.first_token.get_or_insert(now);
@@ -95,7 +106,7 @@
     }
 
     /// Passes on the last chunk and ends the stream.
-    fn finish(&mut self, data: &str) -> std::io::Result<()> {
+    fn finish_stream(&mut self, data: &str) -> std::io::Result<()> {
         if let Some(link) = self.link.take() {
             // An answer without any token.
             self.stream = Some(link.stream()?);
@@ -105,13 +116,13 @@
         stream.finish()
     }
 
-    /// Builds the whole answer.
-    pub(crate) fn whole_answer(
+    /// Builds the full_body answer.
+    pub(crate) fn full_response(
         &self,
         request: RequestId,
         payload: &CompletionPayload,
     ) -> FullResponse {
-        let body = self.whole(request, payload);
+        let body = self.full_body(request, payload);
         FullResponse {
             status: 200,
             content_type: "application/json".into(),
@@ -119,8 +130,8 @@
         }
     }
 
-    /// Builds the body of the whole answer.
-    fn whole(&self, request: RequestId, payload: &CompletionPayload) -> Value {
+    /// Builds the body of the full_body answer.
+    fn full_body(&self, request: RequestId, payload: &CompletionPayload) -> Value {
         let chat = payload.path.ends_with("/chat/completions");
         let choice = if chat {
             json!({
@@ -152,28 +163,28 @@
 pub(crate) fn exchange_completion(
     attempt: &ServerAttempt<'_>,
     payload: &CompletionPayload,
-    progress: &mut AnswerProgress,
-) -> AttemptEnd {
+    progress: &mut ResponseProgress,
+) -> AttemptOutcome {
     let response = match send(attempt, payload, progress.tokens) {
         Ok(response) => response,
-        Err(fault) => return AttemptEnd::Fault(fault),
+        Err(fault) => return AttemptOutcome::Fault(fault),
     };
     let mut events = EventReader::new(response);
-    progress.pace_mark = (attempt.shared.now(), progress.tokens);
+    progress.last_progress = (attempt.shared.now(), progress.tokens);
     let mut last_chunk = None;
     loop {
         let event = match events.next() {
             Ok(Some(event)) => event,
-            Ok(None) => return AttemptEnd::Fault(ServerFault::Broken),
-            Err(cause) => return AttemptEnd::Fault(read_fault(&cause)),
+            Ok(None) => return AttemptOutcome::Fault(ServerFault::Broken),
+            Err(cause) => return AttemptOutcome::Fault(classify_read_error(&cause)),
         };
         if event.data == DONE {
-            return end(attempt, payload, progress, last_chunk.as_deref());
+            return finish_response(attempt, payload, progress, last_chunk.as_deref());
         }
-        match take_event(attempt, &event, progress) {
+        match handle_event(attempt, &event, progress) {
             Ok(true) => last_chunk = Some(event.data),
             Ok(false) => {}
-            Err(end) => return end,
+            Err(outcome) => return outcome,
         }
     }
 }
@@ -191,14 +202,14 @@
     let text = serde_json::to_vec(&body).unwrap_or_default();
     let request = attohttpc::post(url)
         .header("Content-Type", "application/json")
-        .header(REQUEST_ID_HEADER, format_request_id(attempt.request));
+        .header(REQUEST_ID_HEADER, format_request_id(attempt.request_id));
     let request = match received.checked_sub(1) {
         Some(last) => request.header("Last-Event-ID", last.to_string()),
         None => request,
     };
     let request = attempt.prepare(request.bytes(text));
-    let response = request.send().map_err(|cause| connect_fault(&cause))?;
-    if let Some(fault) = refusal_of(&response) {
+    let response = request.send().map_err(|cause| classify_send_error(&cause))?;
+    if let Some(fault) = refusal_fault(&response) {
         return Err(fault);
     }
     if !response.is_success() {
@@ -208,24 +219,24 @@
 }
 
 /// Takes in one event. Returns whether it is the chunk that ends the answer.
-fn take_event(
+fn handle_event(
     attempt: &ServerAttempt<'_>,
     event: &ServerEvent,
-    progress: &mut AnswerProgress,
-) -> Result<bool, AttemptEnd> {
-    let broken = || AttemptEnd::Fault(ServerFault::Broken);
+    progress: &mut ResponseProgress,
+) -> Result<bool, AttemptOutcome> {
+    let broken = || AttemptOutcome::Fault(ServerFault::Broken);
     let chunk: CompletionChunk =
         serde_json::from_str(&event.data).map_err(|_| broken())?;
-    if chunk.id != format_request_id(attempt.request) {
+    if chunk.id != format_request_id(attempt.request_id) {
         log::warn!(
-            request_id = format_request_id(attempt.request);
+            request_id = format_request_id(attempt.request_id);
             "an engine sent the answer to another request"
         );
         return Err(broken());
     }
-    if chunk.ends() {
-        let said = chunk.usage.as_ref().map(|usage| usage.completion_tokens);
-        if said.is_some_and(|said| said != progress.tokens) {
+    if chunk.is_last() {
+        let reported = chunk.usage.as_ref().map(|usage| usage.completion_tokens);
+        if reported.is_some_and(|reported| reported != progress.tokens) {
             return Err(broken());
         }
         return Ok(true);
@@ -243,50 +254,52 @@
     let now = attempt.shared.now();
     let first = progress.tokens == 0;
     progress
-        .pass(&event.data, text, now)
-        .map_err(|_| AttemptEnd::CallerGone)?;
-    tell_pace(attempt, progress, first, now);
+        .pass_token(&event.data, text, now)
+        .map_err(|_| AttemptOutcome::CallerGone)?;
+    report_progress(attempt, progress, first, now);
     Ok(false)
 }
 
 /// Tells the decision core of the first token, and now and then of the pace.
-fn tell_pace(
+fn report_progress(
     attempt: &ServerAttempt<'_>,
-    progress: &mut AnswerProgress,
+    progress: &mut ResponseProgress,
     first: bool,
     now: Duration,
 ) {
-    let (shared, request) = (attempt.shared, attempt.request);
+    let (shared, request) = (attempt.shared, attempt.request_id);
     if first {
         shared.log.add(request, now, StepKind::FirstToken);
         shared.tell(PolicyEvent::FirstToken { request });
-        progress.pace_mark = (now, progress.tokens);
+        progress.last_progress = (now, progress.tokens);
         return;
     }
-    let (since, mark) = progress.pace_mark;
+    let (since, mark) = progress.last_progress;
     let tokens = progress.tokens - mark;
-    if tokens >= PACE_TOKENS {
+    if tokens >= TOKENS_PER_PROGRESS_EVENT {
         let span = now.saturating_sub(since);
         shared.tell(PolicyEvent::Progress { request, tokens, span });
-        progress.pace_mark = (now, progress.tokens);
+        progress.last_progress = (now, progress.tokens);
     }
 }
 
 /// Ends an answer, if its last chunk has come.
-fn end(
+fn finish_response(
     attempt: &ServerAttempt<'_>,
     payload: &CompletionPayload,
-    progress: &mut AnswerProgress,
+    progress: &mut ResponseProgress,
     last_chunk: Option<&str>,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let Some(last_chunk) = last_chunk else {
-        return AttemptEnd::Fault(ServerFault::Broken);
+        return AttemptOutcome::Fault(ServerFault::Broken);
     };
     if !progress.wants_stream {
-        return AttemptEnd::Whole(progress.whole_answer(attempt.request, payload));
+        return AttemptOutcome::Complete(
+            progress.full_response(attempt.request_id, payload),
+        );
     }
-    match progress.finish(last_chunk) {
-        Ok(()) => AttemptEnd::Streamed,
-        Err(_) => AttemptEnd::CallerGone,
+    match progress.finish_stream(last_chunk) {
+        Ok(()) => AttemptOutcome::Streamed,
+        Err(_) => AttemptOutcome::CallerGone,
     }
 }
--- a/crates/flaxtide/src/exchange/event.rs
+++ b/crates/flaxtide/src/exchange/event.rs
@@ -5,12 +5,12 @@
 use serde::Deserialize;
 
 /// The longest line that an engine may send, in bytes.
-const LONGEST_LINE: u64 = 1 << 20;
+const MAX_LINE_BYTES: u64 = 1 << 20;
 
 /// A reader of server-sent events.
 pub(crate) struct EventReader<R> {
     /// Where they come from.
-    lines: BufReader<R>,
+    body: BufReader<R>,
     /// The line being read.
     line: String,
 }
@@ -69,7 +69,7 @@
 impl<R: Read> EventReader<R> {
     /// Reads events from a body.
     pub(crate) fn new(body: R) -> Self {
-        Self { lines: BufReader::new(body), line: String::new() }
+        Self { body: BufReader::new(body), line: String::new() }
     }
 
     /// Reads the next event; nothing at the end of the body.
@@ -77,7 +77,7 @@
         let mut event = ServerEvent::default();
         loop {
             self.line.clear();
-            let mut limited = self.lines.by_ref().take(LONGEST_LINE);
+            let mut limited = self.body.by_ref().take(MAX_LINE_BYTES);
             if limited.read_line(&mut self.line)? == 0 {
                 return Ok(None);
             }
@@ -108,7 +108,7 @@
     }
 
     /// Tells whether the chunk ends the answer.
-    pub(crate) fn ends(&self) -> bool {
+    pub(crate) fn is_last(&self) -> bool {
         self.choices
             .first()
             .is_some_and(|choice| choice.finish_reason.is_some())
--- a/crates/flaxtide/src/exchange/mod.rs
+++ b/crates/flaxtide/src/exchange/mod.rs
@@ -12,7 +12,7 @@
 use flaxtide_core::RequestId;
 use flaxtide_policy::ServerFault;
 
-pub(crate) use self::completion::{AnswerProgress, exchange_completion};
+pub(crate) use self::completion::{ResponseProgress, exchange_completion};
 pub(crate) use self::plain::exchange_plain;
 use crate::link::FullResponse;
 use crate::shared::SharedState;
@@ -21,7 +21,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long a server may be silent when the request can't go elsewhere.
-const LONGEST_SILENCE: Duration = Duration::from_secs(60);
+const DEFAULT_SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The header by which a server says that it refused a request without running it.
 const REFUSED_HEADER: &str = "X-Refused";
@@ -31,20 +31,20 @@
     /// What all threads share.
     pub(crate) shared: &'a SharedState,
     /// The request.
-    pub(crate) request: RequestId,
+    pub(crate) request_id: RequestId,
     /// Where the server listens.
     pub(crate) address: SocketAddr,
     /// The priority for the engine; lower numbers first.
     pub(crate) priority: u8,
     /// How long the server may be silent.
-    pub(crate) patience: Option<Duration>,
+    pub(crate) silence_timeout: Option<Duration>,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub(crate) enum AttemptEnd {
+pub(crate) enum AttemptOutcome {
     /// The whole answer is there.
-    Whole(FullResponse),
+    Complete(FullResponse),
     /// The whole answer has been passed on as a stream.
     Streamed,
     /// The server failed.
@@ -60,7 +60,7 @@
         // is kept by the decision core. This one bounds each silence.
         builder
             .connect_timeout(CONNECT_TIMEOUT)
-            .read_timeout(self.patience.unwrap_or(LONGEST_SILENCE))
+            .read_timeout(self.silence_timeout.unwrap_or(DEFAULT_SILENCE_TIMEOUT))
             .proxy_settings(ProxySettings::builder().build())
             .follow_redirects(false)
     }
@@ -70,7 +70,7 @@
 ///
 /// Only a refused connection, or one that didn't open in time, can't have carried it. A
 /// read that times out reports `WouldBlock` here, so `TimedOut` comes from connecting.
-fn connect_fault(cause: &attohttpc::Error) -> ServerFault {
+fn classify_send_error(cause: &attohttpc::Error) -> ServerFault {
     match cause.kind() {
         ErrorKind::Io(error) => match error.kind() {
             IoKind::ConnectionRefused | IoKind::TimedOut => ServerFault::NotRun,
@@ -82,7 +82,7 @@
 }
 
 /// Sorts a fault in mid-answer.
-fn read_fault(cause: &std::io::Error) -> ServerFault {
+fn classify_read_error(cause: &std::io::Error) -> ServerFault {
     match cause.kind() {
         IoKind::WouldBlock | IoKind::TimedOut => ServerFault::Stalled,
         _ => ServerFault::Broken,
@@ -90,12 +90,12 @@
 }
 
 /// Returns how a server refused a request without running it, if it did.
-fn refusal_of(response: &Response) -> Option<ServerFault> {
+fn refusal_fault(response: &Response) -> Option<ServerFault> {
     if response.status().as_u16() != 503 {
         return None;
     }
-    let word = response.headers().get(REFUSED_HEADER)?;
-    if word.as_bytes() == b"leaving" {
+    let value = response.headers().get(REFUSED_HEADER)?;
+    if value.as_bytes() == b"leaving" {
         return Some(ServerFault::Leaving);
     }
     Some(ServerFault::NotRun)
--- a/crates/flaxtide/src/exchange/plain.rs
+++ b/crates/flaxtide/src/exchange/plain.rs
@@ -5,7 +5,10 @@
 use flaxtide_core::format_request_id;
 use flaxtide_policy::ServerFault;
 
-use super::{AttemptEnd, ServerAttempt, connect_fault, read_fault, refusal_of};
+use super::{
+    AttemptOutcome, ServerAttempt, classify_read_error, classify_send_error,
+    refusal_fault,
+};
 use crate::link::{FullResponse, REQUEST_ID_HEADER};
 use crate::request::{KEY_HEADER, PlainPayload};
 
@@ -14,15 +17,15 @@
     attempt: &ServerAttempt<'_>,
     payload: &PlainPayload,
     key: Option<&str>,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let Ok(method) = Method::from_bytes(payload.method.as_bytes()) else {
-        return AttemptEnd::Fault(ServerFault::Broken);
+        return AttemptOutcome::Fault(ServerFault::Broken);
     };
     let url = format!("http://{}{}", attempt.address, payload.path);
-    let id = format_request_id(attempt.request);
+    let id = format_request_id(attempt.request_id);
     let mut request = RequestBuilder::new(method, url).header(REQUEST_ID_HEADER, &id);
-    if let Some(kind) = &payload.content_type {
-        request = request.header("Content-Type", kind);
+    if let Some(content_type) = &payload.content_type {
+        request = request.header("Content-Type", content_type);
     }
     if let Some(key) = key {
         request = request.header(KEY_HEADER, key);
@@ -30,30 +33,30 @@
     let request = attempt.prepare(request.bytes(&payload.body));
     let response = match request.send() {
         Ok(response) => response,
-        Err(cause) => return AttemptEnd::Fault(connect_fault(&cause)),
+        Err(cause) => return AttemptOutcome::Fault(classify_send_error(&cause)),
     };
-    if let Some(fault) = refusal_of(&response) {
-        return AttemptEnd::Fault(fault);
+    if let Some(fault) = refusal_fault(&response) {
+        return AttemptOutcome::Fault(fault);
     }
     let status = response.status().as_u16();
     let content_type = response.headers().get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     let content_type = content_type.unwrap_or("application/octet-stream").to_owned();
     // A server that names the request's id must name the right one.
-    let named = response.headers().get(REQUEST_ID_HEADER);
-    if named.is_some_and(|named| named.as_bytes() != id.as_bytes()) {
-        return AttemptEnd::Fault(ServerFault::Broken);
+    let response_id = response.headers().get(REQUEST_ID_HEADER);
+    if response_id.is_some_and(|response_id| response_id.as_bytes() != id.as_bytes()) {
+        return AttemptOutcome::Fault(ServerFault::Broken);
     }
     match response.bytes() {
-        Ok(body) => AttemptEnd::Whole(FullResponse { status, content_type, body }),
-        Err(cause) => AttemptEnd::Fault(body_fault(&cause)),
+        Ok(body) => AttemptOutcome::Complete(FullResponse { status, content_type, body }),
+        Err(cause) => AttemptOutcome::Fault(classify_body_error(&cause)),
     }
 }
 
 /// Sorts a fault in the body of an answer: the call has been run.
-fn body_fault(cause: &attohttpc::Error) -> ServerFault {
+fn classify_body_error(cause: &attohttpc::Error) -> ServerFault {
     match cause.kind() {
-        attohttpc::ErrorKind::Io(error) => read_fault(error),
+        attohttpc::ErrorKind::Io(error) => classify_read_error(error),
         _ => ServerFault::Broken,
     }
 }
--- a/crates/flaxtide/src/settle.rs
+++ b/crates/flaxtide/src/settle.rs
@@ -15,24 +15,24 @@
 const RETRY_PERIOD: Duration = Duration::from_millis(250);
 
 /// How often the thread looks whether it is to end.
-const STOP_PERIOD: Duration = Duration::from_millis(200);
+const STOP_CHECK_PERIOD: Duration = Duration::from_millis(200);
 
 /// The most claims that wait to be settled. Beyond it, rows stay held, which is safe:
 /// whoever repeats the request is told that it may have run.
-const OPEN_LIMIT: usize = 4096;
+const MAX_OPEN_JOBS: usize = 4096;
 
 /// Runs the settle thread until the instance stops.
 pub(crate) fn settle_claims(shared: &Arc<SharedState>, jobs: &Receiver<SettleJob>) {
     let mut open: VecDeque<SettleJob> = VecDeque::new();
     while !shared.stopped() {
-        let wait = if open.is_empty() { STOP_PERIOD } else { Duration::ZERO };
+        let wait = if open.is_empty() { STOP_CHECK_PERIOD } else { Duration::ZERO };
         match jobs.recv_timeout(wait) {
             Ok(job) => open.push_back(job),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        let room = OPEN_LIMIT.saturating_sub(open.len());
-        open.extend(jobs.try_iter().take(room));
+        let capacity = MAX_OPEN_JOBS.saturating_sub(open.len());
+        open.extend(jobs.try_iter().take(capacity));
         let Some(mut job) = open.pop_front() else { continue };
         if settle(shared, &mut job) {
             shared.unsettled.fetch_sub(1, Ordering::SeqCst);
@@ -58,8 +58,8 @@
 /// Tries to settle a row. Returns whether it is settled.
 fn settle(shared: &SharedState, job: &mut SettleJob) -> bool {
     /// How many conditions may fail in a row before it is tried later.
-    const TRIES: usize = 3;
-    for _ in 0..TRIES {
+    const MAX_TRIES: usize = 3;
+    for _ in 0..MAX_TRIES {
         let Some(expected) = job.settlement.next_write() else { return true };
         let row = job.settlement.row().clone();
         job.settlement.reply(&write_row(shared, &job.key, expected, row));
