--- a/crates/flaxtide/src/call/keyed.rs
+++ b/crates/flaxtide/src/call/keyed.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated: claims, recorded outcomes and their replay.
+//! Calls with an idempotency key: their claims, recorded outcomes and replay.
 
 use std::time::Duration;
 
@@ -17,52 +17,52 @@
 use crate::messages::SettleJob;
 use crate::settle::queue_settlement;
 
-/// The largest body that is recorded in a row of the table, in bytes. Larger ones, and
-/// those that aren't text, go to the object store.
+/// The largest body that is stored in a row of the platform's table. Larger bodies, and
+/// those that aren't UTF-8 text, are stored in the object store.
 const MAX_ROW_BODY_BYTES: usize = 16 * 1024;
 
-/// How long an answer waits for its record in the table. After that it goes out, and the
-/// record follows.
+/// How long a response is held back until its outcome is recorded in the table. After
+/// that, the response is sent, and the settle thread still records the outcome.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When to ask again about a request that another attempt holds.
+/// When the caller should retry a request whose outcome is not known yet.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// A claim that this call holds.
 pub(super) struct HeldClaim {
-    /// The row's key.
+    /// The key of the row in the platform's table.
     key: String,
-    /// The row.
+    /// The row, in phase [`RowPhase::Held`].
     pub(super) row: ClaimRow,
-    /// The row's version.
+    /// The version of the row, which the settlement expects to find.
     version: u64,
 }
 
-/// How claiming ended.
+/// The outcome of claiming the request of a call.
 pub(super) enum KeyedOutcome {
-    /// This call alone may send the request.
+    /// This call holds the claim: it alone may send the request.
     Held(Call<Claimed>),
-    /// The call is over.
+    /// The call couldn't get the claim and has ended.
     Ended,
 }
 
-/// An answer as it is recorded.
+/// A response as recorded in the row of its claim.
 #[derive(Debug, Serialize, Deserialize)]
 struct RecordedAnswer {
-    /// The HTTP status.
+    /// The HTTP status code.
     status: u16,
-    /// The type of the body.
+    /// The media type of the body.
     content_type: String,
-    /// The body, if it is short text.
+    /// The body, if it is text of at most [`MAX_ROW_BODY_BYTES`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     body: Option<String>,
-    /// The key of the object that holds the body otherwise.
+    /// The key of the object that holds any other body.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     object: Option<String>,
 }
 
 impl CallHandler<'_> {
-    /// Claims the right to run the request, or ends the call.
+    /// Claims the right to send the request, or ends the call.
     pub(super) fn claim(&mut self, call: Call<Queued>) -> KeyedOutcome {
         let shared = self.shared;
         let key = self.claim_key();
@@ -78,7 +78,7 @@
                 KeyedOutcome::Held(call)
             }
             ClaimOutcome::NotHeld(step) => {
-                // The slot at the server goes to the next request.
+                // Frees the slot at the server for the next request.
                 shared.tell(PolicyEvent::Abandon { request: self.id });
                 if step == ClaimStep::Abandon {
                     let row = attempt.row(RowPhase::Released);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Ends a call that couldn't claim its request.
+    /// Ends a call that couldn't get the claim of its request.
     fn end_unclaimed(&mut self, call: Call<Queued>, step: ClaimStep) {
         match step {
             ClaimStep::Replay { outcome } => self.replay(call, &outcome),
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Refuses a call with an idempotency key. It says "not run" only if the table says
-    /// that no earlier attempt under the key may have.
+    /// Refuses a call with an idempotency key. The refusal states that the request hasn't
+    /// run only if the table shows that no earlier attempt with the key can have run.
     pub(super) fn refuse_keyed(
         &mut self,
         call: Call<Queued>,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Tells the caller that another attempt may have run the request.
+    /// Refuses a call because another attempt with its key may have run the request.
     fn refuse_in_progress(&mut self, call: Call<Queued>) {
         let message = "an attempt under the same Idempotency-Key is running or has run, \
                        and its outcome isn't recorded yet";
@@ -154,7 +154,7 @@
         self.end_refused(&failed.body);
     }
 
-    /// Gives the recorded answer again.
+    /// Sends the recorded response to the caller and ends the call.
     fn replay(&mut self, call: Call<Queued>, outcome: &str) {
         let Some(response) = self.read_outcome(outcome) else {
             let message =
@@ -168,11 +168,11 @@
         shared.log.add(self.id, shared.now(), StepKind::Replayed);
         let labels = [self.request.profile.name.as_str(), "replayed"];
         shared.metrics.requests.with_label_values(&labels).inc();
-        // A caller that has gone can ask again.
+        // If the caller has disconnected, it can get the response by a retry.
         let _ = self.progress.send_response(&response);
     }
 
-    /// Reads a recorded answer.
+    /// Decodes a recorded outcome; `None` if it or the object with its body can't be read.
     fn read_outcome(&self, outcome: &str) -> Option<FullResponse> {
         let record: RecordedAnswer = serde_json::from_str(outcome).ok()?;
         let body = match (record.body, record.object) {
@@ -184,13 +184,13 @@
         Some(FullResponse { status: record.status, content_type, body })
     }
 
-    /// Records the outcome of a request that may not be repeated, so that a repeat of its
-    /// key gets the same answer.
+    /// Records the outcome of a request with an idempotency key, so that a retry with the
+    /// key gets the same response.
     pub(super) fn record_outcome(&mut self, response: &FullResponse) {
         let Some(held) = self.held.take() else { return };
         let Some(outcome) = self.encode_outcome(&held, response) else {
             log::warn!(
-                "an outcome can't be recorded, as the object store doesn't answer"
+                "failed to store a response; the outcome of its request stays unrecorded"
             );
             return;
         };
@@ -200,11 +200,12 @@
         let done = Some(done);
         queue_settlement(self.shared, SettleJob { key: held.key, settlement, done });
         if settled.recv_timeout(RECORD_TIMEOUT).is_err() {
-            log::warn!("an answer goes out before its record is in the table");
+            log::warn!("sending a response before its outcome is recorded in the table");
         }
     }
 
-    /// Puts an answer into the form in which it is recorded.
+    /// Encodes a response for its row, and stores a body that doesn't fit there in the
+    /// object store. Returns `None` if that fails.
     fn encode_outcome(
         &self,
         held: &HeldClaim,
@@ -228,7 +229,7 @@
         serde_json::to_string(&record).ok()
     }
 
-    /// Releases the claim of a request that hasn't been sent and won't be.
+    /// Releases the claim, if one is held, of a request that hasn't been sent and won't be.
     pub(super) fn release_claim(&mut self) {
         let Some(held) = self.held.take() else { return };
         let row = ClaimRow { phase: RowPhase::Released, ..held.row };
@@ -239,7 +240,7 @@
         );
     }
 
-    /// Returns the key of the request's claim.
+    /// Returns the key of the claim's row: the organisation and the idempotency key.
     fn claim_key(&self) -> String {
         let key = self.request.key.as_deref().unwrap_or_default();
         claim_key(&self.request.organisation_name, key)
--- a/crates/flaxtide/src/call/mod.rs
+++ b/crates/flaxtide/src/call/mod.rs
@@ -1,4 +1,4 @@
-//! The life of one call, led by a thread of its own.
+//! Handles one call, from its arrival to its end, on a thread of its own.
 
 mod keyed;
 mod outcome;
@@ -24,10 +24,10 @@
 use crate::request::{CallPayload, CallRequest, is_keyed};
 use crate::shared::SharedState;
 
-/// The most orders that a call may not have taken yet.
+/// The capacity of the channel that carries the decision core's orders to a call.
 const ORDER_CAPACITY: usize = 4;
 
-/// Leads a request from its arrival to its end.
+/// Reads an HTTP request and handles it to its end.
 pub(crate) fn serve_call(shared: &Arc<SharedState>, mut request: Request) {
     let id = shared.next_request();
     shared.metrics.received.inc();
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns why no request is taken now, if none is.
+/// Returns why the instance currently refuses all requests, or `None` if it accepts them.
 fn rejection_reason(shared: &SharedState) -> Option<FailureReason> {
     if shared.closed() {
         return Some(FailureReason::Stopping);
@@ -62,7 +62,7 @@
     (shared.view().version == 0).then_some(FailureReason::NotReady)
 }
 
-/// Refuses a request before it has a life.
+/// Refuses a request for which no [`CallHandler`] exists yet.
 pub(crate) fn refuse_early(shared: &SharedState, link: CallerLink, body: &FailureBody) {
     shared.metrics.refusals.with_label_values(&[body.reason.name()]).inc();
     shared.metrics.requests.with_label_values(&["", "refused"]).inc();
@@ -70,38 +70,39 @@
         request_id = body.request_id.as_str(), reason = body.reason.name();
         "refused: {}", body.message
     );
-    // A caller that has gone needs no answer.
+    // If the caller has disconnected, nobody is left to notify.
     let _ = link.fail(body);
 }
 
-/// The duty of leading one call.
+/// Handles one call.
 struct CallHandler<'a> {
-    /// What all threads share.
+    /// The state that all threads of the instance share.
     shared: &'a Arc<SharedState>,
-    /// The request's id.
+    /// The ID of the request.
     id: RequestId,
-    /// What the caller asks for.
+    /// The request, as read and checked against the settings.
     request: CallRequest,
-    /// What has come of the answer.
+    /// What has been received of the response, over all attempts.
     progress: ResponseProgress,
-    /// When the request came.
+    /// When the request arrived, on the instance's clock.
     arrived: Duration,
-    /// The claim that this call holds, where the request may not be repeated.
+    /// The claim that this call holds; always `None` for requests without an idempotency
+    /// key.
     held: Option<HeldClaim>,
 }
 
-/// A call that is still open, in one of its states.
+/// A call that hasn't ended, by its state.
 enum OpenCall {
-    /// It waits.
+    /// The call waits for an order of the decision core and holds no claim.
     Queued(Call<Queued>),
-    /// Its claim is held.
+    /// The call holds its claim and waits for an order.
     Claimed(Call<Claimed>),
-    /// Bytes may have gone out.
+    /// Bytes of the request may have reached a backend server.
     Dispatched(Call<Dispatched>),
 }
 
 impl<'a> CallHandler<'a> {
-    /// Makes the duty of a request that has been read.
+    /// Creates the handler of a request that has been read.
     fn new(
         shared: &'a Arc<SharedState>,
         id: RequestId,
@@ -117,7 +118,7 @@
         Self { shared, id, request, progress, arrived, held: None }
     }
 
-    /// Leads the call to its end.
+    /// Follows the decision core's orders until the call has ended.
     fn run(mut self) {
         self.open_record();
         let orders = self.submit();
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Starts the record for `flaxctl explain`.
+    /// Opens the decision record that `flaxctl explain` shows.
     fn open_record(&self) {
         let request = &self.request;
         let view = self.shared.view();
@@ -156,7 +157,7 @@
         self.shared.log.open(self.id, record);
     }
 
-    /// Tells the decision core of the request and returns the receiver of its orders.
+    /// Submits the request to the decision core and returns the channel with its orders.
     fn submit(&self) -> Receiver<CallOrder> {
         let request = &self.request;
         let (prompt_tokens, prefix) = match &request.payload {
@@ -177,13 +178,14 @@
             repeatable: request.repeatable,
         };
         let (orders, receiver) = bounded(ORDER_CAPACITY);
-        // The decision thread outlives all calls; without it the receiver is closed, which
-        // ends the call.
+        // The decision thread outlives all calls. If it has ended nevertheless, the order
+        // channel is closed, which ends the call.
         let _ = self.shared.decisions.send(DecisionMessage::Arrive(arrival, orders));
         receiver
     }
 
-    /// Sends the request to a server. Returns the call if it is still open.
+    /// Sends the request to a server, once its claim is held if it needs one. Returns the
+    /// call if it hasn't ended.
     fn dispatch(&mut self, open: OpenCall, dispatch: &CallDispatch) -> Option<OpenCall> {
         let call = match open {
             OpenCall::Queued(call) if self.request.key.is_some() => {
@@ -197,7 +199,7 @@
             OpenCall::Dispatched(call) => call,
         };
         let Some(outcome) = self.run_attempt(dispatch) else {
-            // The settings no longer hold the server.
+            // The server is no longer in the settings, so nothing has been sent.
             return self.handle_fault(call, ServerFault::NotRun);
         };
         match outcome {
@@ -217,7 +219,8 @@
         }
     }
 
-    /// Makes one attempt at a server.
+    /// Sends the request to a server and passes on its response. Returns `None` if the
+    /// server is no longer in the settings.
     fn run_attempt(&mut self, dispatch: &CallDispatch) -> Option<AttemptOutcome> {
         let view = self.shared.view();
         let attempt = ServerAttempt {
@@ -237,8 +240,8 @@
         })
     }
 
-    /// Takes in that a server failed the request, and leaves it to the decision core what
-    /// follows.
+    /// Reports a failed attempt to the decision core, which orders a retry or ends the
+    /// call.
     fn handle_fault(
         &mut self,
         call: Call<Dispatched>,
@@ -262,7 +265,7 @@
         })
     }
 
-    /// Refuses the request as the decision core says.
+    /// Refuses the request, as ordered by the decision core.
     fn refuse(&mut self, open: OpenCall, reason: FailureReason, retry_after: Duration) {
         let message = refusal_message(reason, &self.request);
         let retry_after = Some(retry_after);
@@ -279,7 +282,8 @@
                 self.release_claim();
                 self.end_refused(&failed.body);
             }
-            // An earlier attempt may have run: the core's word would be untrue.
+            // An earlier attempt may have run, so a refusal, which promises that the
+            // request hasn't run, would be wrong.
             OpenCall::Dispatched(call) => {
                 let failed = call.fail(reason, &message, retry_after);
                 self.end_failed(&failed.body);
@@ -287,7 +291,7 @@
         }
     }
 
-    /// Gives the request up as the decision core says.
+    /// Ends a call whose attempts have failed, as ordered by the decision core.
     fn give_up(&mut self, open: OpenCall, retry_after: Duration) {
         let reason = FailureReason::ServerFailed;
         let message =
@@ -309,14 +313,14 @@
         }
     }
 
-    /// Ends a call whose orders have stopped, as the decision thread has ended.
+    /// Ends a call whose order channel has closed because the decision thread has ended.
     fn abort(&mut self, open: OpenCall) {
-        log::error!(request_id = format_request_id(self.id); "the decision thread is gone");
+        log::error!(request_id = format_request_id(self.id); "the decision thread has ended");
         self.refuse(open, FailureReason::Stopping, Duration::from_secs(1));
     }
 }
 
-/// Returns a fault's name for metrics and records.
+/// Returns the name of a fault in metrics and decision records.
 fn fault_name(fault: ServerFault) -> &'static str {
     match fault {
         ServerFault::NotRun => "not_run",
@@ -326,7 +330,7 @@
     }
 }
 
-/// Says why a request is refused.
+/// Returns the message to the caller that explains a refusal.
 fn refusal_message(reason: FailureReason, request: &CallRequest) -> String {
     let class = &request.profile.name;
     let tier = &request.profile.tier;
--- a/crates/flaxtide/src/call/outcome.rs
+++ b/crates/flaxtide/src/call/outcome.rs
@@ -1,4 +1,4 @@
-//! How a call ends: exactly once, and counted.
+//! The ends of a call. Each call ends exactly once, and each end is counted and logged.
 
 use flaxtide_core::{
     Call, CallEnd, Dispatched, FailureBody, FailureReason, format_request_id,
@@ -11,7 +11,8 @@
 use crate::request::CallPayload;
 
 impl CallHandler<'_> {
-    /// Ends a call whose answer is whole. A stream has been passed on already.
+    /// Ends a call whose response is complete. `response` is `None` if it has been passed
+    /// on as a stream already.
     pub(super) fn end_answered(
         &mut self,
         call: Call<Dispatched>,
@@ -33,7 +34,7 @@
         self.record_end(CallEnd::Answered, StepKind::Answered { tokens, met_target });
     }
 
-    /// Records the answer of a call that may not be repeated; others keep none.
+    /// Records the response if the call holds a claim; other responses aren't recorded.
     fn record_response(&mut self, response: Option<&FullResponse>) {
         if self.held.is_none() {
             return;
@@ -44,36 +45,36 @@
                 let response = self.progress.full_response(self.id, payload);
                 self.record_outcome(&response);
             }
-            // A plain service's answer is never streamed.
+            // Responses of plain services are never streamed.
             (None, CallPayload::Plain(_)) => {}
         }
     }
 
-    /// Ends a call that was refused.
+    /// Ends a call that is refused; this attempt at the request hasn't run.
     pub(super) fn end_refused(&mut self, body: &FailureBody) {
         let metrics = &self.shared.metrics;
         metrics.refusals.with_label_values(&[body.reason.name()]).inc();
         let labels = [self.request.profile.name.as_str(), "refused"];
         metrics.attainment.with_label_values(&labels).inc();
-        // A caller that has gone needs no answer.
+        // If the caller has disconnected, nobody is left to notify.
         let _ = self.progress.fail(body);
         let (reason, retry_after_ms) = (body.reason, body.retry_after_ms);
         self.record_end(CallEnd::Refused, StepKind::Refused { reason, retry_after_ms });
     }
 
-    /// Ends a call that may have run, without a whole answer.
+    /// Ends a call that may have run and has no complete response.
     pub(super) fn end_failed(&mut self, body: &FailureBody) {
         let metrics = &self.shared.metrics;
         metrics.wasted_tokens.inc_by(u64::from(self.progress.tokens));
         let labels = [self.request.profile.name.as_str(), "failed"];
         metrics.attainment.with_label_values(&labels).inc();
-        // A caller that has gone needs no answer.
+        // If the caller has disconnected, nobody is left to notify.
         let _ = self.progress.fail(body);
         self.record_end(CallEnd::Failed, StepKind::Failed { reason: body.reason });
     }
 
-    /// Ends a call whose caller has gone. Its stream at the engine is cancelled, as the
-    /// connection closes.
+    /// Ends a call whose caller has disconnected. The connection to the engine is closed,
+    /// which cancels its stream.
     pub(super) fn end_caller_gone(&mut self, call: Call<Dispatched>) {
         let reason = FailureReason::CallerGone;
         let _ = call.fail(reason, "the caller has gone", None);
@@ -83,7 +84,8 @@
         self.record_end(CallEnd::Failed, StepKind::CallerGone);
     }
 
-    /// Tells whether the answer met its latency target.
+    /// Returns whether the response met the latency targets of its class: the first token
+    /// in time, and the later ones in time on average.
     fn met_target(&self) -> bool {
         let profile = &self.request.profile;
         let Some(first) = self.progress.first_token else { return false };
@@ -95,7 +97,7 @@
         last.saturating_sub(first) <= profile.between_tokens * later_tokens
     }
 
-    /// Counts an answer.
+    /// Updates the metrics of completed responses.
     fn count_response(&self, met_target: bool) {
         let metrics = &self.shared.metrics;
         let class = self.request.profile.name.as_str();
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Counts and records the end of the call.
+    /// Counts the end of the call, adds it to the decision record and logs it.
     fn record_end(&self, end: CallEnd, step: StepKind) {
         let name = match end {
             CallEnd::Answered => "answered",
--- a/crates/flaxtide/src/claim.rs
+++ b/crates/flaxtide/src/claim.rs
@@ -1,4 +1,4 @@
-//! The claim thread: it writes claims in group commits, within a budget of writes.
+//! The claim thread, which writes claims in group commits and limits their rate.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,25 +9,25 @@
 use crate::messages::ClaimJob;
 use crate::shared::SharedState;
 
-/// The most claims in one group commit.
+/// The maximum number of claims in one group commit.
 const MAX_GROUP_SIZE: usize = 64;
 
-/// What the table takes from all instances together, in writes a second; the platform
-/// names several hundred, and settings and leases need some too.
+/// The rate of claim commits of all instances together. The platform's table accepts
+/// several hundred writes per second, some of which settings and leases need.
 const FLEET_WRITES_PER_SECOND: f64 = 300.0;
 
-/// How many writes may be made at once after a pause.
+/// The number of commits that an idle instance may make at once.
 const WRITE_BURST: f64 = 8.0;
 
-/// How often the thread looks whether it is to end.
+/// How often the thread checks whether it should stop.
 const STOP_CHECK_PERIOD: Duration = Duration::from_millis(200);
 
-/// How a claim ended.
+/// The outcome of a claim.
 #[derive(Debug)]
 pub(crate) enum ClaimOutcome {
-    /// This attempt alone may send the request; the row has this version.
+    /// This attempt alone may send the request. Holds the version of its row.
     Held(u64),
-    /// It may not be sent by this attempt.
+    /// This attempt must not send the request. Holds the step with which it ended.
     NotHeld(ClaimStep),
 }
 
@@ -40,7 +40,7 @@
             Err(RecvTimeoutError::Timeout) => continue,
             Err(RecvTimeoutError::Disconnected) => return,
         };
-        // While the budget lets nothing through, more claims join the group.
+        // Claims that arrive while the rate limit delays the commit join its group.
         std::thread::sleep(budget.take(instance_count(shared), shared.now()));
         let mut group = vec![first];
         group.extend(jobs.try_iter().take(MAX_GROUP_SIZE - 1));
@@ -66,18 +66,18 @@
         .with_label_values(&["claim", result])
         .inc();
     for (job, reply) in group.iter().zip(replies) {
-        // Whoever asked may have given up.
+        // The requesting thread may have stopped waiting.
         let _ = job.reply.try_send(reply);
     }
 }
 
-/// Returns how many instances share the table, as far as this one knows.
+/// Returns the number of instances that share the table, as known from heartbeats.
 fn instance_count(shared: &SharedState) -> f64 {
     (shared.metrics.live_peers.get() + 1).max(1) as f64
 }
 
-/// Leads an attempt to its end: it asks the table until the row is held or the attempt
-/// is over. Gives up when `give_up` says so.
+/// Writes and reads the row of a claim until the attempt holds it or has ended. Abandons
+/// the attempt at the time `give_up`.
 pub(crate) fn claim(
     shared: &SharedState,
     key: &str,
@@ -94,7 +94,7 @@
             ClaimStep::Send if shared.now() < give_up => {
                 return ClaimOutcome::Held(attempt.held_version().unwrap_or_default());
             }
-            // A freeze or a slow table has used up the time.
+            // The process was frozen or the table slow, so the time is used up.
             ClaimStep::Send => attempt.abandon(),
             step => return ClaimOutcome::NotHeld(step),
         }
@@ -104,7 +104,7 @@
     }
 }
 
-/// Has the claim thread write a row, and waits for the reply.
+/// Passes a row to the claim thread to write, and waits for the table's reply.
 pub(crate) fn write_row(
     shared: &SharedState,
     key: &str,
@@ -116,26 +116,29 @@
     if shared.claim_jobs.send(job).is_err() {
         return TableReply::NotDone;
     }
-    // Once the job is in the ring, it may be written at any time.
+    // A queued job may still be written after the time-out, so the outcome is unknown.
     let timeout = 2 * shared.config.platform_timeout;
     replies.recv_timeout(timeout).unwrap_or(TableReply::NoAnswer)
 }
 
-/// The writes that this instance may make: its part of what the table takes.
+/// A token bucket that limits the claim commits of this instance to its share of
+/// [`FLEET_WRITES_PER_SECOND`].
 struct WriteBudget {
-    /// How many writes may be made now; below zero when one has been taken in advance.
+    /// The number of commits that may be made now; negative if one has been taken in
+    /// advance.
     available: f64,
-    /// When `available` was worked out.
+    /// When `available` was last computed.
     updated_at: Duration,
 }
 
 impl WriteBudget {
-    /// Starts with a full budget.
+    /// Creates a full budget.
     fn new(now: Duration) -> Self {
         Self { available: WRITE_BURST, updated_at: now }
     }
 
-    /// Takes a write out of the budget and returns how long to wait before making it.
+    /// Takes a commit from the budget and returns how long to wait before making it.
+    /// `instances` is the number of instances that share the rate.
     fn take(&mut self, instances: f64, now: Duration) -> Duration {
         let rate = FLEET_WRITES_PER_SECOND / instances;
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
--- a/crates/flaxtide/src/decide.rs
+++ b/crates/flaxtide/src/decide.rs
@@ -1,4 +1,4 @@
-//! The decision thread: it owns the decision core.
+//! The decision thread, which owns the decision core.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -15,10 +15,11 @@
 use crate::messages::{CallDispatch, CallOrder, DecisionMessage, DecisionSummary};
 use crate::shared::SharedState;
 
-/// The longest time between two looks at the clock.
+/// The maximum time between two events for the decision core. Without other events, it is
+/// sent a tick.
 const TICK_PERIOD: Duration = Duration::from_millis(100);
 
-/// Runs the decision thread until every sender is gone or the instance stops.
+/// Runs the decision thread until all senders have been dropped or the instance stops.
 pub(crate) fn decide(shared: &Arc<SharedState>, messages: &Receiver<DecisionMessage>) {
     let seed = shared.config.seed.unwrap_or_else(|| rand::rng().random());
     let mut thread = DecisionThread {
@@ -37,22 +38,22 @@
 
 /// The state of the decision thread.
 struct DecisionThread {
-    /// What all threads share.
+    /// The state that all threads of the instance share.
     shared: Arc<SharedState>,
-    /// The decision core.
+    /// The decision core, which admits requests and chooses their servers.
     core: DecisionCore,
-    /// The rings to the threads of the calls.
+    /// The channels to the threads of the open calls.
     orders: HashMap<RequestId, Sender<CallOrder>>,
 }
 
 impl DecisionThread {
-    /// Returns how long to wait for a message.
+    /// Returns how long to wait for a message before the core is sent a tick.
     fn wait_time(&self) -> Duration {
         let Some(expiry) = self.core.next_expiry() else { return TICK_PERIOD };
         expiry.saturating_sub(self.shared.now()).min(TICK_PERIOD)
     }
 
-    /// Takes in a message.
+    /// Handles a message from another thread.
     fn handle_message(&mut self, message: DecisionMessage) {
         match message {
             DecisionMessage::Arrive(arrival, orders) => {
@@ -80,13 +81,13 @@
                 let (pools, slots) = (self.core.summary(), self.core.slots(now));
                 let summary = DecisionSummary { pools, slots, usage };
                 self.update_queue_metrics(&summary);
-                // Whoever asked may have stopped waiting.
+                // The requesting thread may have stopped waiting.
                 let _ = reply.send(summary);
             }
         }
     }
 
-    /// Tells the core what happened and does what it decides.
+    /// Passes an event to the core and applies the actions that it returns.
     fn handle_event(&mut self, event: PolicyEvent) {
         let now = self.shared.now();
         for action in self.core.handle(event, now) {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Does what the core has decided.
+    /// Applies an action of the core: records it and sends the order to the call.
     fn apply_action(&mut self, action: PolicyAction, now: Duration) {
         let log = &self.shared.log;
         match action {
@@ -129,16 +130,16 @@
         }
     }
 
-    /// Sends an order to the thread of a call.
+    /// Sends an order to the thread of a call; ignored if the call has ended.
     fn send_order(&self, request: RequestId, order: CallOrder) {
         let Some(orders) = self.orders.get(&request) else { return };
-        // A call has at most one order that it hasn't taken yet, so its ring has room.
+        // A call has at most one unread order, so its channel always has capacity.
         if orders.try_send(order).is_err() {
-            log::error!(request_id = request; "an order found no taker");
+            log::error!(request_id = request; "failed to deliver an order to its call");
         }
     }
 
-    /// Describes a choice for the record.
+    /// Builds the step of the decision record that describes a choice of server.
     fn dispatch_step(
         &self,
         choice: &ServerChoice,
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Shows the queues in the metrics.
+    /// Sets the metrics of queue length by tier, summed over all pools.
     fn update_queue_metrics(&self, summary: &DecisionSummary) {
         let mut waiting: BTreeMap<TierRank, usize> = BTreeMap::new();
         for pool in summary.pools.values() {
@@ -174,9 +175,10 @@
     }
 }
 
-/// Asks the decision thread how things stand. Nothing if it doesn't answer.
+/// Requests a summary from the decision thread. The summary is empty if there is no reply
+/// in time. With `take_usage`, the counts of arrived requests are moved into it.
 pub(crate) fn summarise(shared: &SharedState, take_usage: bool) -> DecisionSummary {
-    /// How long the decision thread may take to answer.
+    /// The time-out for the decision thread's reply.
     const SUMMARY_TIMEOUT: Duration = Duration::from_secs(1);
     let (reply, replies) = bounded(1);
     let message = DecisionMessage::Summarise { take_usage, reply };
@@ -186,7 +188,7 @@
     replies.recv_timeout(SUMMARY_TIMEOUT).unwrap_or_default()
 }
 
-/// Returns the request that an event ends, whatever the core decides.
+/// Returns the request that an event ends regardless of what the core decides.
 fn ended_request(event: &PolicyEvent) -> Option<RequestId> {
     match event {
         PolicyEvent::Finish { request, .. }
--- a/crates/flaxtide/src/exchange/completion.rs
+++ b/crates/flaxtide/src/exchange/completion.rs
@@ -1,4 +1,4 @@
-//! An exchange with a model engine.
+//! The exchange with an engine that serves a language model.
 
 use std::time::Duration;
 
@@ -15,36 +15,38 @@
 use crate::link::{CallerLink, FullResponse, REQUEST_ID_HEADER, StreamLink};
 use crate::request::CompletionPayload;
 
-/// The decision core hears of an answer's pace every so many tokens.
+/// The number of tokens after which the decision core is sent the response's progress.
 const TOKENS_PER_PROGRESS_EVENT: u32 = 16;
 
-/// The data that ends a stream.
+/// The data of the event that ends a stream.
 const DONE: &str = "[DONE]";
 
-/// What has come of an answer so far, over all attempts.
+/// What has been received of a response so far, over all attempts.
 pub(crate) struct ResponseProgress {
-    /// The link to the caller, until a stream begins.
+    /// The link to the caller, until a stream or a complete response is begun on it.
     link: Option<CallerLink>,
-    /// The stream to the caller, once it has begun.
+    /// The stream to the caller, from its first token to its end.
     stream: Option<StreamLink>,
-    /// Whether the caller wants a stream.
+    /// Whether the caller asked for a stream.
     wants_stream: bool,
-    /// The text so far.
+    /// The text received so far, if `keeps_text` is set.
     text: String,
-    /// Whether the text is kept: for a full_body answer, or for the record of an outcome.
+    /// Whether the text is kept: for a response that isn't streamed, or to record the
+    /// outcome of a request with an idempotency key.
     keeps_text: bool,
-    /// How many tokens have come.
+    /// The number of tokens received.
     pub(crate) tokens: u32,
-    /// When the first token came.
+    /// When the first token was received, on the instance's clock.
     pub(crate) first_token: Option<Duration>,
-    /// When the last token came.
+    /// When the latest token was received.
     pub(crate) last_token: Option<Duration>,
-    /// When the decision core last heard of the pace, and at how many tokens.
+    /// When the decision core was last sent the progress or the attempt began, and the
+    /// number of tokens at that time.
     last_progress: (Duration, u32),
 }
 
 impl ResponseProgress {
-    /// Starts without any token.
+    /// Creates the progress of a response of which nothing has been received.
     pub(crate) fn new(link: CallerLink, wants_stream: bool, keeps_text: bool) -> Self {
         Self {
             link: Some(link),
@@ -59,12 +61,12 @@
         }
     }
 
-    /// Returns how many tokens the caller has received.
+    /// Returns the number of tokens sent to the caller: 0 unless a stream is open.
     pub(crate) fn passed_on(&self) -> u32 {
         if self.stream.is_some() { self.tokens } else { 0 }
     }
 
-    /// Gives the caller a full_body answer, or its record as a stream.
+    /// Sends a complete response to the caller, unless one or a stream has been begun.
     pub(crate) fn send_response(
         &mut self,
         response: &FullResponse,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Gives the caller the final word on a request that isn't answered full_body.
+    /// Sends the caller the final error of a request, within the stream if one is open.
     pub(crate) fn fail(&mut self, body: &FailureBody) -> std::io::Result<()> {
         if let Some(stream) = self.stream.take() {
             return stream.fail(body);
@@ -83,7 +85,7 @@
         self.link.take().map_or(Ok(()), |link| link.fail(body))
     }
 
-    /// Passes on one token.
+    /// Counts a token and passes it on if the caller asked for a stream.
     fn pass_token(
         &mut self,
         data: &str,
@@ -105,10 +107,10 @@
         self.stream.as_mut().map_or(Ok(()), |stream| stream.event(data))
     }
 
-    /// Passes on the last chunk and ends the stream.
+    /// Passes on the last chunk and ends the stream with `[DONE]`.
     fn finish_stream(&mut self, data: &str) -> std::io::Result<()> {
         if let Some(link) = self.link.take() {
-            // An answer without any token.
+            // The response has no token, so the stream hasn't begun yet.
             self.stream = Some(link.stream()?);
         }
         let Some(mut stream) = self.stream.take() else { return Ok(()) };
@@ -116,7 +118,7 @@
         stream.finish()
     }
 
-    /// Builds the full_body answer.
+    /// Builds the complete response from the text received.
     pub(crate) fn full_response(
         &self,
         request: RequestId,
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Builds the body of the full_body answer.
+    /// Builds the body of the complete response.
     fn full_body(&self, request: RequestId, payload: &CompletionPayload) -> Value {
         let chat = payload.path.ends_with("/chat/completions");
         let choice = if chat {
@@ -156,10 +158,11 @@
     }
 }
 
-/// Sends a request to an engine and passes the answer on as it comes.
+/// Sends a request to an engine and passes the response on as it is received.
 ///
-/// Every chunk must carry the request's id, and the tokens must come in order and without
-/// a gap. An answer that was broken off is resumed after the last token received.
+/// Every chunk must carry the request's ID, and the tokens must be in order and without
+/// gaps. After an attempt that failed midway, the response is resumed after the last token
+/// received.
 pub(crate) fn exchange_completion(
     attempt: &ServerAttempt<'_>,
     payload: &CompletionPayload,
@@ -189,7 +192,8 @@
     }
 }
 
-/// Sends the request.
+/// Sends the request and returns the response, whose body hasn't been read. `received` is
+/// the number of tokens received by earlier attempts.
 fn send(
     attempt: &ServerAttempt<'_>,
     payload: &CompletionPayload,
@@ -218,7 +222,7 @@
     Ok(response)
 }
 
-/// Takes in one event. Returns whether it is the chunk that ends the answer.
+/// Checks an event and passes on its token. Returns whether it is the last chunk.
 fn handle_event(
     attempt: &ServerAttempt<'_>,
     event: &ServerEvent,
@@ -230,7 +234,7 @@
     if chunk.id != format_request_id(attempt.request_id) {
         log::warn!(
             request_id = format_request_id(attempt.request_id);
-            "an engine sent the answer to another request"
+            "an engine sent the response to another request"
         );
         return Err(broken());
     }
@@ -244,7 +248,7 @@
     let Some(text) = chunk.text() else { return Ok(false) };
     if let Some(index) = event.id.as_ref().and_then(|id| id.parse::<u32>().ok()) {
         if index < progress.tokens {
-            // Sent twice; the caller has it already.
+            // The engine has resent a token that has already been passed on.
             return Ok(false);
         }
         if index > progress.tokens {
@@ -260,7 +264,8 @@
     Ok(false)
 }
 
-/// Tells the decision core of the first token, and now and then of the pace.
+/// Reports the first token to the decision core, and then the progress after every
+/// [`TOKENS_PER_PROGRESS_EVENT`] tokens.
 fn report_progress(
     attempt: &ServerAttempt<'_>,
     progress: &mut ResponseProgress,
@@ -283,7 +288,7 @@
     }
 }
 
-/// Ends an answer, if its last chunk has come.
+/// Ends the response at `[DONE]`. The attempt has failed if no last chunk was received.
 fn finish_response(
     attempt: &ServerAttempt<'_>,
     payload: &CompletionPayload,
--- a/crates/flaxtide/src/exchange/event.rs
+++ b/crates/flaxtide/src/exchange/event.rs
@@ -1,38 +1,38 @@
-//! Server-sent events of an engine (HTML Living Standard, section 9.2).
+//! Server-sent events sent by engines (HTML Living Standard, section 9.2).
 
 use std::io::{self, BufRead, BufReader, Read};
 
 use serde::Deserialize;
 
-/// The longest line that an engine may send, in bytes.
+/// The maximum length of a line sent by an engine, in bytes.
 const MAX_LINE_BYTES: u64 = 1 << 20;
 
-/// A reader of server-sent events.
+/// Reads server-sent events from a response body.
 pub(crate) struct EventReader<R> {
-    /// Where they come from.
+    /// The response body.
     body: BufReader<R>,
-    /// The line being read.
+    /// The line being read, kept to reuse its memory.
     line: String,
 }
 
 /// A server-sent event.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct ServerEvent {
-    /// Its id, if it has one.
+    /// The event's ID; engines set it to the index of the token.
     pub(crate) id: Option<String>,
-    /// Its data.
+    /// The event's data; never empty.
     pub(crate) data: String,
 }
 
-/// The part of a completion chunk that the router looks at.
+/// The fields of a completion chunk that the entry instance reads.
 #[derive(Debug, Deserialize)]
 pub(crate) struct CompletionChunk {
-    /// The id of the completion; it must be the request's.
+    /// The ID of the completion, which must be that of the request.
     pub(crate) id: String,
-    /// The choices; there is one.
+    /// The choices, of which only the first is read.
     #[serde(default)]
     pub(crate) choices: Vec<ChunkChoice>,
-    /// The usage, in the last chunk.
+    /// The token usage, in the last chunk.
     #[serde(default)]
     pub(crate) usage: Option<ChunkUsage>,
 }
@@ -40,39 +40,40 @@
 /// A choice in a completion chunk.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ChunkChoice {
-    /// The piece of a chat answer.
+    /// The next piece of a chat completion.
     #[serde(default)]
     pub(crate) delta: Option<ChunkDelta>,
-    /// The piece of a plain completion.
+    /// The next piece of a text completion.
     #[serde(default)]
     pub(crate) text: Option<String>,
-    /// Why the answer ended, in the last chunk.
+    /// Why the completion ended, in the last chunk.
     #[serde(default)]
     pub(crate) finish_reason: Option<String>,
 }
 
-/// A piece of a chat answer.
+/// A piece of a chat completion.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ChunkDelta {
-    /// The text.
+    /// The text of the piece; `None` if the piece has none.
     #[serde(default)]
     pub(crate) content: Option<String>,
 }
 
-/// The usage of a completion.
+/// The token usage of a completion.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ChunkUsage {
-    /// How many tokens the answer has.
+    /// The number of tokens in the completion, without the prompt.
     pub(crate) completion_tokens: u32,
 }
 
 impl<R: Read> EventReader<R> {
-    /// Reads events from a body.
+    /// Creates a reader of a response body.
     pub(crate) fn new(body: R) -> Self {
         Self { body: BufReader::new(body), line: String::new() }
     }
 
-    /// Reads the next event; nothing at the end of the body.
+    /// Reads the next event that has data. Returns `None` at the end of the body, also if
+    /// it ends within an event.
     pub(crate) fn next(&mut self) -> io::Result<Option<ServerEvent>> {
         let mut event = ServerEvent::default();
         loop {
@@ -100,14 +101,14 @@
 }
 
 impl CompletionChunk {
-    /// Returns the text of the chunk, if it has any.
+    /// Returns the text of the chunk, or `None` if it is missing or empty.
     pub(crate) fn text(&self) -> Option<&str> {
         let choice = self.choices.first()?;
         let chat = choice.delta.as_ref().and_then(|delta| delta.content.as_deref());
         chat.or(choice.text.as_deref()).filter(|text| !text.is_empty())
     }
 
-    /// Tells whether the chunk ends the answer.
+    /// Returns whether this is the last chunk of the completion.
     pub(crate) fn is_last(&self) -> bool {
         self.choices
             .first()
--- a/crates/flaxtide/src/exchange/mod.rs
+++ b/crates/flaxtide/src/exchange/mod.rs
@@ -1,4 +1,4 @@
-//! Exchanges with backend servers: one attempt at one server.
+//! HTTP exchanges with backend servers, each one attempt of a request at one server.
 
 mod completion;
 mod event;
@@ -17,47 +17,49 @@
 use crate::link::FullResponse;
 use crate::shared::SharedState;
 
-/// How long a connection to a backend server may take to open.
+/// The time-out for opening a connection to a backend server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a server may be silent when the request can't go elsewhere.
+/// The silence timeout of attempts for which the decision core sets none, because the
+/// request can't be sent to another server.
 const DEFAULT_SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The header by which a server says that it refused a request without running it.
+/// The header by which a server states that it refused a request without running it.
 const REFUSED_HEADER: &str = "X-Refused";
 
-/// One attempt of a request at one server.
+/// One attempt to run a request on a server.
 pub(crate) struct ServerAttempt<'a> {
-    /// What all threads share.
+    /// The state that all threads of the instance share.
     pub(crate) shared: &'a SharedState,
-    /// The request.
+    /// The ID of the request.
     pub(crate) request_id: RequestId,
-    /// Where the server listens.
+    /// The address on which the server listens.
     pub(crate) address: SocketAddr,
-    /// The priority for the engine; lower numbers first.
+    /// The priority that the engine gives to the request; lower numbers run first.
     pub(crate) priority: u8,
-    /// How long the server may be silent.
+    /// How long the server may send nothing before the attempt fails; `None` for
+    /// [`DEFAULT_SILENCE_TIMEOUT`].
     pub(crate) silence_timeout: Option<Duration>,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Debug)]
 pub(crate) enum AttemptOutcome {
-    /// The whole answer is there.
+    /// The complete response has been received and nothing of it sent to the caller.
     Complete(FullResponse),
-    /// The whole answer has been passed on as a stream.
+    /// The complete response has been passed on to the caller as a stream.
     Streamed,
-    /// The server failed.
+    /// The server refused the request or failed.
     Fault(ServerFault),
-    /// The caller has gone.
+    /// The caller has disconnected.
     CallerGone,
 }
 
 impl ServerAttempt<'_> {
-    /// Prepares a request to the server.
+    /// Sets the time-outs and options of a request to the server.
     fn prepare<B>(&self, builder: RequestBuilder<B>) -> RequestBuilder<B> {
-        // The timeout for a whole request isn't used: it costs a thread, and the deadline
-        // is kept by the decision core. This one bounds each silence.
+        // The read timeout bounds each silence. attohttpc's timeout for whole requests
+        // isn't used: it costs a thread, and the decision core enforces the deadline.
         builder
             .connect_timeout(CONNECT_TIMEOUT)
             .read_timeout(self.silence_timeout.unwrap_or(DEFAULT_SILENCE_TIMEOUT))
@@ -66,10 +68,11 @@
     }
 }
 
-/// Sorts a fault before an answer by whether the request can have reached the server.
+/// Classifies an error before the response by whether the server can have received the
+/// request.
 ///
-/// Only a refused connection, or one that didn't open in time, can't have carried it. A
-/// read that times out reports `WouldBlock` here, so `TimedOut` comes from connecting.
+/// It can't have only if the connection was refused or didn't open in time. A read that
+/// times out is reported as `WouldBlock`, so `TimedOut` can only come from connecting.
 fn classify_send_error(cause: &attohttpc::Error) -> ServerFault {
     match cause.kind() {
         ErrorKind::Io(error) => match error.kind() {
@@ -81,7 +84,7 @@
     }
 }
 
-/// Sorts a fault in mid-answer.
+/// Classifies an error that occurred while the response was read.
 fn classify_read_error(cause: &std::io::Error) -> ServerFault {
     match cause.kind() {
         IoKind::WouldBlock | IoKind::TimedOut => ServerFault::Stalled,
@@ -89,7 +92,8 @@
     }
 }
 
-/// Returns how a server refused a request without running it, if it did.
+/// Returns the fault of a response by which the server refused the request without
+/// running it; `None` for any other response.
 fn refusal_fault(response: &Response) -> Option<ServerFault> {
     if response.status().as_u16() != 503 {
         return None;
--- a/crates/flaxtide/src/exchange/plain.rs
+++ b/crates/flaxtide/src/exchange/plain.rs
@@ -1,4 +1,4 @@
-//! An exchange with a server of a plain service.
+//! The exchange with a server of a plain service.
 
 use attohttpc::header::CONTENT_TYPE;
 use attohttpc::{Method, RequestBuilder};
@@ -12,7 +12,7 @@
 use crate::link::{FullResponse, REQUEST_ID_HEADER};
 use crate::request::{KEY_HEADER, PlainPayload};
 
-/// Sends a call to a server and reads its whole answer.
+/// Sends a request to a server and reads the complete response.
 pub(crate) fn exchange_plain(
     attempt: &ServerAttempt<'_>,
     payload: &PlainPayload,
@@ -42,7 +42,8 @@
     let content_type = response.headers().get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     let content_type = content_type.unwrap_or("application/octet-stream").to_owned();
-    // A server that names the request's id must name the right one.
+    // A server may omit the request's ID from the response, but a different ID shows that
+    // the response belongs to another request.
     let response_id = response.headers().get(REQUEST_ID_HEADER);
     if response_id.is_some_and(|response_id| response_id.as_bytes() != id.as_bytes()) {
         return AttemptOutcome::Fault(ServerFault::Broken);
@@ -53,7 +54,7 @@
     }
 }
 
-/// Sorts a fault in the body of an answer: the call has been run.
+/// Classifies an error in the body of a response, whose request has already run.
 fn classify_body_error(cause: &attohttpc::Error) -> ServerFault {
     match cause.kind() {
         attohttpc::ErrorKind::Io(error) => classify_read_error(error),
--- a/crates/flaxtide/src/settle.rs
+++ b/crates/flaxtide/src/settle.rs
@@ -1,4 +1,5 @@
-//! The settle thread: it sees claims to their last phase, however long the platform is out.
+//! The settle thread, which writes the final phase of claims and retries while the
+//! platform is unavailable.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,14 +12,15 @@
 use crate::messages::SettleJob;
 use crate::shared::SharedState;
 
-/// How long to wait after the table failed.
+/// The pause after a settlement failed.
 const RETRY_PERIOD: Duration = Duration::from_millis(250);
 
-/// How often the thread looks whether it is to end.
+/// How often an idle thread checks whether it should stop.
 const STOP_CHECK_PERIOD: Duration = Duration::from_millis(200);
 
-/// The most claims that wait to be settled. Beyond it, rows stay held, which is safe:
-/// whoever repeats the request is told that it may have run.
+/// The number of open jobs from which on the thread accepts only one new job per
+/// settlement that it tries. Jobs for which the channel is full are dropped, and their rows
+/// stay held. This is safe: a caller that retries the request is told that it may have run.
 const MAX_OPEN_JOBS: usize = 4096;
 
 /// Runs the settle thread until the instance stops.
@@ -46,18 +48,18 @@
     }
 }
 
-/// Hands a settlement to the settle thread.
+/// Queues a settlement for the settle thread. Drops it if the channel is full.
 pub(crate) fn queue_settlement(shared: &SharedState, job: SettleJob) {
     shared.unsettled.fetch_add(1, Ordering::SeqCst);
     if let Err(cause) = shared.settle_jobs.try_send(job) {
         shared.unsettled.fetch_sub(1, Ordering::SeqCst);
-        log::error!("a claim stays held, as too many wait to be settled: {cause}");
+        log::error!("failed to queue a settlement; the claim stays held: {cause}");
     }
 }
 
-/// Tries to settle a row. Returns whether it is settled.
+/// Tries to write the final phase of a row. Returns whether nothing is left to write.
 fn settle(shared: &SharedState, job: &mut SettleJob) -> bool {
-    /// How many conditions may fail in a row before it is tried later.
+    /// The number of writes before the job is retried later.
     const MAX_TRIES: usize = 3;
     for _ in 0..MAX_TRIES {
         let Some(expected) = job.settlement.next_write() else { return true };
