--- a/crates/flaxtide/src/call/keyed.rs
+++ b/crates/flaxtide/src/call/keyed.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated: claims, recorded outcomes and their replay.
+//! Calls with an idempotency key: their claims, recorded outcomes and replay.
 
 use std::time::Duration;
 
@@ -10,92 +10,92 @@
 };
 use serde::{Deserialize, Serialize};
 
-use super::CallDuty;
-use crate::claim::{ClaimEnd, claim};
+use super::CallHandler;
+use crate::claim::{ClaimOutcome, claim};
 use crate::explain::StepKind;
-use crate::link::WholeAnswer;
+use crate::link::FullResponse;
 use crate::messages::SettleJob;
-use crate::settle::hand_over;
+use crate::settle::queue_settlement;
 
-/// The largest body that is recorded in a row of the table, in bytes. Larger ones, and
-/// those that aren't text, go to the object store.
-const ROW_BODY_LIMIT: usize = 16 * 1024;
+/// The largest body that is stored in a row of the platform's table. Larger bodies, and
+/// those that aren't UTF-8 text, are stored in the object store.
+const MAX_ROW_BODY_BYTES: usize = 16 * 1024;
 
-/// How long an answer waits for its record in the table. After that it goes out, and the
-/// record follows.
-const RECORD_WAIT: Duration = Duration::from_secs(1);
+/// How long a response is held back until its outcome is recorded in the table. After
+/// that, the response is sent, and the settle thread still records the outcome.
+const RECORD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When to ask again about a request that another attempt holds.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+/// When the caller should retry a request whose outcome is not known yet.
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// A claim that this call holds.
 pub(super) struct HeldClaim {
-    /// The row's key.
+    /// The key of the row in the platform's table.
     key: String,
-    /// The row.
+    /// The row, in phase [`RowPhase::Held`].
     pub(super) row: ClaimRow,
-    /// The row's version.
+    /// The version of the row, which the settlement expects to find.
     version: u64,
 }
 
-/// How claiming ended.
-pub(super) enum KeyedEnd {
-    /// This call alone may send the request.
+/// The outcome of claiming the request of a call.
+pub(super) enum KeyedOutcome {
+    /// This call holds the claim: it alone may send the request.
     Held(Call<Claimed>),
-    /// The call is over.
-    Over,
+    /// The call couldn't get the claim and has ended.
+    Ended,
 }
 
-/// An answer as it is recorded.
+/// A response as recorded in the row of its claim.
 #[derive(Debug, Serialize, Deserialize)]
 struct RecordedAnswer {
-    /// The HTTP status.
+    /// The HTTP status code.
     status: u16,
-    /// The type of the body.
+    /// The media type of the body.
     content_type: String,
-    /// The body, if it is short text.
+    /// The body, if it is text of at most [`MAX_ROW_BODY_BYTES`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     body: Option<String>,
-    /// The key of the object that holds the body otherwise.
+    /// The key of the object that holds any other body.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     object: Option<String>,
 }
 
-impl CallDuty<'_> {
-    /// Claims the right to run the request, or ends the call.
-    pub(super) fn claim(&mut self, call: Call<Queued>) -> KeyedEnd {
+impl CallHandler<'_> {
+    /// Claims the right to send the request, or ends the call.
+    pub(super) fn claim(&mut self, call: Call<Queued>) -> KeyedOutcome {
         let shared = self.shared;
         let key = self.claim_key();
         let mut attempt =
             ClaimAttempt::new(shared.next_attempt(), self.request.body_hash);
         let give_up = self.arrived + self.request.profile.give_up;
         match claim(shared, &key, &mut attempt, give_up) {
-            ClaimEnd::Held(version) => {
+            ClaimOutcome::Held(version) => {
                 let row = attempt.row(RowPhase::Held);
                 let call = call.claim(row.attempt);
                 self.held = Some(HeldClaim { key, row, version });
                 shared.log.add(self.id, shared.now(), StepKind::Claimed);
-                KeyedEnd::Held(call)
+                KeyedOutcome::Held(call)
             }
-            ClaimEnd::Closed(step) => {
-                // The slot at the server goes to the next request.
+            ClaimOutcome::NotHeld(step) => {
+                // Frees the slot at the server for the next request.
                 shared.tell(PolicyEvent::Abandon { request: self.id });
                 if step == ClaimStep::Abandon {
                     let row = attempt.row(RowPhase::Released);
                     let settlement = ClaimSettlement::new(row, None);
-                    hand_over(shared, SettleJob { key, settlement, done: None });
+                    queue_settlement(shared, SettleJob { key, settlement, done: None });
                 }
                 self.end_unclaimed(call, step);
-                KeyedEnd::Over
+                KeyedOutcome::Ended
             }
         }
     }
 
-    /// Ends a call that couldn't claim its request.
+    /// Ends a call that couldn't get the claim of its request.
     fn end_unclaimed(&mut self, call: Call<Queued>, step: ClaimStep) {
         match step {
             ClaimStep::Replay { outcome } => self.replay(call, &outcome),
-            ClaimStep::HeldByOther => self.defer(call),
+            ClaimStep::HeldByOther => self.refuse_in_progress(call),
             ClaimStep::Mismatch => {
                 let message = "the Idempotency-Key came with another body before";
                 let reason = FailureReason::KeyReused;
@@ -107,14 +107,14 @@
                                answer in time; whether an earlier one under the same key \
                                ran can't be known now";
                 let reason = FailureReason::ClaimUnavailable;
-                let failed = call.refuse_unverified(reason, message, Some(ASK_AGAIN));
+                let failed = call.refuse_unverified(reason, message, Some(RETRY_AFTER));
                 self.end_refused(&failed.body);
             }
         }
     }
 
-    /// Refuses a call with an idempotency key. It says "not run" only if the table says
-    /// that no earlier attempt under the key may have.
+    /// Refuses a call with an idempotency key. The refusal states that the request hasn't
+    /// run only if the table shows that no earlier attempt with the key can have run.
     pub(super) fn refuse_keyed(
         &mut self,
         call: Call<Queued>,
@@ -132,7 +132,7 @@
                     let failed = call.refuse(reason, message, retry_after);
                     self.end_refused(&failed.body);
                 }
-                RowPhase::Held => self.defer(call),
+                RowPhase::Held => self.refuse_in_progress(call),
                 RowPhase::Done { outcome } if row.body_hash == self.request.body_hash => {
                     self.replay(call, &outcome);
                 }
@@ -145,22 +145,22 @@
         }
     }
 
-    /// Tells the caller that another attempt may have run the request.
-    fn defer(&mut self, call: Call<Queued>) {
+    /// Refuses a call because another attempt with its key may have run the request.
+    fn refuse_in_progress(&mut self, call: Call<Queued>) {
         let message = "an attempt under the same Idempotency-Key is running or has run, \
                        and its outcome isn't recorded yet";
         let reason = FailureReason::InProgress;
-        let failed = call.refuse_unverified(reason, message, Some(ASK_AGAIN));
+        let failed = call.refuse_unverified(reason, message, Some(RETRY_AFTER));
         self.end_refused(&failed.body);
     }
 
-    /// Gives the recorded answer again.
+    /// Sends the recorded response to the caller and ends the call.
     fn replay(&mut self, call: Call<Queued>, outcome: &str) {
-        let Some(answer) = self.read_record(outcome) else {
+        let Some(response) = self.read_outcome(outcome) else {
             let message =
                 "the request has run, but its recorded answer can't be read now";
             let reason = FailureReason::InProgress;
-            let failed = call.refuse_unverified(reason, message, Some(ASK_AGAIN));
+            let failed = call.refuse_unverified(reason, message, Some(RETRY_AFTER));
             self.end_refused(&failed.body);
             return;
         };
@@ -168,12 +168,12 @@
         shared.log.add(self.id, shared.now(), StepKind::Replayed);
         let labels = [self.request.profile.name.as_str(), "replayed"];
         shared.metrics.requests.with_label_values(&labels).inc();
-        // A caller that has gone can ask again.
-        let _ = self.progress.answer(&answer);
+        // If the caller has disconnected, it can get the response by a retry.
+        let _ = self.progress.send_response(&response);
     }
 
-    /// Reads a recorded answer.
-    fn read_record(&self, outcome: &str) -> Option<WholeAnswer> {
+    /// Decodes a recorded outcome; `None` if it or the object with its body can't be read.
+    fn read_outcome(&self, outcome: &str) -> Option<FullResponse> {
         let record: RecordedAnswer = serde_json::from_str(outcome).ok()?;
         let body = match (record.body, record.object) {
             (Some(body), _) => body.into_bytes(),
@@ -181,16 +181,16 @@
             (None, None) => vec![],
         };
         let content_type = record.content_type;
-        Some(WholeAnswer { status: record.status, content_type, body })
+        Some(FullResponse { status: record.status, content_type, body })
     }
 
-    /// Records the outcome of a request that may not be repeated, so that a repeat of its
-    /// key gets the same answer.
-    pub(super) fn record(&mut self, answer: &WholeAnswer) {
+    /// Records the outcome of a request with an idempotency key, so that a retry with the
+    /// key gets the same response.
+    pub(super) fn record_outcome(&mut self, response: &FullResponse) {
         let Some(held) = self.held.take() else { return };
-        let Some(outcome) = self.write_record(&held, answer) else {
+        let Some(outcome) = self.encode_outcome(&held, response) else {
             log::warn!(
-                "an outcome can't be recorded, as the object store doesn't answer"
+                "failed to store a response; the outcome of its request stays unrecorded"
             );
             return;
         };
@@ -198,41 +198,49 @@
         let settlement = ClaimSettlement::new(row, Some(held.version));
         let (done, settled) = bounded(1);
         let done = Some(done);
-        hand_over(self.shared, SettleJob { key: held.key, settlement, done });
-        if settled.recv_timeout(RECORD_WAIT).is_err() {
-            log::warn!("an answer goes out before its record is in the table");
+        queue_settlement(self.shared, SettleJob { key: held.key, settlement, done });
+        if settled.recv_timeout(RECORD_TIMEOUT).is_err() {
+            log::warn!("sending a response before its outcome is recorded in the table");
         }
     }
 
-    /// Puts an answer into the form in which it is recorded.
-    fn write_record(&self, held: &HeldClaim, answer: &WholeAnswer) -> Option<String> {
+    /// Encodes a response for its row, and stores a body that doesn't fit there in the
+    /// object store. Returns `None` if that fails.
+    fn encode_outcome(
+        &self,
+        held: &HeldClaim,
+        response: &FullResponse,
+    ) -> Option<String> {
         let mut record = RecordedAnswer {
-            status: answer.status,
-            content_type: answer.content_type.clone(),
+            status: response.status,
+            content_type: response.content_type.clone(),
             body: None,
             object: None,
         };
-        let text = std::str::from_utf8(&answer.body).ok();
-        match text.filter(|text| text.len() <= ROW_BODY_LIMIT) {
+        let text = std::str::from_utf8(&response.body).ok();
+        match text.filter(|text| text.len() <= MAX_ROW_BODY_BYTES) {
             Some(text) => record.body = Some(text.to_owned()),
             None => {
                 let key = format!("outcomes/{:016x}", held.row.attempt);
-                self.shared.platform.put(&key, &answer.body).ok()?;
+                self.shared.platform.put(&key, &response.body).ok()?;
                 record.object = Some(key);
             }
         }
         serde_json::to_string(&record).ok()
     }
 
-    /// Releases the claim of a request that hasn't been sent and won't be.
-    pub(super) fn release(&mut self) {
+    /// Releases the claim, if one is held, of a request that hasn't been sent and won't be.
+    pub(super) fn release_claim(&mut self) {
         let Some(held) = self.held.take() else { return };
         let row = ClaimRow { phase: RowPhase::Released, ..held.row };
         let settlement = ClaimSettlement::new(row, Some(held.version));
-        hand_over(self.shared, SettleJob { key: held.key, settlement, done: None });
+        queue_settlement(
+            self.shared,
+            SettleJob { key: held.key, settlement, done: None },
+        );
     }
 
-    /// Returns the key of the request's claim.
+    /// Returns the key of the claim's row: the organisation and the idempotency key.
     fn claim_key(&self) -> String {
         let key = self.request.key.as_deref().unwrap_or_default();
         claim_key(&self.request.organisation_name, key)
--- a/crates/flaxtide/src/call/mod.rs
+++ b/crates/flaxtide/src/call/mod.rs
@@ -1,4 +1,4 @@
-//! The life of one call, led by a thread of its own.
+//! Handles one call, from its arrival to its end, on a thread of its own.
 
 mod keyed;
 mod outcome;
@@ -14,9 +14,9 @@
 use flaxtide_policy::{CallArrival, PolicyEvent, ServerFault};
 use tiny_http::Request;
 
-use self::keyed::{HeldClaim, KeyedEnd};
+use self::keyed::{HeldClaim, KeyedOutcome};
 use crate::exchange::{
-    AnswerProgress, AttemptEnd, ServerAttempt, exchange_completion, exchange_plain,
+    AttemptOutcome, ResponseProgress, ServerAttempt, exchange_completion, exchange_plain,
 };
 use crate::explain::{DecisionRecord, StepKind};
 use crate::link::{CallerLink, refusal};
@@ -24,16 +24,16 @@
 use crate::request::{CallPayload, CallRequest, is_keyed};
 use crate::shared::SharedState;
 
-/// The most orders that a call may not have taken yet.
-const ORDER_RING: usize = 4;
+/// The capacity of the channel that carries the decision core's orders to a call.
+const ORDER_CAPACITY: usize = 4;
 
-/// Leads a request from its arrival to its end.
+/// Reads an HTTP request and handles it to its end.
 pub(crate) fn serve_call(shared: &Arc<SharedState>, mut request: Request) {
     let id = shared.next_request();
     shared.metrics.received.inc();
-    let closing = shared.leaving();
+    let close_connection = shared.leaving();
     let keyed = is_keyed(&request);
-    if let Some(reason) = closed_reason(shared) {
+    if let Some(reason) = rejection_reason(shared) {
         let message = match reason {
             FailureReason::Stopping => "this instance is stopping",
             _ => "this instance has no settings yet",
@@ -43,10 +43,10 @@
         return;
     }
     let view = shared.view();
-    let read = CallRequest::read(&mut request, &view);
-    let link = CallerLink::new(request, id, closing);
-    match read {
-        Ok(read) => CallDuty::new(shared, id, read, link).lead(),
+    let parsed = CallRequest::read(&mut request, &view);
+    let link = CallerLink::new(request, id, close_connection);
+    match parsed {
+        Ok(request) => CallHandler::new(shared, id, request, link).run(),
         Err(fault) => {
             let body = refusal(id, fault.reason, &fault.message, keyed);
             refuse_early(shared, link, &body);
@@ -54,15 +54,15 @@
     }
 }
 
-/// Returns why no request is taken now, if none is.
-fn closed_reason(shared: &SharedState) -> Option<FailureReason> {
+/// Returns why the instance currently refuses all requests, or `None` if it accepts them.
+fn rejection_reason(shared: &SharedState) -> Option<FailureReason> {
     if shared.closed() {
         return Some(FailureReason::Stopping);
     }
     (shared.view().version == 0).then_some(FailureReason::NotReady)
 }
 
-/// Refuses a request before it has a life.
+/// Refuses a request for which no [`CallHandler`] exists yet.
 pub(crate) fn refuse_early(shared: &SharedState, link: CallerLink, body: &FailureBody) {
     shared.metrics.refusals.with_label_values(&[body.reason.name()]).inc();
     shared.metrics.requests.with_label_values(&["", "refused"]).inc();
@@ -70,38 +70,39 @@
         request_id = body.request_id.as_str(), reason = body.reason.name();
         "refused: {}", body.message
     );
-    // A caller that has gone needs no answer.
+    // If the caller has disconnected, nobody is left to notify.
     let _ = link.fail(body);
 }
 
-/// The duty of leading one call.
-struct CallDuty<'a> {
-    /// What all threads share.
+/// Handles one call.
+struct CallHandler<'a> {
+    /// The state that all threads of the instance share.
     shared: &'a Arc<SharedState>,
-    /// The request's id.
+    /// The ID of the request.
     id: RequestId,
-    /// What the caller asks for.
+    /// The request, as read and checked against the settings.
     request: CallRequest,
-    /// What has come of the answer.
-    progress: AnswerProgress,
-    /// When the request came.
+    /// What has been received of the response, over all attempts.
+    progress: ResponseProgress,
+    /// When the request arrived, on the instance's clock.
     arrived: Duration,
-    /// The claim that this call holds, where the request may not be repeated.
+    /// The claim that this call holds; always `None` for requests without an idempotency
+    /// key.
     held: Option<HeldClaim>,
 }
 
-/// A call that is still open, in one of its states.
+/// A call that hasn't ended, by its state.
 enum OpenCall {
-    /// It waits.
+    /// The call waits for an order of the decision core and holds no claim.
     Queued(Call<Queued>),
-    /// Its claim is held.
+    /// The call holds its claim and waits for an order.
     Claimed(Call<Claimed>),
-    /// Bytes may have gone out.
+    /// Bytes of the request may have reached a backend server.
     Dispatched(Call<Dispatched>),
 }
 
-impl<'a> CallDuty<'a> {
-    /// Makes the duty of a request that has been read.
+impl<'a> CallHandler<'a> {
+    /// Creates the handler of a request that has been read.
     fn new(
         shared: &'a Arc<SharedState>,
         id: RequestId,
@@ -112,19 +113,19 @@
             CallPayload::Completion(payload) => payload.stream,
             CallPayload::Plain(_) => false,
         };
-        let progress = AnswerProgress::new(link, stream, request.key.is_some());
+        let progress = ResponseProgress::new(link, stream, request.key.is_some());
         let arrived = shared.now();
         Self { shared, id, request, progress, arrived, held: None }
     }
 
-    /// Leads the call to its end.
-    fn lead(mut self) {
+    /// Follows the decision core's orders until the call has ended.
+    fn run(mut self) {
         self.open_record();
-        let orders = self.arrive();
+        let orders = self.submit();
         let mut call = Some(OpenCall::Queued(Call::receive(self.id).queue()));
         while let Some(open) = call.take() {
             let Ok(order) = orders.recv() else {
-                self.lose(open);
+                self.abort(open);
                 return;
             };
             call = match order {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Starts the record for `flaxctl explain`.
+    /// Opens the decision record that `flaxctl explain` shows.
     fn open_record(&self) {
         let request = &self.request;
         let view = self.shared.view();
@@ -156,8 +157,8 @@
         self.shared.log.open(self.id, record);
     }
 
-    /// Tells the decision core of the request and returns the ring of its orders.
-    fn arrive(&self) -> Receiver<CallOrder> {
+    /// Submits the request to the decision core and returns the channel with its orders.
+    fn submit(&self) -> Receiver<CallOrder> {
         let request = &self.request;
         let (prompt_tokens, prefix) = match &request.payload {
             CallPayload::Completion(payload) => (payload.prompt_tokens, payload.prefix),
@@ -176,56 +177,58 @@
             first_token: Some(request.profile.first_token),
             repeatable: request.repeatable,
         };
-        let (orders, ring) = bounded(ORDER_RING);
-        // The decision thread outlives all calls; without it the ring is closed, which
-        // ends the call.
+        let (orders, receiver) = bounded(ORDER_CAPACITY);
+        // The decision thread outlives all calls. If it has ended nevertheless, the order
+        // channel is closed, which ends the call.
         let _ = self.shared.decisions.send(DecisionMessage::Arrive(arrival, orders));
-        ring
+        receiver
     }
 
-    /// Sends the request to a server. Returns the call if it is still open.
+    /// Sends the request to a server, once its claim is held if it needs one. Returns the
+    /// call if it hasn't ended.
     fn dispatch(&mut self, open: OpenCall, dispatch: &CallDispatch) -> Option<OpenCall> {
         let call = match open {
             OpenCall::Queued(call) if self.request.key.is_some() => {
                 match self.claim(call) {
-                    KeyedEnd::Held(call) => call.dispatch(),
-                    KeyedEnd::Over => return None,
+                    KeyedOutcome::Held(call) => call.dispatch(),
+                    KeyedOutcome::Ended => return None,
                 }
             }
             OpenCall::Queued(call) => call.dispatch(),
             OpenCall::Claimed(call) => call.dispatch(),
             OpenCall::Dispatched(call) => call,
         };
-        let Some(end) = self.exchange(dispatch) else {
-            // The settings no longer hold the server.
-            return self.server_failed(call, ServerFault::NotRun);
+        let Some(outcome) = self.run_attempt(dispatch) else {
+            // The server is no longer in the settings, so nothing has been sent.
+            return self.handle_fault(call, ServerFault::NotRun);
         };
-        match end {
-            AttemptEnd::Whole(answer) => {
-                self.answered(call, Some(&answer));
+        match outcome {
+            AttemptOutcome::Complete(response) => {
+                self.end_answered(call, Some(&response));
                 None
             }
-            AttemptEnd::Streamed => {
-                self.answered(call, None);
+            AttemptOutcome::Streamed => {
+                self.end_answered(call, None);
                 None
             }
-            AttemptEnd::Fault(fault) => self.server_failed(call, fault),
-            AttemptEnd::CallerGone => {
-                self.caller_gone(call);
+            AttemptOutcome::Fault(fault) => self.handle_fault(call, fault),
+            AttemptOutcome::CallerGone => {
+                self.end_caller_gone(call);
                 None
             }
         }
     }
 
-    /// Makes one attempt at a server.
-    fn exchange(&mut self, dispatch: &CallDispatch) -> Option<AttemptEnd> {
+    /// Sends the request to a server and passes on its response. Returns `None` if the
+    /// server is no longer in the settings.
+    fn run_attempt(&mut self, dispatch: &CallDispatch) -> Option<AttemptOutcome> {
         let view = self.shared.view();
         let attempt = ServerAttempt {
             shared: self.shared,
-            request: self.id,
+            request_id: self.id,
             address: view.servers.get(&dispatch.server)?.address,
             priority: dispatch.priority,
-            patience: dispatch.patience,
+            silence_timeout: dispatch.silence_timeout,
         };
         Some(match &self.request.payload {
             CallPayload::Completion(payload) => {
@@ -237,9 +240,9 @@
         })
     }
 
-    /// Takes in that a server failed the request, and leaves it to the decision core what
-    /// follows.
-    fn server_failed(
+    /// Reports a failed attempt to the decision core, which orders a retry or ends the
+    /// call.
+    fn handle_fault(
         &mut self,
         call: Call<Dispatched>,
         fault: ServerFault,
@@ -251,8 +254,8 @@
         self.shared.log.add(self.id, self.shared.now(), step);
         let request = self.id;
         self.shared.tell(PolicyEvent::Fail { request, fault, passed_on });
-        let unsent = matches!(fault, ServerFault::NotRun | ServerFault::Leaving);
-        if !unsent || self.progress.tokens > 0 {
+        let not_run = matches!(fault, ServerFault::NotRun | ServerFault::Leaving);
+        if !not_run || self.progress.tokens > 0 {
             return Some(OpenCall::Dispatched(call));
         }
         let call = call.take_back();
@@ -262,7 +265,7 @@
         })
     }
 
-    /// Refuses the request as the decision core says.
+    /// Refuses the request, as ordered by the decision core.
     fn refuse(&mut self, open: OpenCall, reason: FailureReason, retry_after: Duration) {
         let message = refusal_message(reason, &self.request);
         let retry_after = Some(retry_after);
@@ -276,10 +279,11 @@
             }
             OpenCall::Claimed(call) => {
                 let failed = call.refuse(reason, &message, retry_after);
-                self.release();
+                self.release_claim();
                 self.end_refused(&failed.body);
             }
-            // An earlier attempt may have run: the core's word would be untrue.
+            // An earlier attempt may have run, so a refusal, which promises that the
+            // request hasn't run, would be wrong.
             OpenCall::Dispatched(call) => {
                 let failed = call.fail(reason, &message, retry_after);
                 self.end_failed(&failed.body);
@@ -287,7 +291,7 @@
         }
     }
 
-    /// Gives the request up as the decision core says.
+    /// Ends a call whose attempts have failed, as ordered by the decision core.
     fn give_up(&mut self, open: OpenCall, retry_after: Duration) {
         let reason = FailureReason::ServerFailed;
         let message =
@@ -303,20 +307,20 @@
             }
             OpenCall::Claimed(call) => {
                 let failed = call.refuse(reason, message, Some(retry_after));
-                self.release();
+                self.release_claim();
                 self.end_refused(&failed.body);
             }
         }
     }
 
-    /// Ends a call whose orders have stopped, as the decision thread has ended.
-    fn lose(&mut self, open: OpenCall) {
-        log::error!(request_id = format_request_id(self.id); "the decision thread is gone");
+    /// Ends a call whose order channel has closed because the decision thread has ended.
+    fn abort(&mut self, open: OpenCall) {
+        log::error!(request_id = format_request_id(self.id); "the decision thread has ended");
         self.refuse(open, FailureReason::Stopping, Duration::from_secs(1));
     }
 }
 
-/// Returns a fault's name for metrics and records.
+/// Returns the name of a fault in metrics and decision records.
 fn fault_name(fault: ServerFault) -> &'static str {
     match fault {
         ServerFault::NotRun => "not_run",
@@ -326,7 +330,7 @@
     }
 }
 
-/// Says why a request is refused.
+/// Returns the message to the caller that explains a refusal.
 fn refusal_message(reason: FailureReason, request: &CallRequest) -> String {
     let class = &request.profile.name;
     let tier = &request.profile.tier;
--- a/crates/flaxtide/src/call/outcome.rs
+++ b/crates/flaxtide/src/call/outcome.rs
@@ -1,88 +1,91 @@
-//! How a call ends: exactly once, and counted.
+//! The ends of a call. Each call ends exactly once, and each end is counted and logged.
 
 use flaxtide_core::{
     Call, CallEnd, Dispatched, FailureBody, FailureReason, format_request_id,
 };
 use flaxtide_policy::PolicyEvent;
 
-use super::CallDuty;
+use super::CallHandler;
 use crate::explain::StepKind;
-use crate::link::WholeAnswer;
+use crate::link::FullResponse;
 use crate::request::CallPayload;
 
-impl CallDuty<'_> {
-    /// Ends a call whose answer is whole. A stream has been passed on already.
-    pub(super) fn answered(
+impl CallHandler<'_> {
+    /// Ends a call whose response is complete. `response` is `None` if it has been passed
+    /// on as a stream already.
+    pub(super) fn end_answered(
         &mut self,
         call: Call<Dispatched>,
-        answer: Option<&WholeAnswer>,
+        response: Option<&FullResponse>,
     ) {
         let tokens = self.progress.tokens;
         let now = self.shared.now();
         self.progress.first_token.get_or_insert(now);
         self.shared.tell(PolicyEvent::Finish { request: self.id, tokens });
-        self.record_answer(answer);
-        if answer.is_some_and(|answer| self.progress.answer(answer).is_err()) {
-            self.caller_gone(call);
+        self.record_response(response);
+        if response.is_some_and(|response| self.progress.send_response(response).is_err())
+        {
+            self.end_caller_gone(call);
             return;
         }
         let _ = call.answer();
         let met_target = self.met_target();
-        self.count_answer(met_target);
-        self.end(CallEnd::Answered, StepKind::Answered { tokens, met_target });
+        self.count_response(met_target);
+        self.record_end(CallEnd::Answered, StepKind::Answered { tokens, met_target });
     }
 
-    /// Records the answer of a call that may not be repeated; others keep none.
-    fn record_answer(&mut self, answer: Option<&WholeAnswer>) {
+    /// Records the response if the call holds a claim; other responses aren't recorded.
+    fn record_response(&mut self, response: Option<&FullResponse>) {
         if self.held.is_none() {
             return;
         }
-        match (answer, &self.request.payload) {
-            (Some(answer), _) => self.record(answer),
+        match (response, &self.request.payload) {
+            (Some(response), _) => self.record_outcome(response),
             (None, CallPayload::Completion(payload)) => {
-                let answer = self.progress.whole_answer(self.id, payload);
-                self.record(&answer);
+                let response = self.progress.full_response(self.id, payload);
+                self.record_outcome(&response);
             }
-            // A plain service's answer is never streamed.
+            // Responses of plain services are never streamed.
             (None, CallPayload::Plain(_)) => {}
         }
     }
 
-    /// Ends a call that was refused.
+    /// Ends a call that is refused; this attempt at the request hasn't run.
     pub(super) fn end_refused(&mut self, body: &FailureBody) {
         let metrics = &self.shared.metrics;
         metrics.refusals.with_label_values(&[body.reason.name()]).inc();
         let labels = [self.request.profile.name.as_str(), "refused"];
         metrics.attainment.with_label_values(&labels).inc();
-        // A caller that has gone needs no answer.
+        // If the caller has disconnected, nobody is left to notify.
         let _ = self.progress.fail(body);
         let (reason, retry_after_ms) = (body.reason, body.retry_after_ms);
-        self.end(CallEnd::Refused, StepKind::Refused { reason, retry_after_ms });
+        self.record_end(CallEnd::Refused, StepKind::Refused { reason, retry_after_ms });
     }
 
-    /// Ends a call that may have run, without a whole answer.
+    /// Ends a call that may have run and has no complete response.
     pub(super) fn end_failed(&mut self, body: &FailureBody) {
         let metrics = &self.shared.metrics;
         metrics.wasted_tokens.inc_by(u64::from(self.progress.tokens));
         let labels = [self.request.profile.name.as_str(), "failed"];
         metrics.attainment.with_label_values(&labels).inc();
-        // A caller that has gone needs no answer.
+        // If the caller has disconnected, nobody is left to notify.
         let _ = self.progress.fail(body);
-        self.end(CallEnd::Failed, StepKind::Failed { reason: body.reason });
+        self.record_end(CallEnd::Failed, StepKind::Failed { reason: body.reason });
     }
 
-    /// Ends a call whose caller has gone. Its stream at the engine is cancelled, as the
-    /// connection closes.
-    pub(super) fn caller_gone(&mut self, call: Call<Dispatched>) {
+    /// Ends a call whose caller has disconnected. The connection to the engine is closed,
+    /// which cancels its stream.
+    pub(super) fn end_caller_gone(&mut self, call: Call<Dispatched>) {
         let reason = FailureReason::CallerGone;
         let _ = call.fail(reason, "the caller has gone", None);
         self.shared.tell(PolicyEvent::CallerGone { request: self.id });
         let tokens = u64::from(self.progress.tokens);
         self.shared.metrics.wasted_tokens.inc_by(tokens);
-        self.end(CallEnd::Failed, StepKind::CallerGone);
+        self.record_end(CallEnd::Failed, StepKind::CallerGone);
     }
 
-    /// Tells whether the answer met its latency target.
+    /// Returns whether the response met the latency targets of its class: the first token
+    /// in time, and the later ones in time on average.
     fn met_target(&self) -> bool {
         let profile = &self.request.profile;
         let Some(first) = self.progress.first_token else { return false };
@@ -90,12 +93,12 @@
             return false;
         }
         let Some(last) = self.progress.last_token else { return true };
-        let further = self.progress.tokens.saturating_sub(1);
-        last.saturating_sub(first) <= profile.between_tokens * further
+        let later_tokens = self.progress.tokens.saturating_sub(1);
+        last.saturating_sub(first) <= profile.between_tokens * later_tokens
     }
 
-    /// Counts an answer.
-    fn count_answer(&self, met_target: bool) {
+    /// Updates the metrics of completed responses.
+    fn count_response(&self, met_target: bool) {
         let metrics = &self.shared.metrics;
         let class = self.request.profile.name.as_str();
         let met = if met_target { "yes" } else { "no" };
@@ -109,8 +112,8 @@
         }
     }
 
-    /// Counts and records the end of the call.
-    fn end(&self, end: CallEnd, step: StepKind) {
+    /// Counts the end of the call, adds it to the decision record and logs it.
+    fn record_end(&self, end: CallEnd, step: StepKind) {
         let name = match end {
             CallEnd::Answered => "answered",
             CallEnd::Refused => "refused",
--- a/crates/flaxtide/src/decide.rs
+++ b/crates/flaxtide/src/decide.rs
@@ -1,4 +1,4 @@
-//! The decision thread: it owns the decision core.
+//! The decision thread, which owns the decision core.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -15,60 +15,61 @@
 use crate::messages::{CallDispatch, CallOrder, DecisionMessage, DecisionSummary};
 use crate::shared::SharedState;
 
-/// The longest time between two looks at the clock.
+/// The maximum time between two events for the decision core. Without other events, it is
+/// sent a tick.
 const TICK_PERIOD: Duration = Duration::from_millis(100);
 
-/// Runs the decision thread until every sender is gone or the instance stops.
+/// Runs the decision thread until all senders have been dropped or the instance stops.
 pub(crate) fn decide(shared: &Arc<SharedState>, messages: &Receiver<DecisionMessage>) {
     let seed = shared.config.seed.unwrap_or_else(|| rand::rng().random());
-    let mut duty = DecisionDuty {
+    let mut thread = DecisionThread {
         shared: shared.clone(),
         core: DecisionCore::new(PolicyOptions::default(), seed),
         orders: HashMap::new(),
     };
     while !shared.stopped() {
-        match messages.recv_timeout(duty.wait()) {
-            Ok(message) => duty.take(message),
-            Err(RecvTimeoutError::Timeout) => duty.happen(PolicyEvent::Tick),
+        match messages.recv_timeout(thread.wait_time()) {
+            Ok(message) => thread.handle_message(message),
+            Err(RecvTimeoutError::Timeout) => thread.handle_event(PolicyEvent::Tick),
             Err(RecvTimeoutError::Disconnected) => return,
         }
     }
 }
 
 /// The state of the decision thread.
-struct DecisionDuty {
-    /// What all threads share.
+struct DecisionThread {
+    /// The state that all threads of the instance share.
     shared: Arc<SharedState>,
-    /// The decision core.
+    /// The decision core, which admits requests and chooses their servers.
     core: DecisionCore,
-    /// The rings to the threads of the calls.
+    /// The channels to the threads of the open calls.
     orders: HashMap<RequestId, Sender<CallOrder>>,
 }
 
-impl DecisionDuty {
-    /// Returns how long to wait for a message.
-    fn wait(&self) -> Duration {
+impl DecisionThread {
+    /// Returns how long to wait for a message before the core is sent a tick.
+    fn wait_time(&self) -> Duration {
         let Some(expiry) = self.core.next_expiry() else { return TICK_PERIOD };
         expiry.saturating_sub(self.shared.now()).min(TICK_PERIOD)
     }
 
-    /// Takes in a message.
-    fn take(&mut self, message: DecisionMessage) {
+    /// Handles a message from another thread.
+    fn handle_message(&mut self, message: DecisionMessage) {
         match message {
             DecisionMessage::Arrive(arrival, orders) => {
                 self.orders.insert(arrival.request, orders);
-                self.happen(PolicyEvent::Arrive(arrival));
+                self.handle_event(PolicyEvent::Arrive(arrival));
             }
             DecisionMessage::Event(event) => {
                 let ended = ended_request(&event);
-                self.happen(event);
+                self.handle_event(event);
                 if let Some(request) = ended {
                     self.orders.remove(&request);
                 }
             }
             DecisionMessage::Events(events) => {
                 for event in events {
-                    self.happen(event);
+                    self.handle_event(event);
                 }
             }
             DecisionMessage::Summarise { take_usage, reply } => {
@@ -79,23 +80,23 @@
                 };
                 let (pools, slots) = (self.core.summary(), self.core.slots(now));
                 let summary = DecisionSummary { pools, slots, usage };
-                self.show_queue(&summary);
-                // Whoever asked may have stopped waiting.
+                self.update_queue_metrics(&summary);
+                // The requesting thread may have stopped waiting.
                 let _ = reply.send(summary);
             }
         }
     }
 
-    /// Tells the core what happened and does what it decides.
-    fn happen(&mut self, event: PolicyEvent) {
+    /// Passes an event to the core and applies the actions that it returns.
+    fn handle_event(&mut self, event: PolicyEvent) {
         let now = self.shared.now();
         for action in self.core.handle(event, now) {
-            self.act(action, now);
+            self.apply_action(action, now);
         }
     }
 
-    /// Does what the core has decided.
-    fn act(&mut self, action: PolicyAction, now: Duration) {
+    /// Applies an action of the core: records it and sends the order to the call.
+    fn apply_action(&mut self, action: PolicyAction, now: Duration) {
         let log = &self.shared.log;
         match action {
             PolicyAction::Wait { request, place, predicted } => {
@@ -106,40 +107,40 @@
                 request,
                 choice,
                 priority,
-                silence_timeout: patience,
+                silence_timeout,
                 attempt,
             } => {
-                let step = self.describe(&choice, priority, attempt);
+                let step = self.dispatch_step(&choice, priority, attempt);
                 log.add(request, now, step);
                 if attempt > 1 {
                     self.shared.metrics.retries.inc();
                 }
                 let server = choice.server;
-                let dispatch = CallDispatch { server, priority, patience };
-                self.order(request, CallOrder::Dispatch(dispatch));
+                let dispatch = CallDispatch { server, priority, silence_timeout };
+                self.send_order(request, CallOrder::Dispatch(dispatch));
             }
             PolicyAction::Refuse { request, reason, retry_after } => {
-                self.order(request, CallOrder::Refuse(reason, retry_after));
+                self.send_order(request, CallOrder::Refuse(reason, retry_after));
                 self.orders.remove(&request);
             }
             PolicyAction::GiveUp { request, retry_after } => {
-                self.order(request, CallOrder::GiveUp(retry_after));
+                self.send_order(request, CallOrder::GiveUp(retry_after));
                 self.orders.remove(&request);
             }
         }
     }
 
-    /// Sends an order to the thread of a call.
-    fn order(&self, request: RequestId, order: CallOrder) {
+    /// Sends an order to the thread of a call; ignored if the call has ended.
+    fn send_order(&self, request: RequestId, order: CallOrder) {
         let Some(orders) = self.orders.get(&request) else { return };
-        // A call has at most one order that it hasn't taken yet, so its ring has room.
+        // A call has at most one unread order, so its channel always has capacity.
         if orders.try_send(order).is_err() {
-            log::error!(request_id = request; "an order found no taker");
+            log::error!(request_id = request; "failed to deliver an order to its call");
         }
     }
 
-    /// Describes a choice for the record.
-    fn describe(
+    /// Builds the step of the decision record that describes a choice of server.
+    fn dispatch_step(
         &self,
         choice: &ServerChoice,
         priority: TierRank,
@@ -159,8 +160,8 @@
         }
     }
 
-    /// Shows the queues in the metrics.
-    fn show_queue(&self, summary: &DecisionSummary) {
+    /// Sets the metrics of queue length by tier, summed over all pools.
+    fn update_queue_metrics(&self, summary: &DecisionSummary) {
         let mut waiting: BTreeMap<TierRank, usize> = BTreeMap::new();
         for pool in summary.pools.values() {
             for (tier, count) in &pool.waiting {
@@ -174,19 +175,20 @@
     }
 }
 
-/// Asks the decision thread how things stand. Nothing if it doesn't answer.
+/// Requests a summary from the decision thread. The summary is empty if there is no reply
+/// in time. With `take_usage`, the counts of arrived requests are moved into it.
 pub(crate) fn summarise(shared: &SharedState, take_usage: bool) -> DecisionSummary {
-    /// How long the decision thread may take to answer.
+    /// The time-out for the decision thread's reply.
     const SUMMARY_TIMEOUT: Duration = Duration::from_secs(1);
     let (reply, replies) = bounded(1);
-    let question = DecisionMessage::Summarise { take_usage, reply };
-    if shared.decisions.send(question).is_err() {
+    let message = DecisionMessage::Summarise { take_usage, reply };
+    if shared.decisions.send(message).is_err() {
         return DecisionSummary::default();
     }
     replies.recv_timeout(SUMMARY_TIMEOUT).unwrap_or_default()
 }
 
-/// Returns the request that an event ends, whatever the core decides.
+/// Returns the request that an event ends regardless of what the core decides.
 fn ended_request(event: &PolicyEvent) -> Option<RequestId> {
     match event {
         PolicyEvent::Finish { request, .. }
--- a/crates/flaxtide/src/exchange/completion.rs
+++ b/crates/flaxtide/src/exchange/completion.rs
@@ -1,4 +1,4 @@
-//! An exchange with a model engine.
+//! The exchange with an engine that serves a language model.
 
 use std::time::Duration;
 
@@ -7,41 +7,46 @@
 use serde_json::{Value, json};
 
 use super::event::{CompletionChunk, EventReader, ServerEvent};
-use super::{AttemptEnd, ServerAttempt, connect_fault, read_fault, refusal_of};
+use super::{
+    AttemptOutcome, ServerAttempt, classify_read_error, classify_send_error,
+    refusal_fault,
+};
 use crate::explain::StepKind;
-use crate::link::{CallerLink, REQUEST_ID_HEADER, StreamLink, WholeAnswer};
+use crate::link::{CallerLink, FullResponse, REQUEST_ID_HEADER, StreamLink};
 use crate::request::CompletionPayload;
 
-/// The decision core hears of an answer's pace every so many tokens.
-const PACE_TOKENS: u32 = 16;
+/// The number of tokens after which the decision core is sent the response's progress.
+const TOKENS_PER_PROGRESS_EVENT: u32 = 16;
 
-/// The data that ends a stream.
+/// The data of the event that ends a stream.
 const DONE: &str = "[DONE]";
 
-/// What has come of an answer so far, over all attempts.
-pub(crate) struct AnswerProgress {
-    /// The link to the caller, until a stream begins.
+/// What has been received of a response so far, over all attempts.
+pub(crate) struct ResponseProgress {
+    /// The link to the caller, until a stream or a complete response is begun on it.
     link: Option<CallerLink>,
-    /// The stream to the caller, once it has begun.
+    /// The stream to the caller, from its first token to its end.
     stream: Option<StreamLink>,
-    /// Whether the caller wants a stream.
+    /// Whether the caller asked for a stream.
     wants_stream: bool,
-    /// The text so far.
+    /// The text received so far, if `keeps_text` is set.
     text: String,
-    /// Whether the text is kept: for a whole answer, or for the record of an outcome.
+    /// Whether the text is kept: for a response that isn't streamed, or to record the
+    /// outcome of a request with an idempotency key.
     keeps_text: bool,
-    /// How many tokens have come.
+    /// The number of tokens received.
     pub(crate) tokens: u32,
-    /// When the first token came.
+    /// When the first token was received, on the instance's clock.
     pub(crate) first_token: Option<Duration>,
-    /// When the last token came.
+    /// When the latest token was received.
     pub(crate) last_token: Option<Duration>,
-    /// When the decision core last heard of the pace, and at how many tokens.
-    pace_mark: (Duration, u32),
+    /// When the decision core was last sent the progress or the attempt began, and the
+    /// number of tokens at that time.
+    last_progress: (Duration, u32),
 }
 
-impl AnswerProgress {
-    /// Starts without any token.
+impl ResponseProgress {
+    /// Creates the progress of a response of which nothing has been received.
     pub(crate) fn new(link: CallerLink, wants_stream: bool, keeps_text: bool) -> Self {
         Self {
             link: Some(link),
@@ -52,24 +57,27 @@
             tokens: 0,
             first_token: None,
             last_token: None,
-            pace_mark: (Duration::ZERO, 0),
+            last_progress: (Duration::ZERO, 0),
         }
     }
 
-    /// Returns how many tokens the caller has received.
+    /// Returns the number of tokens sent to the caller: 0 unless a stream is open.
     pub(crate) fn passed_on(&self) -> u32 {
         if self.stream.is_some() { self.tokens } else { 0 }
     }
 
-    /// Gives the caller a whole answer, or its record as a stream.
-    pub(crate) fn answer(&mut self, answer: &WholeAnswer) -> std::io::Result<()> {
+    /// Sends a complete response to the caller, unless one or a stream has been begun.
+    pub(crate) fn send_response(
+        &mut self,
+        response: &FullResponse,
+    ) -> std::io::Result<()> {
         match self.link.take() {
-            Some(link) => link.answer(answer),
+            Some(link) => link.answer(response),
             None => Ok(()),
         }
     }
 
-    /// Gives the caller the final word on a request that isn't answered whole.
+    /// Sends the caller the final error of a request, within the stream if one is open.
     pub(crate) fn fail(&mut self, body: &FailureBody) -> std::io::Result<()> {
         if let Some(stream) = self.stream.take() {
             return stream.fail(body);
@@ -77,8 +85,13 @@
         self.link.take().map_or(Ok(()), |link| link.fail(body))
     }
 
-    /// Passes on one token.
-    fn pass(&mut self, data: &str, text: &str, now: Duration) -> std::io::Result<()> {
+    /// Counts a token and passes it on if the caller asked for a stream.
+    fn pass_token(
+        &mut self,
+        data: &str,
+        text: &str,
+        now: Duration,
+    ) -> std::io::Result<()> {
         self.tokens += 1;
         self.last_token = Some(now);
         self.first_token.get_or_insert(now);
@@ -94,10 +107,10 @@
         self.stream.as_mut().map_or(Ok(()), |stream| stream.event(data))
     }
 
-    /// Passes on the last chunk and ends the stream.
-    fn finish(&mut self, data: &str) -> std::io::Result<()> {
+    /// Passes on the last chunk and ends the stream with `[DONE]`.
+    fn finish_stream(&mut self, data: &str) -> std::io::Result<()> {
         if let Some(link) = self.link.take() {
-            // An answer without any token.
+            // The response has no token, so the stream hasn't begun yet.
             self.stream = Some(link.stream()?);
         }
         let Some(mut stream) = self.stream.take() else { return Ok(()) };
@@ -105,22 +118,22 @@
         stream.finish()
     }
 
-    /// Builds the whole answer.
-    pub(crate) fn whole_answer(
+    /// Builds the complete response from the text received.
+    pub(crate) fn full_response(
         &self,
         request: RequestId,
         payload: &CompletionPayload,
-    ) -> WholeAnswer {
-        let body = self.whole(request, payload);
-        WholeAnswer {
+    ) -> FullResponse {
+        let body = self.full_body(request, payload);
+        FullResponse {
             status: 200,
             content_type: "application/json".into(),
             body: serde_json::to_vec(&body).unwrap_or_default(),
         }
     }
 
-    /// Builds the body of the whole answer.
-    fn whole(&self, request: RequestId, payload: &CompletionPayload) -> Value {
+    /// Builds the body of the complete response.
+    fn full_body(&self, request: RequestId, payload: &CompletionPayload) -> Value {
         let chat = payload.path.ends_with("/chat/completions");
         let choice = if chat {
             json!({
@@ -145,40 +158,42 @@
     }
 }
 
-/// Sends a request to an engine and passes the answer on as it comes.
+/// Sends a request to an engine and passes the response on as it is received.
 ///
-/// Every chunk must carry the request's id, and the tokens must come in order and without
-/// a gap. An answer that was broken off is resumed after the last token received.
+/// Every chunk must carry the request's ID, and the tokens must be in order and without
+/// gaps. After an attempt that failed midway, the response is resumed after the last token
+/// received.
 pub(crate) fn exchange_completion(
     attempt: &ServerAttempt<'_>,
     payload: &CompletionPayload,
-    progress: &mut AnswerProgress,
-) -> AttemptEnd {
+    progress: &mut ResponseProgress,
+) -> AttemptOutcome {
     let response = match send(attempt, payload, progress.tokens) {
         Ok(response) => response,
-        Err(fault) => return AttemptEnd::Fault(fault),
+        Err(fault) => return AttemptOutcome::Fault(fault),
     };
     let mut events = EventReader::new(response);
-    progress.pace_mark = (attempt.shared.now(), progress.tokens);
+    progress.last_progress = (attempt.shared.now(), progress.tokens);
     let mut last_chunk = None;
     loop {
         let event = match events.next() {
             Ok(Some(event)) => event,
-            Ok(None) => return AttemptEnd::Fault(ServerFault::Broken),
-            Err(cause) => return AttemptEnd::Fault(read_fault(&cause)),
+            Ok(None) => return AttemptOutcome::Fault(ServerFault::Broken),
+            Err(cause) => return AttemptOutcome::Fault(classify_read_error(&cause)),
         };
         if event.data == DONE {
-            return end(attempt, payload, progress, last_chunk.as_deref());
+            return finish_response(attempt, payload, progress, last_chunk.as_deref());
         }
-        match take_event(attempt, &event, progress) {
+        match handle_event(attempt, &event, progress) {
             Ok(true) => last_chunk = Some(event.data),
             Ok(false) => {}
-            Err(end) => return end,
+            Err(outcome) => return outcome,
         }
     }
 }
 
-/// Sends the request.
+/// Sends the request and returns the response, whose body hasn't been read. `received` is
+/// the number of tokens received by earlier attempts.
 fn send(
     attempt: &ServerAttempt<'_>,
     payload: &CompletionPayload,
@@ -191,14 +206,14 @@
     let text = serde_json::to_vec(&body).unwrap_or_default();
     let request = attohttpc::post(url)
         .header("Content-Type", "application/json")
-        .header(REQUEST_ID_HEADER, format_request_id(attempt.request));
+        .header(REQUEST_ID_HEADER, format_request_id(attempt.request_id));
     let request = match received.checked_sub(1) {
         Some(last) => request.header("Last-Event-ID", last.to_string()),
         None => request,
     };
     let request = attempt.prepare(request.bytes(text));
-    let response = request.send().map_err(|cause| connect_fault(&cause))?;
-    if let Some(fault) = refusal_of(&response) {
+    let response = request.send().map_err(|cause| classify_send_error(&cause))?;
+    if let Some(fault) = refusal_fault(&response) {
         return Err(fault);
     }
     if !response.is_success() {
@@ -207,25 +222,25 @@
     Ok(response)
 }
 
-/// Takes in one event. Returns whether it is the chunk that ends the answer.
-fn take_event(
+/// Checks an event and passes on its token. Returns whether it is the last chunk.
+fn handle_event(
     attempt: &ServerAttempt<'_>,
     event: &ServerEvent,
-    progress: &mut AnswerProgress,
-) -> Result<bool, AttemptEnd> {
-    let broken = || AttemptEnd::Fault(ServerFault::Broken);
+    progress: &mut ResponseProgress,
+) -> Result<bool, AttemptOutcome> {
+    let broken = || AttemptOutcome::Fault(ServerFault::Broken);
     let chunk: CompletionChunk =
         serde_json::from_str(&event.data).map_err(|_| broken())?;
-    if chunk.id != format_request_id(attempt.request) {
+    if chunk.id != format_request_id(attempt.request_id) {
         log::warn!(
-            request_id = format_request_id(attempt.request);
-            "an engine sent the answer to another request"
+            request_id = format_request_id(attempt.request_id);
+            "an engine sent the response to another request"
         );
         return Err(broken());
     }
-    if chunk.ends() {
-        let said = chunk.usage.as_ref().map(|usage| usage.completion_tokens);
-        if said.is_some_and(|said| said != progress.tokens) {
+    if chunk.is_last() {
+        let reported = chunk.usage.as_ref().map(|usage| usage.completion_tokens);
+        if reported.is_some_and(|reported| reported != progress.tokens) {
             return Err(broken());
         }
         return Ok(true);
@@ -233,7 +248,7 @@
     let Some(text) = chunk.text() else { return Ok(false) };
     if let Some(index) = event.id.as_ref().and_then(|id| id.parse::<u32>().ok()) {
         if index < progress.tokens {
-            // Sent twice; the caller has it already.
+            // The engine has resent a token that has already been passed on.
             return Ok(false);
         }
         if index > progress.tokens {
@@ -243,50 +258,53 @@
     let now = attempt.shared.now();
     let first = progress.tokens == 0;
     progress
-        .pass(&event.data, text, now)
-        .map_err(|_| AttemptEnd::CallerGone)?;
-    tell_pace(attempt, progress, first, now);
+        .pass_token(&event.data, text, now)
+        .map_err(|_| AttemptOutcome::CallerGone)?;
+    report_progress(attempt, progress, first, now);
     Ok(false)
 }
 
-/// Tells the decision core of the first token, and now and then of the pace.
-fn tell_pace(
+/// Reports the first token to the decision core, and then the progress after every
+/// [`TOKENS_PER_PROGRESS_EVENT`] tokens.
+fn report_progress(
     attempt: &ServerAttempt<'_>,
-    progress: &mut AnswerProgress,
+    progress: &mut ResponseProgress,
     first: bool,
     now: Duration,
 ) {
-    let (shared, request) = (attempt.shared, attempt.request);
+    let (shared, request) = (attempt.shared, attempt.request_id);
     if first {
         shared.log.add(request, now, StepKind::FirstToken);
         shared.tell(PolicyEvent::FirstToken { request });
-        progress.pace_mark = (now, progress.tokens);
+        progress.last_progress = (now, progress.tokens);
         return;
     }
-    let (since, mark) = progress.pace_mark;
+    let (since, mark) = progress.last_progress;
     let tokens = progress.tokens - mark;
-    if tokens >= PACE_TOKENS {
+    if tokens >= TOKENS_PER_PROGRESS_EVENT {
         let span = now.saturating_sub(since);
         shared.tell(PolicyEvent::Progress { request, tokens, span });
-        progress.pace_mark = (now, progress.tokens);
+        progress.last_progress = (now, progress.tokens);
     }
 }
 
-/// Ends an answer, if its last chunk has come.
-fn end(
+/// Ends the response at `[DONE]`. The attempt has failed if no last chunk was received.
+fn finish_response(
     attempt: &ServerAttempt<'_>,
     payload: &CompletionPayload,
-    progress: &mut AnswerProgress,
+    progress: &mut ResponseProgress,
     last_chunk: Option<&str>,
-) -> AttemptEnd {
+) -> AttemptOutcome {
     let Some(last_chunk) = last_chunk else {
-        return AttemptEnd::Fault(ServerFault::Broken);
+        return AttemptOutcome::Fault(ServerFault::Broken);
     };
     if !progress.wants_stream {
-        return AttemptEnd::Whole(progress.whole_answer(attempt.request, payload));
+        return AttemptOutcome::Complete(
+            progress.full_response(attempt.request_id, payload),
+        );
     }
-    match progress.finish(last_chunk) {
-        Ok(()) => AttemptEnd::Streamed,
-        Err(_) => AttemptEnd::CallerGone,
+    match progress.finish_stream(last_chunk) {
+        Ok(()) => AttemptOutcome::Streamed,
+        Err(_) => AttemptOutcome::CallerGone,
     }
 }
--- a/crates/flaxtide/src/settle.rs
+++ b/crates/flaxtide/src/settle.rs
@@ -1,4 +1,5 @@
-//! The settle thread: it sees claims to their last phase, however long the platform is out.
+//! The settle thread, which writes the final phase of claims and retries while the
+//! platform is unavailable.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,28 +12,29 @@
 use crate::messages::SettleJob;
 use crate::shared::SharedState;
 
-/// How long to wait after the table failed.
+/// The pause after a settlement failed.
 const RETRY_PERIOD: Duration = Duration::from_millis(250);
 
-/// How often the thread looks whether it is to end.
-const STOP_PERIOD: Duration = Duration::from_millis(200);
+/// How often an idle thread checks whether it should stop.
+const STOP_CHECK_PERIOD: Duration = Duration::from_millis(200);
 
-/// The most claims that wait to be settled. Beyond it, rows stay held, which is safe:
-/// whoever repeats the request is told that it may have run.
-const OPEN_LIMIT: usize = 4096;
+/// The number of open jobs from which on the thread accepts only one new job per
+/// settlement that it tries. Jobs for which the channel is full are dropped, and their rows
+/// stay held. This is safe: a caller that retries the request is told that it may have run.
+const MAX_OPEN_JOBS: usize = 4096;
 
 /// Runs the settle thread until the instance stops.
 pub(crate) fn settle_claims(shared: &Arc<SharedState>, jobs: &Receiver<SettleJob>) {
     let mut open: VecDeque<SettleJob> = VecDeque::new();
     while !shared.stopped() {
-        let wait = if open.is_empty() { STOP_PERIOD } else { Duration::ZERO };
+        let wait = if open.is_empty() { STOP_CHECK_PERIOD } else { Duration::ZERO };
         match jobs.recv_timeout(wait) {
             Ok(job) => open.push_back(job),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        let room = OPEN_LIMIT.saturating_sub(open.len());
-        open.extend(jobs.try_iter().take(room));
+        let capacity = MAX_OPEN_JOBS.saturating_sub(open.len());
+        open.extend(jobs.try_iter().take(capacity));
         let Some(mut job) = open.pop_front() else { continue };
         if settle(shared, &mut job) {
             shared.unsettled.fetch_sub(1, Ordering::SeqCst);
@@ -46,20 +48,20 @@
     }
 }
 
-/// Hands a settlement to the settle thread.
-pub(crate) fn hand_over(shared: &SharedState, job: SettleJob) {
+/// Queues a settlement for the settle thread. Drops it if the channel is full.
+pub(crate) fn queue_settlement(shared: &SharedState, job: SettleJob) {
     shared.unsettled.fetch_add(1, Ordering::SeqCst);
     if let Err(cause) = shared.settle_jobs.try_send(job) {
         shared.unsettled.fetch_sub(1, Ordering::SeqCst);
-        log::error!("a claim stays held, as too many wait to be settled: {cause}");
+        log::error!("failed to queue a settlement; the claim stays held: {cause}");
     }
 }
 
-/// Tries to settle a row. Returns whether it is settled.
+/// Tries to write the final phase of a row. Returns whether nothing is left to write.
 fn settle(shared: &SharedState, job: &mut SettleJob) -> bool {
-    /// How many conditions may fail in a row before it is tried later.
-    const TRIES: usize = 3;
-    for _ in 0..TRIES {
+    /// The number of writes before the job is retried later.
+    const MAX_TRIES: usize = 3;
+    for _ in 0..MAX_TRIES {
         let Some(expected) = job.settlement.next_write() else { return true };
         let row = job.settlement.row().clone();
         job.settlement.reply(&write_row(shared, &job.key, expected, row));
