--- a/crates/flaxtide-core/src/call.rs
+++ b/crates/flaxtide-core/src/call.rs
@@ -121,7 +121,7 @@
     /// Takes the call back into the queue. Only right where the backend server is known
     /// not to have run it: the connection was refused, or the server said so.
     #[must_use]
-    pub fn take_back(self) -> Call<Queued> {
+    pub fn requeue(self) -> Call<Queued> {
         Call { request: self.request, state: Queued }
     }
 
--- a/crates/flaxtide/src/call/mod.rs
+++ b/crates/flaxtide/src/call/mod.rs
@@ -255,7 +255,7 @@
         if !unsent || self.progress.tokens > 0 {
             return Some(OpenCall::Dispatched(call));
         }
-        let call = call.take_back();
+        let call = call.requeue();
         Some(match &self.held {
             Some(held) => OpenCall::Claimed(call.claim(held.row.attempt)),
             None => OpenCall::Queued(call),
