--- a/crates/flaxtide-core/src/call.rs
+++ b/crates/flaxtide-core/src/call.rs
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct Call<State> {
     /// The request's id.
-    request: RequestId,
+    request_id: RequestId,
     /// The state, with what belongs to it.
     state: State,
 }
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub struct Claimed {
     /// The attempt that the row names.
-    attempt: AttemptId,
+    attempt_id: AttemptId,
 }
 
 /// Bytes of the request may have gone to a backend server.
@@ -77,43 +77,46 @@
 impl Call<Received> {
     /// Starts the life of a call.
     #[must_use]
-    pub fn receive(request: RequestId) -> Self {
-        Self { request, state: Received }
+    pub fn receive(request_id: RequestId) -> Self {
+        Self { request_id, state: Received }
     }
 
     /// Puts the call in the queue.
     #[must_use]
     pub fn queue(self) -> Call<Queued> {
-        Call { request: self.request, state: Queued }
+        Call { request_id: self.request_id, state: Queued }
     }
 }
 
 impl Call<Queued> {
-    /// Records that the table holds a row for `attempt`.
+    /// Records that the table holds a row for `attempt_id`.
     #[must_use]
-    pub fn claim(self, attempt: AttemptId) -> Call<Claimed> {
-        Call { request: self.request, state: Claimed { attempt } }
+    pub fn claim(self, attempt_id: AttemptId) -> Call<Claimed> {
+        Call {
+            request_id: self.request_id,
+            state: Claimed { attempt_id },
+        }
     }
 
     /// Sends a call that may be repeated to a backend server. Must come before the
     /// first byte.
     #[must_use]
     pub fn dispatch(self) -> Call<Dispatched> {
-        Call { request: self.request, state: Dispatched }
+        Call { request_id: self.request_id, state: Dispatched }
     }
 }
 
 impl Call<Claimed> {
     /// Returns the attempt that holds the row.
     #[must_use]
-    pub fn attempt(&self) -> AttemptId {
-        self.state.attempt
+    pub fn attempt_id(&self) -> AttemptId {
+        self.state.attempt_id
     }
 
     /// Sends the call to a backend server. Must come before the first byte.
     #[must_use]
     pub fn dispatch(self) -> Call<Dispatched> {
-        Call { request: self.request, state: Dispatched }
+        Call { request_id: self.request_id, state: Dispatched }
     }
 }
 
@@ -122,13 +125,13 @@
     /// not to have run it: the connection was refused, or the server said so.
     #[must_use]
     pub fn requeue(self) -> Call<Queued> {
-        Call { request: self.request, state: Queued }
+        Call { request_id: self.request_id, state: Queued }
     }
 
     /// Ends the call with a whole answer.
     #[must_use]
     pub fn answer(self) -> Call<Answered> {
-        Call { request: self.request, state: Answered }
+        Call { request_id: self.request_id, state: Answered }
     }
 
     /// Ends the call without a whole answer. It may have run.
@@ -139,7 +142,7 @@
         message: &str,
         retry_after: Option<Duration>,
     ) -> Failed {
-        end(self.request, RanState::Unknown, reason, message, retry_after)
+        build_failure(self.request_id, RanState::Unknown, reason, message, retry_after)
     }
 }
 
@@ -162,7 +165,7 @@
         message: &str,
         retry_after: Option<Duration>,
     ) -> Failed {
-        end(self.request, RanState::No, reason, message, retry_after)
+        build_failure(self.request_id, RanState::No, reason, message, retry_after)
     }
 
     /// Ends the call, which hasn't run itself, where another attempt under the same
@@ -174,21 +177,21 @@
         message: &str,
         retry_after: Option<Duration>,
     ) -> Failed {
-        end(self.request, RanState::Unknown, reason, message, retry_after)
+        build_failure(self.request_id, RanState::Unknown, reason, message, retry_after)
     }
 }
 
 impl<State> Call<State> {
     /// Returns the request's id.
     #[must_use]
-    pub fn request(&self) -> RequestId {
-        self.request
+    pub fn request_id(&self) -> RequestId {
+        self.request_id
     }
 }
 
 /// Builds the final word on a call.
-fn end(
-    request: RequestId,
+fn build_failure(
+    request_id: RequestId,
     ran: RanState,
     reason: FailureReason,
     message: &str,
@@ -200,7 +203,7 @@
             ran,
             message: message.to_owned(),
             remedy: reason.remedy().to_owned(),
-            request_id: format_request_id(request),
+            request_id: format_request_id(request_id),
             retry_after_ms: retry_after.map(|span| span.as_millis() as u64),
         },
     }
--- a/crates/flaxtide-core/src/settings/check.rs
+++ b/crates/flaxtide-core/src/settings/check.rs
@@ -9,10 +9,10 @@
 use super::node::{PolicyNode, SettingsTree};
 
 /// No engine answers faster than this, so a shorter target is a slip of the pen.
-const SHORTEST_FIRST_TOKEN: Duration = Duration::from_millis(5);
+const MIN_FIRST_TOKEN: Duration = Duration::from_millis(5);
 
 /// The shortest step of an engine that the users name.
-const SHORTEST_STEP: Duration = Duration::from_millis(1);
+const MIN_BETWEEN_TOKENS: Duration = Duration::from_millis(1);
 
 impl SettingsTree {
     /// Parses and checks a tree from YAML.
@@ -29,7 +29,7 @@
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let tree: Self = serde_saphyr::from_str(text).map_err(|cause| {
             let line = cause.location().map_or(0, |location| location.line() as usize);
-            SettingsError::Syntax { line, message: plain_message(&cause.to_string()) }
+            SettingsError::Syntax { line, message: strip_position(&cause.to_string()) }
         })?;
         tree.check(text)?;
         Ok(tree)
@@ -71,7 +71,11 @@
             if let Some(other) = ranks.insert(node.rank, name) {
                 let message =
                     format!("rank {} is also that of tier `{other}`", node.rank);
-                return self.fault(&path, &message, "give each tier a rank of its own");
+                return self.value_error(
+                    &path,
+                    &message,
+                    "give each tier a rank of its own",
+                );
             }
             self.check_policy(&format!("{path}.policy"), &node.policy)?;
         }
@@ -83,8 +87,8 @@
         for (name, node) in &self.tree.classes {
             let path = format!("classes.{name}");
             self.check_parent(&path, name, &node.parent, &self.tree.classes)?;
-            if self.tree.class_line(name).is_none() {
-                return self.fault(
+            if self.tree.class_ancestry(name).is_none() {
+                return self.value_error(
                     &format!("{path}.parent"),
                     "the parents run in a cycle",
                     "take one `parent` out of the cycle",
@@ -95,15 +99,19 @@
             {
                 let message = format!("there is no tier `{tier}`");
                 let path = format!("{path}.tier");
-                return self.fault(&path, &message, "name a tier that `tiers` lists");
+                return self.value_error(
+                    &path,
+                    &message,
+                    "name a tier that `tiers` lists",
+                );
             }
             self.check_policy(&format!("{path}.policy"), &node.policy)?;
             let Some(profile) = self.tree.class_profile(name) else {
                 let remedy = "add `tier: NAME` to the class or to a parent of it";
-                return self.fault(&path, "the class has no tier", remedy);
+                return self.value_error(&path, "the class has no tier", remedy);
             };
             if profile.give_up < profile.first_token {
-                return self.fault(
+                return self.value_error(
                     &path,
                     "`give_up` is shorter than the first-token target",
                     "leave `give_up` out, or make it at least as long as `first_token`",
@@ -119,8 +127,8 @@
         for (name, node) in &self.tree.organisations {
             let path = format!("organisations.{name}");
             self.check_parent(&path, name, &node.parent, &self.tree.organisations)?;
-            if self.tree.organisation_line(name).is_none() {
-                return self.fault(
+            if self.tree.organisation_ancestry(name).is_none() {
+                return self.value_error(
                     &format!("{path}.parent"),
                     "the parents run in a cycle",
                     "take one `parent` out of the cycle",
@@ -133,7 +141,11 @@
                 if let Some(other) = hashes.insert(hash, name) {
                     let message = format!("the key is also that of `{other}`");
                     let path = format!("{path}.key_hashes");
-                    return self.fault(&path, &message, "give each organisation its own");
+                    return self.value_error(
+                        &path,
+                        &message,
+                        "give each organisation its own",
+                    );
                 }
             }
         }
@@ -162,7 +174,11 @@
                     if !self.tree.models.contains_key(model) {
                         let message = format!("there is no model `{model}`");
                         let remedy = "name models that `models` lists";
-                        return self.fault(&format!("{path}.models"), &message, remedy);
+                        return self.value_error(
+                            &format!("{path}.models"),
+                            &message,
+                            remedy,
+                        );
                     }
                 }
                 self.check_slots(&path, engine.slots)?;
@@ -179,7 +195,11 @@
                 if !self.tree.services.contains_key(&server.service) {
                     let message = format!("there is no service `{}`", server.service);
                     let remedy = "name a service that `services` lists";
-                    return self.fault(&format!("{path}.service"), &message, remedy);
+                    return self.value_error(
+                        &format!("{path}.service"),
+                        &message,
+                        remedy,
+                    );
                 }
                 self.check_slots(&path, server.slots)?;
                 self.check_unique(
@@ -200,7 +220,7 @@
             return Ok(());
         }
         let remedy = "give the number of requests that it works on at once";
-        self.fault(&format!("{path}.slots"), "no slots", remedy)
+        self.value_error(&format!("{path}.slots"), "no slots", remedy)
     }
 
     /// Checks that a server's name and address are its own.
@@ -214,12 +234,16 @@
     ) -> Result<(), SettingsError> {
         if let Some(other) = names.insert(name.to_owned(), path.to_owned()) {
             let message = format!("the name is also that of {other}");
-            return self.fault(path, &message, "give each backend server its own name");
+            return self.value_error(
+                path,
+                &message,
+                "give each backend server its own name",
+            );
         }
         if let Some(other) = addresses.insert(address, path.to_owned()) {
             let message = format!("the address is also that of {other}");
             let path = format!("{path}.address");
-            return self.fault(
+            return self.value_error(
                 &path,
                 &message,
                 "give each backend server its own address",
@@ -241,7 +265,11 @@
             return Ok(());
         }
         let message = format!("`{name}` has an unknown parent `{parent}`");
-        self.fault(&format!("{path}.parent"), &message, "name a sibling, or leave it out")
+        self.value_error(
+            &format!("{path}.parent"),
+            &message,
+            "name a sibling, or leave it out",
+        )
     }
 
     /// Checks that a named class exists.
@@ -255,7 +283,7 @@
             return Ok(());
         }
         let message = format!("there is no class `{class}`");
-        self.fault(path, &message, "name a class that `classes` lists")
+        self.value_error(path, &message, "name a class that `classes` lists")
     }
 
     /// Checks that a secret is held as a hash.
@@ -265,20 +293,20 @@
             return Ok(());
         }
         let remedy = "write what `flaxctl settings hash-key` prints for the key";
-        self.fault(path, "the value isn't the hash of a key", remedy)
+        self.value_error(path, "the value isn't the hash of a key", remedy)
     }
 
     /// Checks that targets can be met at all.
     fn check_policy(&self, path: &str, node: &PolicyNode) -> Result<(), SettingsError> {
         let target = &node.target;
-        if target.first_token.is_some_and(|span| span < SHORTEST_FIRST_TOKEN) {
+        if target.first_token.is_some_and(|span| span < MIN_FIRST_TOKEN) {
             let path = format!("{path}.target.first_token");
             let remedy = "ask for 5ms or more";
-            return self.fault(&path, "no engine answers as fast as that", remedy);
+            return self.value_error(&path, "no engine answers as fast as that", remedy);
         }
-        if target.between_tokens.is_some_and(|span| span < SHORTEST_STEP) {
+        if target.between_tokens.is_some_and(|span| span < MIN_BETWEEN_TOKENS) {
             let path = format!("{path}.target.between_tokens");
-            return self.fault(
+            return self.value_error(
                 &path,
                 "no engine steps as fast as that",
                 "ask for 1ms or more",
@@ -286,22 +314,26 @@
         }
         if target.starvation_bound.is_some_and(|span| span.is_zero()) {
             let path = format!("{path}.target.starvation_bound");
-            return self.fault(&path, "the bound is zero", "allow some time");
+            return self.value_error(&path, "the bound is zero", "allow some time");
         }
         if node.priority == Some(0) {
             let path = format!("{path}.priority");
-            return self.fault(&path, "a priority of 0 would starve", "give 1 or more");
+            return self.value_error(
+                &path,
+                "a priority of 0 would starve",
+                "give 1 or more",
+            );
         }
         if node.limits.requests_per_second == Some(0) {
             let path = format!("{path}.limits.requests_per_second");
             let remedy = "give 1 or more, or take the keys away";
-            return self.fault(&path, "a limit of 0 refuses everything", remedy);
+            return self.value_error(&path, "a limit of 0 refuses everything", remedy);
         }
         Ok(())
     }
 
     /// Builds a fault at a path.
-    fn fault<T>(
+    fn value_error<T>(
         &self,
         path: &str,
         message: &str,
@@ -317,11 +349,11 @@
 }
 
 /// Takes the parser's own "error: line 1 column 2: " off the first line of its message.
-fn plain_message(message: &str) -> String {
+fn strip_position(message: &str) -> String {
     let line = message.lines().next().unwrap_or_default();
     let line = line.strip_prefix("error: ").unwrap_or(line);
     match line.split_once(": ") {
-        Some((place, rest)) if place.starts_with("line ") => rest.to_owned(),
+        Some((position, rest)) if position.starts_with("line ") => rest.to_owned(),
         _ => line.to_owned(),
     }
 }
--- a/crates/flaxtide-core/src/settings/edit.rs
+++ b/crates/flaxtide-core/src/settings/edit.rs
@@ -36,12 +36,12 @@
     /// Returns a fault if an edit removes a place that isn't there, or if the resulting
     /// tree doesn't pass the checks. The tree itself isn't changed.
     pub fn apply(&self, edits: &[SettingsEdit]) -> Result<Self, SettingsError> {
-        let mut root = serde_json::to_value(self).map_err(|cause| syntax(&cause))?;
+        let mut root = serde_json::to_value(self).map_err(|cause| shape_error(&cause))?;
         for edit in edits {
             let parts: Vec<&str> = edit.path.split('.').collect();
             let changed = match &edit.value {
-                Some(value) => set(&mut root, &parts, value.clone()),
-                None => remove(&mut root, &parts),
+                Some(value) => set_value(&mut root, &parts, value.clone()),
+                None => remove_value(&mut root, &parts),
             };
             if !changed {
                 return Err(SettingsError::NoSuchPath { path: edit.path.clone() });
@@ -56,7 +56,8 @@
     ///
     /// Returns the first fault.
     pub fn from_value(value: Value) -> Result<Self, SettingsError> {
-        let tree: Self = serde_json::from_value(value).map_err(|cause| syntax(&cause))?;
+        let tree: Self =
+            serde_json::from_value(value).map_err(|cause| shape_error(&cause))?;
         tree.check("")?;
         Ok(tree)
     }
@@ -76,13 +77,13 @@
 }
 
 /// Turns a fault of shape into a settings error. There is no text, so no line.
-fn syntax(cause: &serde_json::Error) -> SettingsError {
+fn shape_error(cause: &serde_json::Error) -> SettingsError {
     SettingsError::Syntax { line: 0, message: cause.to_string() }
 }
 
 /// Sets a value, making the nodes on the way to it. Fails on the way through a value
 /// that isn't a node.
-fn set(node: &mut Value, parts: &[&str], value: Value) -> bool {
+fn set_value(node: &mut Value, parts: &[&str], value: Value) -> bool {
     let Some((first, rest)) = parts.split_first() else {
         *node = value;
         return true;
@@ -91,15 +92,17 @@
         *node = Value::Object(serde_json::Map::new());
     }
     let Some(map) = node.as_object_mut() else { return false };
-    set(map.entry(*first).or_insert(Value::Null), rest, value)
+    set_value(map.entry(*first).or_insert(Value::Null), rest, value)
 }
 
 /// Removes a value.
-fn remove(node: &mut Value, parts: &[&str]) -> bool {
+fn remove_value(node: &mut Value, parts: &[&str]) -> bool {
     let Some(map) = node.as_object_mut() else { return false };
     match parts {
         [] => false,
         [last] => map.shift_remove(*last).is_some(),
-        [first, rest @ ..] => map.get_mut(*first).is_some_and(|node| remove(node, rest)),
+        [first, rest @ ..] => {
+            map.get_mut(*first).is_some_and(|node| remove_value(node, rest))
+        }
     }
 }
--- a/crates/flaxtide-core/src/settings/error.rs
+++ b/crates/flaxtide-core/src/settings/error.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum SettingsError {
     /// The text isn't YAML, or not of the tree's shape.
-    #[display("{}{message}; correct it, or see the settings reference in docs/OPERATING.md", start_of(*line))]
+    #[display("{}{message}; correct it, or see the settings reference in docs/OPERATING.md", line_prefix(*line))]
     Syntax {
         /// The line, counted from 1; 0 if unknown.
         line: usize,
@@ -14,7 +14,7 @@
         message: String,
     },
     /// A value can't be meant.
-    #[display("{path}{}: {message}; {remedy}", behind(*line))]
+    #[display("{path}{}: {message}; {remedy}", line_suffix(*line))]
     Value {
         /// The dotted path of the node.
         path: String,
@@ -36,11 +36,11 @@
 }
 
 /// Names a line before a message; an edit has none.
-fn start_of(line: usize) -> String {
+fn line_prefix(line: usize) -> String {
     if line == 0 { String::new() } else { format!("line {line}: ") }
 }
 
 /// Names a line behind a path; an edit has none.
-fn behind(line: usize) -> String {
+fn line_suffix(line: usize) -> String {
     if line == 0 { String::new() } else { format!(" (line {line})") }
 }
--- a/crates/flaxtide-core/src/settings/inherit.rs
+++ b/crates/flaxtide-core/src/settings/inherit.rs
@@ -81,12 +81,12 @@
         let chain = self.class_chain(name)?;
         let tier = self.class_tier(name)?;
         let rank = self.tiers.get(&tier)?.rank;
-        let first_token = find(&chain, |node| node.target.first_token);
+        let first_token = find_nearest(&chain, |node| node.target.first_token);
         let first_token = first_token.map_or(DEFAULT_FIRST_TOKEN, |found| found.0);
-        let between = find(&chain, |node| node.target.between_tokens);
-        let give_up = find(&chain, |node| node.target.give_up);
-        let bound = find(&chain, |node| node.target.starvation_bound);
-        let priority = find(&chain, |node| node.priority);
+        let between = find_nearest(&chain, |node| node.target.between_tokens);
+        let give_up = find_nearest(&chain, |node| node.target.give_up);
+        let bound = find_nearest(&chain, |node| node.target.starvation_bound);
+        let priority = find_nearest(&chain, |node| node.priority);
         Some(ClassProfile {
             name: name.to_owned(),
             tier,
@@ -104,18 +104,19 @@
     #[must_use]
     pub fn organisation_profile(&self, name: &str) -> Option<OrganisationProfile> {
         let chain = self.organisation_chain(name)?;
-        let names = self.organisation_line(name)?;
+        let names = self.organisation_ancestry(name)?;
         let class = names.iter().find_map(|name| self.organisations[*name].class.clone());
         // A class's targets already end in the tree's defaults; an organisation's own
         // target is only what its line of parents says.
-        let own = &chain[..chain.len() - 1];
-        let priority = find(own, |node| node.priority);
-        let rate = find(&chain, |node| node.limits.requests_per_second);
-        let body = find(&chain, |node| node.limits.body_bytes);
+        let own_chain = &chain[..chain.len() - 1];
+        let priority = find_nearest(own_chain, |node| node.priority);
+        let rate = find_nearest(&chain, |node| node.limits.requests_per_second);
+        let body = find_nearest(&chain, |node| node.limits.body_bytes);
         Some(OrganisationProfile {
             name: name.to_owned(),
             class,
-            first_token: find(own, |node| node.target.first_token).map(|found| found.0),
+            first_token: find_nearest(own_chain, |node| node.target.first_token)
+                .map(|found| found.0),
             priority: priority.map_or(DEFAULT_PRIORITY, |found| found.0),
             requests_per_second: rate.map(|found| found.0),
             body_bytes: body.map_or(DEFAULT_BODY_BYTES, |found| found.0),
@@ -157,14 +158,15 @@
                 source: found.1,
             }
         };
-        let first = find(&chain, |node| node.target.first_token);
+        let first = find_nearest(&chain, |node| node.target.first_token);
         let inherited = first.clone().map_or(DEFAULT_FIRST_TOKEN, |found| found.0);
-        let between = find(&chain, |node| node.target.between_tokens);
-        let give_up = find(&chain, |node| node.target.give_up);
-        let bound = find(&chain, |node| node.target.starvation_bound);
-        let priority = find(&chain, |node| node.priority.map(u64::from));
-        let rate = find(&chain, |node| node.limits.requests_per_second.map(u64::from));
-        let body = find(&chain, |node| node.limits.body_bytes);
+        let between = find_nearest(&chain, |node| node.target.between_tokens);
+        let give_up = find_nearest(&chain, |node| node.target.give_up);
+        let bound = find_nearest(&chain, |node| node.target.starvation_bound);
+        let priority = find_nearest(&chain, |node| node.priority.map(u64::from));
+        let rate =
+            find_nearest(&chain, |node| node.limits.requests_per_second.map(u64::from));
+        let body = find_nearest(&chain, |node| node.limits.body_bytes);
         Some(vec![
             span("target.first_token", first, DEFAULT_FIRST_TOKEN),
             span("target.between_tokens", between, DEFAULT_BETWEEN_TOKENS),
@@ -178,18 +180,18 @@
 
     /// Returns the names from a class up through its parents; nothing on a cycle or an
     /// unknown name.
-    pub(crate) fn class_line(&self, name: &str) -> Option<Vec<&str>> {
-        line(name, |name| self.classes.get_key_value(name), |node| &node.parent)
+    pub(crate) fn class_ancestry(&self, name: &str) -> Option<Vec<&str>> {
+        ancestry(name, |name| self.classes.get_key_value(name), |node| &node.parent)
     }
 
     /// Returns the names from an organisation up through its parents.
-    pub(crate) fn organisation_line(&self, name: &str) -> Option<Vec<&str>> {
-        line(name, |name| self.organisations.get_key_value(name), |node| &node.parent)
+    pub(crate) fn organisation_ancestry(&self, name: &str) -> Option<Vec<&str>> {
+        ancestry(name, |name| self.organisations.get_key_value(name), |node| &node.parent)
     }
 
     /// Returns the policies that a class inherits from, nearest first.
     fn class_chain(&self, name: &str) -> Option<Vec<(String, &PolicyNode)>> {
-        let names = self.class_line(name)?;
+        let names = self.class_ancestry(name)?;
         let mut chain: Vec<_> = names
             .iter()
             .map(|name| (format!("classes.{name}"), &self.classes[*name].policy))
@@ -204,7 +206,7 @@
 
     /// Returns the policies that an organisation inherits from, nearest first.
     fn organisation_chain(&self, name: &str) -> Option<Vec<(String, &PolicyNode)>> {
-        let names = self.organisation_line(name)?;
+        let names = self.organisation_ancestry(name)?;
         let mut chain: Vec<_> = names
             .iter()
             .map(|name| {
@@ -217,13 +219,13 @@
 
     /// Returns the tier that a class or its nearest parent names.
     fn class_tier(&self, name: &str) -> Option<TierName> {
-        let names = self.class_line(name)?;
+        let names = self.class_ancestry(name)?;
         names.iter().find_map(|name| self.classes[*name].tier.clone())
     }
 
     /// Tells whether a class's requests may run more than once.
     fn class_repeatable(&self, name: &str) -> bool {
-        let names = self.class_line(name).unwrap_or_default();
+        let names = self.class_ancestry(name).unwrap_or_default();
         names
             .iter()
             .find_map(|name| self.classes[*name].repeatable)
@@ -232,7 +234,7 @@
 }
 
 /// Walks from a node up through its parents; nothing on a cycle or an unknown name.
-fn line<'a, Node: 'a>(
+fn ancestry<'a, Node: 'a>(
     name: &str,
     get: impl Fn(&str) -> Option<(&'a String, &'a Node)>,
     parent: impl Fn(&'a Node) -> &'a Option<String>,
@@ -251,7 +253,7 @@
 }
 
 /// Finds the nearest value in a chain, with the path of its node.
-fn find<T>(
+fn find_nearest<T>(
     chain: &[(String, &PolicyNode)],
     field: impl Fn(&PolicyNode) -> Option<T>,
 ) -> Option<(T, String)> {
--- a/crates/flaxtide-core/src/store_version.rs
+++ b/crates/flaxtide-core/src/store_version.rs
@@ -19,8 +19,8 @@
 /// ```
 #[must_use]
 pub fn store_version(era: u64, version: u64) -> StoreVersion {
-    let largest = (1 << VERSION_BITS) - 1;
-    (era << VERSION_BITS) | version.min(largest)
+    let max_version = (1 << VERSION_BITS) - 1;
+    (era << VERSION_BITS) | version.min(max_version)
 }
 
 /// Returns the era of a version.
--- a/crates/flaxtide-core/src/wall_clock.rs
+++ b/crates/flaxtide-core/src/wall_clock.rs
@@ -6,7 +6,7 @@
 use crate::MilliClock;
 
 /// How many differences between the time of day and the steady clock are remembered.
-const SAMPLES: usize = 31;
+const SAMPLE_COUNT: usize = 31;
 
 /// The time of day, counted from the start of 1970, that steps for a short while don't move.
 ///
@@ -17,8 +17,8 @@
 /// ```
 /// use std::time::Duration;
 /// use flaxtide_core::{MilliClock, WallClock};
-/// let steady = MilliClock::manual();
-/// let mut wall = WallClock::new(steady.clone());
+/// let monotonic = MilliClock::manual();
+/// let mut wall = WallClock::new(monotonic.clone());
 /// let noon = Duration::from_secs(1_000_000);
 /// (0..5).for_each(|_| wall.sample(noon));
 /// wall.sample(noon + Duration::from_secs(7));
@@ -27,18 +27,22 @@
 #[derive(Debug, Clone)]
 pub struct WallClock {
     /// The steady clock.
-    steady: MilliClock,
+    monotonic: MilliClock,
     /// The differences, in milliseconds, the oldest first.
-    samples: VecDeque<i64>,
+    offsets: VecDeque<i64>,
     /// Their median.
-    offset: i64,
+    median_offset: i64,
 }
 
 impl WallClock {
     /// Starts without a sample: until there is one, its time is that of the steady clock.
     #[must_use]
-    pub fn new(steady: MilliClock) -> Self {
-        Self { steady, samples: VecDeque::new(), offset: 0 }
+    pub fn new(monotonic: MilliClock) -> Self {
+        Self {
+            monotonic,
+            offsets: VecDeque::new(),
+            median_offset: 0,
+        }
     }
 
     /// Samples the machine's time of day.
@@ -50,21 +54,21 @@
 
     /// Records the time of day as it is now.
     pub fn sample(&mut self, time: Duration) {
-        let difference = time.as_millis() as i64 - self.steady.now().as_millis() as i64;
-        self.samples.push_back(difference);
-        if self.samples.len() > SAMPLES {
-            self.samples.pop_front();
+        let offset = time.as_millis() as i64 - self.monotonic.now().as_millis() as i64;
+        self.offsets.push_back(offset);
+        if self.offsets.len() > SAMPLE_COUNT {
+            self.offsets.pop_front();
         }
-        let mut sorted: Vec<i64> = self.samples.iter().copied().collect();
+        let mut sorted: Vec<i64> = self.offsets.iter().copied().collect();
         sorted.sort_unstable();
-        self.offset = sorted[(sorted.len() - 1) / 2];
+        self.median_offset = sorted[(sorted.len() - 1) / 2];
     }
 
     /// Returns the time of day.
     #[must_use]
     pub fn now(&self) -> Duration {
-        let steady = self.steady.now().as_millis() as i64;
-        let millis = steady.saturating_add(self.offset);
+        let monotonic = self.monotonic.now().as_millis() as i64;
+        let millis = monotonic.saturating_add(self.median_offset);
         Duration::from_millis(u64::try_from(millis).unwrap_or_default())
     }
 }
