--- a/crates/flaxtide-core/src/call.rs
+++ b/crates/flaxtide-core/src/call.rs
@@ -1,8 +1,9 @@
-//! The life cycle of a call, as types.
+//! The life cycle of a call, encoded in types.
 //!
-//! A call that no backend server has seen can be refused, which promises "not run". From
-//! [`Dispatched`] on there is no `refuse`: the only way out without an answer is
-//! [`Call::fail`], which says "may have run". An untrue refusal doesn't compile:
+//! A call of which nothing was sent to a backend server can be refused, which promises the
+//! caller that it hasn't run. A [`Dispatched`] call has no `refuse` method: without a whole
+//! answer it can only end in [`Call::fail`], which reports that it may have run. A refusal
+//! after dispatch therefore doesn't compile:
 //!
 //! ```compile_fail
 //! use flaxtide_core::{Call, FailureReason};
@@ -10,7 +11,7 @@
 //! call.refuse(FailureReason::Overloaded, "late", None); // no such method
 //! ```
 //!
-//! Only a claimed call keeps its attempt for the row in the table:
+//! A call that has claimed its idempotency key can still be refused:
 //!
 //! ```
 //! use flaxtide_core::{Call, FailureReason, RanState};
@@ -24,58 +25,59 @@
     AttemptId, FailureBody, FailureReason, RanState, RequestId, format_request_id,
 };
 
-/// One request on its way through an entry instance, in one state of its life.
+/// One request on its way through an entry instance, in a given state of its life cycle.
 #[derive(Debug)]
 pub struct Call<State> {
-    /// The request's id.
+    /// The id of the request.
     request_id: RequestId,
-    /// The state, with what belongs to it.
+    /// The state with its data.
     state: State,
 }
 
-/// The request has been read; nothing has been decided.
+/// State: the request has been read and isn't in the queue yet.
 #[derive(Debug)]
 pub struct Received;
 
-/// The request waits at this instance for a backend server.
+/// State: the request waits in this instance's queue for a backend server.
 #[derive(Debug)]
 pub struct Queued;
 
-/// The row that lets this attempt alone run the request is in the table.
+/// State: the row for the request's idempotency key is in the platform's table, so that only
+/// this attempt may run the request.
 #[derive(Debug)]
 pub struct Claimed {
-    /// The attempt that the row names.
+    /// The id of the attempt that the row names as its holder.
     attempt_id: AttemptId,
 }
 
-/// Bytes of the request may have gone to a backend server.
+/// State: bytes of the request may have been sent to a backend server.
 #[derive(Debug)]
 pub struct Dispatched;
 
-/// The whole answer has been passed on.
+/// State: the whole answer has been forwarded to the caller.
 #[derive(Debug)]
 pub struct Answered;
 
-/// The call ended without a whole answer.
+/// State: the call ended without a whole answer.
 #[derive(Debug)]
 pub struct Failed {
-    /// What the caller is told.
+    /// The body that is sent to the caller.
     pub body: FailureBody,
 }
 
 /// How a call ended; each call ends in exactly one of these.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The whole answer has been passed on.
+    /// The whole answer was forwarded to the caller.
     Answered,
-    /// Refused: no backend server has seen it.
+    /// The call was refused: it hasn't run.
     Refused,
-    /// Failed after dispatch: it may have run.
+    /// The call failed after dispatch: it may have run.
     Failed,
 }
 
 impl Call<Received> {
-    /// Starts the life of a call.
+    /// Creates the call of a request that has been read.
     #[must_use]
     pub fn receive(request_id: RequestId) -> Self {
         Self { request_id, state: Received }
@@ -89,7 +91,7 @@
 }
 
 impl Call<Queued> {
-    /// Records that the table holds a row for `attempt_id`.
+    /// Records that the claim for the idempotency key is in the table, held by `attempt_id`.
     #[must_use]
     pub fn claim(self, attempt_id: AttemptId) -> Call<Claimed> {
         Call {
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Sends a call that may be repeated to a backend server. Must come before the
-    /// first byte.
+    /// Marks a call that may run more than once as dispatched. Must be called before the
+    /// first byte is sent to a backend server.
     #[must_use]
     pub fn dispatch(self) -> Call<Dispatched> {
         Call { request_id: self.request_id, state: Dispatched }
@@ -107,13 +109,14 @@
 }
 
 impl Call<Claimed> {
-    /// Returns the attempt that holds the row.
+    /// Returns the id of the attempt that holds the claim.
     #[must_use]
     pub fn attempt_id(&self) -> AttemptId {
         self.state.attempt_id
     }
 
-    /// Sends the call to a backend server. Must come before the first byte.
+    /// Marks the call as dispatched. Must be called before the first byte is sent to a
+    /// backend server.
     #[must_use]
     pub fn dispatch(self) -> Call<Dispatched> {
         Call { request_id: self.request_id, state: Dispatched }
@@ -121,8 +124,8 @@
 }
 
 impl Call<Dispatched> {
-    /// Takes the call back into the queue. Only right where the backend server is known
-    /// not to have run it: the connection was refused, or the server said so.
+    /// Puts the call back in the queue. Only allowed if the backend server is known not to
+    /// have run it: the connection was refused, or the server reported so.
     #[must_use]
     pub fn requeue(self) -> Call<Queued> {
         Call { request_id: self.request_id, state: Queued }
@@ -134,7 +137,7 @@
         Call { request_id: self.request_id, state: Answered }
     }
 
-    /// Ends the call without a whole answer. It may have run.
+    /// Ends the call without a whole answer. The caller is told that it may have run.
     #[must_use]
     pub fn fail(
         self,
@@ -146,7 +149,7 @@
     }
 }
 
-/// States in which no byte has gone to a backend server.
+/// A state in which the call is known not to have run.
 trait Unsent {}
 
 impl Unsent for Received {}
@@ -157,7 +160,7 @@
 
 #[expect(private_bounds, reason = "the set of unsent states is closed")]
 impl<State: Unsent> Call<State> {
-    /// Ends the call with the promise that it hasn't run.
+    /// Ends the call and promises the caller that it hasn't run.
     #[must_use]
     pub fn refuse(
         self,
@@ -168,8 +171,8 @@
         build_failure(self.request_id, RanState::No, reason, message, retry_after)
     }
 
-    /// Ends the call, which hasn't run itself, where another attempt under the same
-    /// idempotency key may have.
+    /// Ends the call without that promise. This attempt hasn't run, but another attempt
+    /// under the same idempotency key may have.
     #[must_use]
     pub fn refuse_unverified(
         self,
@@ -182,14 +185,14 @@
 }
 
 impl<State> Call<State> {
-    /// Returns the request's id.
+    /// Returns the id of the request.
     #[must_use]
     pub fn request_id(&self) -> RequestId {
         self.request_id
     }
 }
 
-/// Builds the final word on a call.
+/// Builds the end of a call without a whole answer, with the body for the caller.
 fn build_failure(
     request_id: RequestId,
     ran: RanState,
--- a/crates/flaxtide-core/src/clock.rs
+++ b/crates/flaxtide-core/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one source of time.
+//! The monotonic clock that all packages use.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,28 +8,30 @@
 
 /// A clock that counts milliseconds since its start.
 ///
-/// All durations that are compared with each other come from one clock. A manual clock
-/// only moves when it is told to, which makes tests and replays exact.
+/// Times that are compared with each other must come from the same clock. Clones of
+/// a clock show the same time. A manual clock moves only on [`advance`](Self::advance), which
+/// makes tests and replays deterministic.
 #[derive(Debug, Clone)]
 pub struct MilliClock {
+    /// Where the time comes from.
     source: ClockSource,
 }
 
 /// Where a clock takes its time from.
 #[derive(Debug, Clone)]
 enum ClockSource {
-    /// The system's clock since boot, from the given time on.
+    /// The system's time since boot, counted from the given start.
     Real(Duration),
-    /// The same, moved forward by a counter of milliseconds as by a suspension.
+    /// The same, plus a counter of milliseconds that only [`MilliClock::advance`] moves.
     Jumping(Duration, Arc<AtomicU64>),
     /// A counter of milliseconds that only [`MilliClock::advance`] moves.
     Manual(Arc<AtomicU64>),
 }
 
 impl MilliClock {
-    /// Starts a clock that follows the time since boot. It counts the time for which the machine
-    /// is suspended, which the monotonic clock leaves out: what was told before is that much
-    /// older then, and each wait has lasted that much longer.
+    /// Starts a clock that follows the time since boot. Unlike `CLOCK_MONOTONIC`, it includes the
+    /// time for which the machine is suspended, so that data received before a suspension counts
+    /// as that much older afterwards, and waits and deadlines go on during it.
     ///
     /// ```
     /// let clock = flaxtide_core::MilliClock::real();
@@ -40,8 +42,8 @@
         Self { source: ClockSource::Real(since_boot()) }
     }
 
-    /// Starts such a clock that [`advance`](Self::advance) moves forward besides, as a
-    /// suspension would.
+    /// Starts a clock like [`real`](Self::real) that [`advance`](Self::advance) can also move
+    /// forward, to simulate a suspension of the machine.
     #[must_use]
     pub fn jumping() -> Self {
         Self {
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Starts a clock that stands still until [`advance`](Self::advance) moves it.
+    /// Starts a clock at zero that only [`advance`](Self::advance) moves.
     #[must_use]
     pub fn manual() -> Self {
         Self {
@@ -70,7 +72,7 @@
         Duration::from_millis(millis)
     }
 
-    /// Moves a manual or a jumping clock forward. A real clock isn't changed.
+    /// Moves a manual or jumping clock forward by `span`. Has no effect on a real clock.
     ///
     /// ```
     /// use std::time::Duration;
@@ -90,12 +92,12 @@
 /// Returns the time since boot, suspensions included.
 fn since_boot() -> Duration {
     let boot = clock_gettime(ClockId::CLOCK_BOOTTIME);
-    // A kernel without it is older than all that are supported, but time must go on.
+    // Every supported kernel has CLOCK_BOOTTIME; the fallback keeps the clock moving elsewhere.
     let time = boot.or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC));
     time.map_or(Duration::ZERO, Duration::from)
 }
 
-/// Returns the milliseconds since a time.
+/// Returns the milliseconds that have passed since `start`, a time since boot.
 fn millis_since(start: Duration) -> u64 {
     since_boot().saturating_sub(start).as_millis() as u64
 }
--- a/crates/flaxtide-core/src/id.rs
+++ b/crates/flaxtide-core/src/id.rs
@@ -1,16 +1,17 @@
-//! Identifiers, given once for all packages.
+//! Identifiers that all packages share.
 
-/// Identifies one request across all instances. The upper half is drawn at random by
-/// the instance when it starts; the lower half counts.
+/// Identifies one request across all instances. An instance picks the upper 32 bits at
+/// random when it starts, and counts its requests in the lower 32.
 pub type RequestId = u64;
 
-/// Identifies one attempt to run a request that may not be repeated.
+/// Identifies one attempt to run a request that must run at most once.
 pub type AttemptId = u64;
 
-/// Identifies one edit of the settings, so that a lost answer can be resolved.
+/// Identifies one edit of the settings. If the platform's answer to an edit is lost, the id in
+/// the audit record tells whether the edit was committed.
 pub type EditId = u64;
 
-/// The number of a settings version. Versions only grow.
+/// The number of a settings version. It grows with each change.
 pub type SettingsVersion = u64;
 
 /// The name of a request class in the settings tree.
@@ -37,22 +38,23 @@
 /// The name of an entry instance in the platform's list.
 pub type InstanceName = String;
 
-/// The rank of a tier. Rank 0 is the highest.
+/// The rank of a service tier. Rank 0 is the highest.
 pub type TierRank = u8;
 
-/// A request class within one process.
+/// Identifies a request class within one process.
 pub type ClassId = u16;
 
-/// An organisation within one process.
+/// Identifies an organisation within one process.
 pub type OrganisationId = u16;
 
-/// A pool of backend servers within one process: those of one model or plain service.
+/// Identifies a pool of backend servers within one process. The pool has the servers of one
+/// model or plain service.
 pub type PoolId = u16;
 
-/// A backend server within one process.
+/// Identifies a backend server within one process.
 pub type ServerId = u32;
 
-/// Formats a request id the way callers and logs see it: sixteen hexadecimal digits.
+/// Formats a request id as callers and logs see it, in sixteen hexadecimal digits.
 ///
 /// ```
 /// assert_eq!(flaxtide_core::format_request_id(255), "00000000000000ff");
@@ -62,7 +64,7 @@
     format!("{request:016x}")
 }
 
-/// Parses what [`format_request_id`] printed.
+/// Parses a request id as [`format_request_id`] prints it. Returns `None` for any other text.
 ///
 /// ```
 /// assert_eq!(flaxtide_core::parse_request_id("00000000000000ff"), Some(255));
--- a/crates/flaxtide-core/src/key.rs
+++ b/crates/flaxtide-core/src/key.rs
@@ -1,10 +1,11 @@
-//! Hashes of secrets: settings and key files never hold a key itself.
+//! Hashing of API keys. Settings and key files hold hashes only, never a key itself.
 
 use sha2::{Digest, Sha256};
 
-/// Hashes a caller's or operator's key the way settings hold it.
+/// Hashes a caller's or operator's key into the form that settings hold, `sha256:` and 64
+/// hexadecimal digits.
 ///
-/// Keys are long random strings, so a plain SHA-256 (FIPS 180-4) is enough.
+/// Keys are long random strings, so an unsalted SHA-256 (FIPS 180-4) is enough.
 ///
 /// ```
 /// assert!(flaxtide_core::hash_key("k").starts_with("sha256:8254c329"));
--- a/crates/flaxtide-core/src/lib.rs
+++ b/crates/flaxtide-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! The vocabulary that every other flaxtide package shares.
+//! Types that all other flaxtide packages share.
 //!
-//! Nothing in this package does input or output. It holds identifiers, the clock, the
-//! settings tree with its inheritance and checks, the life cycle of a call, and the
-//! answers that callers see when a request isn't served.
+//! This package holds identifiers, clocks, the settings tree with its inheritance and
+//! validation, the life cycle of a call, and the JSON body of a refusal or failure. Apart
+//! from reading the system clocks, it does no I/O.
 
 mod call;
 mod clock;
--- a/crates/flaxtide-core/src/refusal.rs
+++ b/crates/flaxtide-core/src/refusal.rs
@@ -1,12 +1,13 @@
-//! What a caller is told when a request isn't answered by a backend server.
+//! Refusals and failures: what a caller receives in place of a backend server's answer.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a request has run, as far as flaxtide can know.
+/// Whether a backend server has run a request, as far as flaxtide knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RanState {
-    /// No byte of the request has gone to a backend server. A promise.
+    /// The request has not run. This is guaranteed, since no byte of it was sent to a backend
+    /// server, or the server itself reported that it didn't run it.
     No,
     /// The request may have run.
     Unknown,
@@ -27,23 +28,23 @@
 )]
 #[serde(rename_all = "snake_case")]
 pub enum FailureReason {
-    /// The request itself is at fault.
+    /// The request is malformed or invalid.
     BadRequest,
     /// The API key is missing or unknown.
     UnknownKey,
-    /// The class, model or service isn't in the settings, or isn't the caller's.
+    /// The class, model or service isn't in the settings, or the caller may not use it.
     UnknownTarget,
     /// The body is longer than the settings allow.
     BodyTooLong,
-    /// The target can't be met even with all lower tiers' work gone.
+    /// The latency target couldn't be met even if all work of lower tiers were evicted.
     Overloaded,
-    /// The queue is full of work of the same or a higher tier.
+    /// The queue is full, and all requests in it are of the same or a higher tier.
     QueueFull,
-    /// A higher tier's request took the place in a full queue.
+    /// The queue was full, and a request of a higher tier replaced this one.
     Evicted,
     /// The deadline passed while the request waited.
     DeadlinePassed,
-    /// The organisation is over a limit of its own.
+    /// The organisation has exceeded one of its limits.
     LimitReached,
     /// No backend server of the pool is in service.
     NoServer,
@@ -51,20 +52,21 @@
     Stopping,
     /// The instance has no settings yet.
     NotReady,
-    /// The idempotency claim couldn't be made, as the platform didn't answer.
+    /// The claim for the idempotency key couldn't be written, as the platform didn't answer.
     ClaimUnavailable,
-    /// The same idempotency key came with another body.
+    /// The idempotency key was already used with a different body.
     KeyReused,
-    /// The same idempotency key is being run, or its outcome is not known.
+    /// Another attempt under the same idempotency key is running, or its outcome is unknown.
     InProgress,
     /// A backend server failed after the request had been sent to it.
     ServerFailed,
-    /// The caller went away.
+    /// The caller closed the connection.
     CallerGone,
 }
 
 impl FailureReason {
-    /// Returns the HTTP status that goes with the reason (RFC 9110).
+    /// Returns the HTTP status for the reason (RFC 9110, apart from the common but
+    /// unregistered 499 for a caller that closed the connection).
     ///
     /// ```
     /// use flaxtide_core::FailureReason;
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Returns what the caller can do about it.
+    /// Returns the remedy that the caller is told, as it is sent in [`FailureBody::remedy`].
     #[must_use]
     pub fn remedy(self) -> &'static str {
         match self {
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Returns the reason's name as bodies, metrics and logs spell it.
+    /// Returns the name of the reason in response bodies, metrics and logs.
     ///
     /// ```
     /// assert_eq!(flaxtide_core::FailureReason::NoServer.name(), "no_server");
@@ -172,15 +174,15 @@
 pub struct FailureBody {
     /// Why the request wasn't answered.
     pub reason: FailureReason,
-    /// Whether it has run.
+    /// Whether the request has run.
     pub ran: RanState,
-    /// What happened, for people.
+    /// A description of what happened, for people to read.
     pub message: String,
-    /// What to do about it.
+    /// What the caller can do about it; see [`FailureReason::remedy`].
     pub remedy: String,
-    /// The request's id, to ask `flaxctl explain` about.
+    /// The request's id in hexadecimal digits, to pass to `flaxctl explain`.
     pub request_id: String,
-    /// When to come back, in milliseconds from now, where that helps.
+    /// The time in milliseconds after which to retry; `None` if no wait is suggested.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
--- a/crates/flaxtide-core/src/settings/check.rs
+++ b/crates/flaxtide-core/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks: what a settings tree must satisfy before it is accepted.
+//! Validation of a settings tree before it is accepted.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use super::locate::locate;
 use super::node::{PolicyNode, SettingsTree};
 
-/// No engine answers faster than this, so a shorter target is a slip of the pen.
+/// The shortest first-token target. No engine answers faster, so a shorter one is a typing error.
 const MIN_FIRST_TOKEN: Duration = Duration::from_millis(5);
 
-/// The shortest step of an engine that the users name.
+/// The shortest between-tokens target. No engine's step is shorter.
 const MIN_BETWEEN_TOKENS: Duration = Duration::from_millis(1);
 
 impl SettingsTree {
@@ -19,13 +19,13 @@
     ///
     /// ```
     /// use flaxtide_core::SettingsTree;
-    /// let fault = SettingsTree::parse("tiers:\n  fast: {rnk: 0}\n").unwrap_err();
-    /// assert!(fault.to_string().starts_with("line 2"));
+    /// let error = SettingsTree::parse("tiers:\n  fast: {rnk: 0}\n").unwrap_err();
+    /// assert!(error.to_string().starts_with("line 2"));
     /// ```
     ///
     /// # Errors
     ///
-    /// Returns the first fault, with its path or line and a remedy.
+    /// Returns the first error that is found, with its path or line and a remedy.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let tree: Self = serde_saphyr::from_str(text).map_err(|cause| {
             let line = cause.location().map_or(0, |location| location.line() as usize);
@@ -35,14 +35,14 @@
         Ok(tree)
     }
 
-    /// Writes the tree as YAML.
+    /// Formats the tree as YAML.
     #[must_use]
     pub fn to_yaml(&self) -> String {
         serde_saphyr::to_string(self).unwrap_or_default()
     }
 
-    /// Checks what the shape alone doesn't ensure. Lines come from `text`, which may be
-    /// empty.
+    /// Checks the values and the references between nodes, which deserialization doesn't.
+    /// Line numbers are looked up in `text`, which may be empty.
     pub(crate) fn check(&self, text: &str) -> Result<(), SettingsError> {
         let checker = Checker { tree: self, text };
         checker.check_tiers()?;
@@ -54,16 +54,16 @@
     }
 }
 
-/// A tree under check, with the text that it came from.
+/// Checks a tree, and looks up line numbers in the text that it was parsed from.
 struct Checker<'a> {
-    /// The tree.
+    /// The tree to check.
     tree: &'a SettingsTree,
-    /// The YAML text, for line numbers.
+    /// The YAML text of the tree; empty if there is none, as after an edit.
     text: &'a str,
 }
 
 impl Checker<'_> {
-    /// Checks that each tier has a rank of its own.
+    /// Checks that tiers have different ranks, and checks their policies.
     fn check_tiers(&self) -> Result<(), SettingsError> {
         let mut ranks = BTreeMap::new();
         for (name, node) in &self.tree.tiers {
@@ -82,7 +82,7 @@
         Ok(())
     }
 
-    /// Checks that each class has a tier, and no cycle of parents.
+    /// Checks parents, tiers and policies of classes.
     fn check_classes(&self) -> Result<(), SettingsError> {
         for (name, node) in &self.tree.classes {
             let path = format!("classes.{name}");
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    /// Checks parents, classes and key hashes of organisations.
+    /// Checks parents, classes, policies and key hashes of organisations.
     fn check_organisations(&self) -> Result<(), SettingsError> {
         let mut hashes = BTreeMap::new();
         for (name, node) in &self.tree.organisations {
@@ -152,7 +152,7 @@
         Ok(())
     }
 
-    /// Checks services and operators.
+    /// Checks the classes of services and the key hashes of operators.
     fn check_services(&self) -> Result<(), SettingsError> {
         for (name, node) in &self.tree.services {
             self.check_class(&format!("services.{name}.class"), node.class.as_ref())?;
@@ -163,7 +163,8 @@
         Ok(())
     }
 
-    /// Checks that servers serve something, and that no two share a name or an address.
+    /// Checks that backend servers name existing models and services and have slots, and that no
+    /// two share a name or an address.
     fn check_servers(&self) -> Result<(), SettingsError> {
         let mut names = BTreeMap::new();
         let mut addresses = BTreeMap::new();
@@ -214,7 +215,7 @@
         Ok(())
     }
 
-    /// Checks that a server can work on something.
+    /// Checks that a backend server has at least one slot.
     fn check_slots(&self, path: &str, slots: u32) -> Result<(), SettingsError> {
         if slots > 0 {
             return Ok(());
@@ -223,7 +224,8 @@
         self.value_error(&format!("{path}.slots"), "no slots", remedy)
     }
 
-    /// Checks that a server's name and address are its own.
+    /// Checks that no earlier backend server has the same name or address, and records both with
+    /// the server's path.
     fn check_unique(
         &self,
         path: &str,
@@ -252,7 +254,7 @@
         Ok(())
     }
 
-    /// Checks that a named parent exists.
+    /// Checks that the parent of a node, if it names one, exists.
     fn check_parent<Node>(
         &self,
         path: &str,
@@ -272,7 +274,7 @@
         )
     }
 
-    /// Checks that a named class exists.
+    /// Checks that a class, if one is named, exists.
     fn check_class(
         &self,
         path: &str,
@@ -286,7 +288,7 @@
         self.value_error(path, &message, "name a class that `classes` lists")
     }
 
-    /// Checks that a secret is held as a hash.
+    /// Checks that a value is the hash of a key and not the key itself.
     fn check_hash(&self, path: &str, hash: &str) -> Result<(), SettingsError> {
         let digits = hash.strip_prefix("sha256:").unwrap_or_default();
         if digits.len() == 64 && digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
@@ -296,7 +298,7 @@
         self.value_error(path, "the value isn't the hash of a key", remedy)
     }
 
-    /// Checks that targets can be met at all.
+    /// Checks that the targets, priority and limits of a policy can be met.
     fn check_policy(&self, path: &str, node: &PolicyNode) -> Result<(), SettingsError> {
         let target = &node.target;
         if target.first_token.is_some_and(|span| span < MIN_FIRST_TOKEN) {
@@ -332,7 +334,7 @@
         Ok(())
     }
 
-    /// Builds a fault at a path.
+    /// Returns an error for the value at `path`, with its line.
     fn value_error<T>(
         &self,
         path: &str,
@@ -348,7 +350,8 @@
     }
 }
 
-/// Takes the parser's own "error: line 1 column 2: " off the first line of its message.
+/// Returns the first line of a parser's message without its `error: line 1 column 2: `, as
+/// [`SettingsError::Syntax`] has the line itself.
 fn strip_position(message: &str) -> String {
     let line = message.lines().next().unwrap_or_default();
     let line = line.strip_prefix("error: ").unwrap_or(line);
--- a/crates/flaxtide-core/src/settings/edit.rs
+++ b/crates/flaxtide-core/src/settings/edit.rs
@@ -1,4 +1,4 @@
-//! Edits of one place in the tree.
+//! Edits of single values in the settings tree.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -6,13 +6,13 @@
 use super::error::SettingsError;
 use super::node::SettingsTree;
 
-/// A change of one place in the settings tree.
+/// A change of one value or node in the settings tree.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SettingsEdit {
     /// The dotted path, such as `classes.draft.policy.target.first_token`.
     pub path: String,
-    /// The new value; without one, the place is removed.
+    /// The new value; `None` removes what is at the path.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub value: Option<Value>,
 }
@@ -33,8 +33,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a fault if an edit removes a place that isn't there, or if the resulting
-    /// tree doesn't pass the checks. The tree itself isn't changed.
+    /// Returns an error if an edit removes a value that doesn't exist, sets one below a value
+    /// that isn't a node, or leads to a tree that fails the checks. `self` isn't changed.
     pub fn apply(&self, edits: &[SettingsEdit]) -> Result<Self, SettingsError> {
         let mut root = serde_json::to_value(self).map_err(|cause| shape_error(&cause))?;
         for edit in edits {
@@ -50,11 +50,11 @@
         Self::from_value(root)
     }
 
-    /// Reads and checks a tree from a JSON value.
+    /// Parses and checks a tree from a JSON value.
     ///
     /// # Errors
     ///
-    /// Returns the first fault.
+    /// Returns the first error that is found.
     pub fn from_value(value: Value) -> Result<Self, SettingsError> {
         let tree: Self =
             serde_json::from_value(value).map_err(|cause| shape_error(&cause))?;
@@ -62,7 +62,7 @@
         Ok(tree)
     }
 
-    /// Returns the value at a dotted path; the whole tree for an empty path.
+    /// Returns the value at a dotted path, or the whole tree for an empty path.
     #[must_use]
     pub fn value_at(&self, path: &str) -> Option<Value> {
         let mut value = serde_json::to_value(self).ok()?;
@@ -76,13 +76,13 @@
     }
 }
 
-/// Turns a fault of shape into a settings error. There is no text, so no line.
+/// Converts an error of deserialization. A JSON value has no lines, so the line is 0.
 fn shape_error(cause: &serde_json::Error) -> SettingsError {
     SettingsError::Syntax { line: 0, message: cause.to_string() }
 }
 
-/// Sets a value, making the nodes on the way to it. Fails on the way through a value
-/// that isn't a node.
+/// Sets a value and creates missing nodes on its path. Returns `false` if the path leads through
+/// a value that isn't a node.
 fn set_value(node: &mut Value, parts: &[&str], value: Value) -> bool {
     let Some((first, rest)) = parts.split_first() else {
         *node = value;
@@ -95,7 +95,7 @@
     set_value(map.entry(*first).or_insert(Value::Null), rest, value)
 }
 
-/// Removes a value.
+/// Removes a value. Returns `false` if it doesn't exist.
 fn remove_value(node: &mut Value, parts: &[&str]) -> bool {
     let Some(map) = node.as_object_mut() else { return false };
     match parts {
--- a/crates/flaxtide-core/src/settings/inherit.rs
+++ b/crates/flaxtide-core/src/settings/inherit.rs
@@ -1,4 +1,4 @@
-//! Inheritance: what is in force for a class or an organisation, and where it comes from.
+//! Inheritance: resolves the values that apply to a class or an organisation, and their source.
 
 use std::time::Duration;
 
@@ -7,22 +7,22 @@
 use super::node::{PolicyNode, SettingsTree};
 use crate::{ClassName, OrganisationName, TierName, TierRank, format_span};
 
-/// The first-token target where the tree names none.
+/// The first-token target if the tree sets none.
 const DEFAULT_FIRST_TOKEN: Duration = Duration::from_millis(1300);
 
-/// The between-tokens target where the tree names none.
+/// The between-tokens target if the tree sets none.
 const DEFAULT_BETWEEN_TOKENS: Duration = Duration::from_millis(67);
 
-/// How long a class may go without a turn where the tree names nothing.
+/// The starvation bound if the tree sets none.
 const DEFAULT_STARVATION_BOUND: Duration = Duration::from_secs(60);
 
-/// The weight where the tree names none.
+/// The priority if the tree sets none.
 const DEFAULT_PRIORITY: u32 = 1;
 
-/// The longest body where the tree names none, in bytes.
+/// The longest request body, in bytes, if the tree sets no limit.
 const DEFAULT_BODY_BYTES: u64 = 1 << 20;
 
-/// What is in force for a request class.
+/// The values that apply to a request class, with inheritance resolved.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassProfile {
     /// The class's name.
@@ -31,51 +31,52 @@
     pub tier: TierName,
     /// The tier's rank; 0 is the highest.
     pub rank: TierRank,
-    /// How long the first token may take.
+    /// The target for the time until the first token.
     pub first_token: Duration,
-    /// How long each further token may take on average.
+    /// The target for the time between tokens, as an average over an answer.
     pub between_tokens: Duration,
-    /// How long a request may wait before it is refused.
+    /// The longest time that a request may wait before it is refused.
     pub give_up: Duration,
-    /// How long the class may go without a turn while it has waiting work.
+    /// The longest time that waiting requests of the class may go without one being dispatched.
     pub starvation_bound: Duration,
-    /// The weight within the tier.
+    /// The weight among the classes of the tier.
     pub priority: u32,
-    /// Whether a request may run more than once.
+    /// Whether a request of the class may run more than once.
     pub repeatable: bool,
 }
 
-/// What is in force for an organisation.
+/// The values that apply to an organisation, with inheritance resolved.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrganisationProfile {
     /// The organisation's name.
     pub name: OrganisationName,
-    /// The class of a request that names none.
+    /// The class of requests that name none.
     pub class: Option<ClassName>,
-    /// A first-token target of the organisation's own.
+    /// The first-token target of the organisation or its nearest ancestor with one; `None` if
+    /// only the class's target applies.
     pub first_token: Option<Duration>,
-    /// The weight among organisations of one class.
+    /// The weight among the organisations of one class.
     pub priority: u32,
-    /// How many requests a second over all instances, if limited.
+    /// The limit of requests per second over all instances; `None` for no limit.
     pub requests_per_second: Option<u32>,
-    /// The longest body, in bytes.
+    /// The longest request body, in bytes.
     pub body_bytes: u64,
 }
 
-/// One value in force, with the node that it comes from.
+/// One value that applies to a class or organisation, with the node that sets it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EffectiveValue {
-    /// The field's name.
+    /// The dotted path of the field below the policy, such as `target.first_token`.
     pub field: String,
-    /// The value, as the tree would spell it.
+    /// The value, formatted as in the settings.
     pub value: String,
-    /// The path of the node that gives it; `built-in` if none does.
+    /// The path of the node that sets it; `built-in` for a default of the program.
     pub source: String,
 }
 
 impl SettingsTree {
-    /// Resolves what is in force for a class; nothing if there is no such class, or its
-    /// chain of parents names no tier.
+    /// Resolves the values that apply to a class. Returns `None` if the class doesn't exist,
+    /// or neither it nor an ancestor names an existing tier.
     #[must_use]
     pub fn class_profile(&self, name: &str) -> Option<ClassProfile> {
         let chain = self.class_chain(name)?;
@@ -100,14 +101,14 @@
         })
     }
 
-    /// Resolves what is in force for an organisation.
+    /// Resolves the values that apply to an organisation. Returns `None` if it doesn't exist.
     #[must_use]
     pub fn organisation_profile(&self, name: &str) -> Option<OrganisationProfile> {
         let chain = self.organisation_chain(name)?;
         let names = self.organisation_ancestry(name)?;
         let class = names.iter().find_map(|name| self.organisations[*name].class.clone());
-        // A class's targets already end in the tree's defaults; an organisation's own
-        // target is only what its line of parents says.
+        // Leaves out the tree's defaults, the last of the chain. A class's target falls back to
+        // them; an organisation's own target comes only from itself and its ancestors.
         let own_chain = &chain[..chain.len() - 1];
         let priority = find_nearest(own_chain, |node| node.priority);
         let rate = find_nearest(&chain, |node| node.limits.requests_per_second);
@@ -123,8 +124,8 @@
         })
     }
 
-    /// Lists each value in force at `classes.NAME` or `organisations.NAME`, and the node
-    /// that it comes from. Nothing if the path names neither.
+    /// Lists the values that apply at the path `classes.NAME` or `organisations.NAME`, with
+    /// their sources. Returns `None` for any other path or an unknown name.
     ///
     /// ```
     /// use flaxtide_core::SettingsTree;
@@ -178,18 +179,20 @@
         ])
     }
 
-    /// Returns the names from a class up through its parents; nothing on a cycle or an
-    /// unknown name.
+    /// Returns the names of a class and its ancestors, nearest first; `None` on a cycle or
+    /// an unknown name.
     pub(crate) fn class_ancestry(&self, name: &str) -> Option<Vec<&str>> {
         ancestry(name, |name| self.classes.get_key_value(name), |node| &node.parent)
     }
 
-    /// Returns the names from an organisation up through its parents.
+    /// Returns the names of an organisation and its ancestors, nearest first; `None` on a cycle
+    /// or an unknown name.
     pub(crate) fn organisation_ancestry(&self, name: &str) -> Option<Vec<&str>> {
         ancestry(name, |name| self.organisations.get_key_value(name), |node| &node.parent)
     }
 
-    /// Returns the policies that a class inherits from, nearest first.
+    /// Returns the policies that apply to a class with their paths, nearest first: its own, its
+    /// ancestors', its tier's and the defaults.
     fn class_chain(&self, name: &str) -> Option<Vec<(String, &PolicyNode)>> {
         let names = self.class_ancestry(name)?;
         let mut chain: Vec<_> = names
@@ -204,7 +207,8 @@
         Some(chain)
     }
 
-    /// Returns the policies that an organisation inherits from, nearest first.
+    /// Returns the policies that apply to an organisation with their paths, nearest first: its
+    /// own, its ancestors' and the defaults.
     fn organisation_chain(&self, name: &str) -> Option<Vec<(String, &PolicyNode)>> {
         let names = self.organisation_ancestry(name)?;
         let mut chain: Vec<_> = names
@@ -217,13 +221,13 @@
         Some(chain)
     }
 
-    /// Returns the tier that a class or its nearest parent names.
+    /// Returns the tier that a class or its nearest ancestor names.
     fn class_tier(&self, name: &str) -> Option<TierName> {
         let names = self.class_ancestry(name)?;
         names.iter().find_map(|name| self.classes[*name].tier.clone())
     }
 
-    /// Tells whether a class's requests may run more than once.
+    /// Returns whether requests of a class may run more than once, which is the default.
     fn class_repeatable(&self, name: &str) -> bool {
         let names = self.class_ancestry(name).unwrap_or_default();
         names
@@ -233,7 +237,8 @@
     }
 }
 
-/// Walks from a node up through its parents; nothing on a cycle or an unknown name.
+/// Returns the names of a node and its ancestors, nearest first; `None` on a cycle or an
+/// unknown name.
 fn ancestry<'a, Node: 'a>(
     name: &str,
     get: impl Fn(&str) -> Option<(&'a String, &'a Node)>,
@@ -252,7 +257,7 @@
     Some(names)
 }
 
-/// Finds the nearest value in a chain, with the path of its node.
+/// Finds the nearest value of a field in a chain of policies, with the path of its node.
 fn find_nearest<T>(
     chain: &[(String, &PolicyNode)],
     field: impl Fn(&PolicyNode) -> Option<T>,
--- a/crates/flaxtide-core/src/settings/locate.rs
+++ b/crates/flaxtide-core/src/settings/locate.rs
@@ -1,7 +1,9 @@
-//! Finds the line of a node in the YAML text that it was read from.
+//! Locates a node in the YAML text that it was parsed from.
 
-/// Returns the line (from 1) on which the deepest part of a dotted path stands that can
-/// be found in block style; 0 if not even its first part can be.
+/// Returns the line, counted from 1, of a node or of its closest ancestor that can be found.
+///
+/// Only keys in block style are found, not those inside braces. Returns 0 if even the first
+/// part of the dotted path isn't found.
 pub(crate) fn locate(text: &str, path: &str) -> usize {
     let mut found = 0;
     let mut lines = text.lines().enumerate().peekable();
@@ -16,7 +18,8 @@
     found
 }
 
-/// Finds the next line that holds `key` below the parent's indentation.
+/// Finds `key` among the children of the parent that the last line held. Returns its line,
+/// counted from 1, and its indentation.
 fn find_key<'a>(
     lines: &mut impl Iterator<Item = (usize, &'a str)>,
     key: &str,
--- a/crates/flaxtide-core/src/settings/mod.rs
+++ b/crates/flaxtide-core/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! The settings tree: what operators edit.
+//! The settings tree that operators edit.
 //!
-//! A [`SettingsTree`] is plain data. [`check`](SettingsTree::parse) refuses what can't
-//! be meant, [`profile`](SettingsTree::class_profile) resolves inheritance, and a
-//! [`SettingsEdit`] changes one place.
+//! A [`SettingsTree`] is plain data. [`SettingsTree::parse`] refuses invalid trees,
+//! [`SettingsTree::class_profile`] and [`SettingsTree::organisation_profile`] resolve
+//! inheritance, and a [`SettingsEdit`] sets or removes one value.
 
 mod check;
 mod edit;
--- a/crates/flaxtide-core/src/settings/node.rs
+++ b/crates/flaxtide-core/src/settings/node.rs
@@ -1,4 +1,4 @@
-//! The nodes of the settings tree, as operators write them.
+//! The nodes of the settings tree, in the form in which operators write them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,26 +12,26 @@
     TierName, TierRank,
 };
 
-/// The whole tree of settings.
+/// The whole settings tree.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SettingsTree {
-    /// What every class and organisation inherits in the end.
+    /// The values that apply to a class or organisation if no nearer node sets them.
     #[serde(default, skip_serializing_if = "is_default")]
     pub defaults: PolicyNode,
-    /// The service tiers.
+    /// The service tiers, each with its own rank.
     #[serde(default)]
     pub tiers: BTreeMap<TierName, TierNode>,
-    /// The request classes.
+    /// The request classes, each in one tier.
     #[serde(default)]
     pub classes: BTreeMap<ClassName, ClassNode>,
-    /// The organisations.
+    /// The organisations that send requests.
     #[serde(default)]
     pub organisations: BTreeMap<OrganisationName, OrganisationNode>,
-    /// The language models.
+    /// The language models that engines serve.
     #[serde(default)]
     pub models: BTreeMap<ModelName, ModelNode>,
-    /// The plain services.
+    /// The plain services: HTTP services that aren't language models.
     #[serde(default)]
     pub services: BTreeMap<String, ServiceNode>,
     /// The data centres with their backend servers.
@@ -46,54 +46,56 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetNode {
-    /// How long the first token, or a plain service's answer, may take.
+    /// The longest time until the first token, or until a plain service's answer.
     #[serde(default, with = "span::optional", skip_serializing_if = "Option::is_none")]
     pub first_token: Option<Duration>,
-    /// How long each further token may take, on average over an answer.
+    /// The longest time between tokens, as an average over an answer.
     #[serde(default, with = "span::optional", skip_serializing_if = "Option::is_none")]
     pub between_tokens: Option<Duration>,
-    /// How long a request may wait before it is refused, if longer than the target.
+    /// The longest time that a request may wait before it is refused. Must be at least the
+    /// first-token target, which is the default.
     #[serde(default, with = "span::optional", skip_serializing_if = "Option::is_none")]
     pub give_up: Option<Duration>,
-    /// How long a class with waiting work may go without a turn.
+    /// The longest time that waiting requests of a class may go without one being dispatched.
     #[serde(default, with = "span::optional", skip_serializing_if = "Option::is_none")]
     pub starvation_bound: Option<Duration>,
 }
 
-/// Limits of use. An absent value is inherited; without any there is no limit.
+/// Limits of use. An absent value is inherited.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LimitNode {
-    /// How many requests a second, over all instances.
+    /// The limit of requests per second over all instances. By default there is none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub requests_per_second: Option<u32>,
-    /// The longest body, in bytes.
+    /// The longest request body, in bytes. The default is 1 MiB.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub body_bytes: Option<u64>,
 }
 
-/// What tiers, classes and organisations have in common.
+/// The values that tiers, classes and organisations can each set.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicyNode {
-    /// The latency targets.
+    /// The latency targets; absent ones are inherited.
     #[serde(default, skip_serializing_if = "is_default")]
     pub target: TargetNode,
-    /// The weight among siblings of one tier; twice the priority, twice the share.
+    /// The weight among the classes of one tier, or the organisations of one class: twice the
+    /// priority gets twice the share.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<u32>,
-    /// The limits.
+    /// The limits of use; absent ones are inherited.
     #[serde(default, skip_serializing_if = "is_default")]
     pub limits: LimitNode,
 }
 
-/// A service tier.
+/// A service tier. Requests of a higher tier go before those of a lower one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TierNode {
     /// The rank; 0 is the highest.
     pub rank: TierRank,
-    /// What the tier's classes inherit.
+    /// The values that the tier's classes inherit.
     #[serde(default, skip_serializing_if = "is_default")]
     pub policy: PolicyNode,
 }
@@ -102,16 +104,16 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassNode {
-    /// The tier, if no parent gives it.
+    /// The tier; inherited from the parent if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tier: Option<TierName>,
     /// The class that this one inherits from.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<ClassName>,
-    /// The class's own values.
+    /// The values that the class sets itself.
     #[serde(default, skip_serializing_if = "is_default")]
     pub policy: PolicyNode,
-    /// Whether a request may run more than once. True without any word.
+    /// Whether a request may run more than once; inherited if absent, and true by default.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeatable: Option<bool>,
 }
@@ -123,13 +125,13 @@
     /// The organisation that this one inherits from.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<OrganisationName>,
-    /// Hashes of its API keys, as `flaxctl settings hash-key` prints them.
+    /// The hashes of its API keys, as `flaxctl settings hash-key` prints them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub key_hashes: Vec<String>,
-    /// The class of a request that names none.
+    /// The class of requests that name none; inherited if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<ClassName>,
-    /// The organisation's own values.
+    /// The values that the organisation sets itself.
     #[serde(default, skip_serializing_if = "is_default")]
     pub policy: PolicyNode,
 }
@@ -138,16 +140,16 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelNode {
-    /// How many output tokens an answer may have at most.
+    /// The largest number of output tokens of an answer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u32>,
 }
 
-/// A plain service.
+/// A plain service: an HTTP service that isn't a language model.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceNode {
-    /// The class of its calls, unless the caller names one.
+    /// The class of calls that name none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<ClassName>,
     /// Whether a call may run more than once. GET and HEAD always may.
@@ -159,42 +161,42 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DataCentreNode {
-    /// The region that it lies in.
+    /// The region that the data centre belongs to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub region: Option<RegionName>,
-    /// The model engines.
+    /// The model engines by name.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub engines: BTreeMap<ServerName, EngineNode>,
-    /// The servers of plain services.
+    /// The servers of plain services by name.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub plain_servers: BTreeMap<ServerName, PlainServerNode>,
 }
 
-/// A model engine.
+/// A model engine: a backend server that serves language models.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineNode {
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub address: SocketAddr,
-    /// The models that it serves.
+    /// The models that the engine serves.
     pub models: Vec<ModelName>,
-    /// How many requests it works on at once.
+    /// The number of requests that the engine processes at once.
     pub slots: u32,
-    /// Whether it takes orders, and whether it refuses those with an old fencing number.
+    /// Whether the engine accepts orders to load models, and checks their fencing token.
     #[serde(default)]
     pub orders: OrderMode,
 }
 
-/// How an engine takes orders to load models.
+/// Whether an engine accepts orders to load models, and checks their fencing token.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OrderMode {
-    /// It takes none: its models are loaded by others.
+    /// It accepts no orders; something other than flaxtide loads its models.
     #[default]
     None,
-    /// It refuses an order with an old fencing number.
+    /// It refuses an order with an older fencing token than it has seen.
     Fenced,
-    /// It takes any order.
+    /// It accepts every order and doesn't check the fencing token.
     Unfenced,
 }
 
@@ -202,37 +204,37 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlainServerNode {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// The service that it belongs to.
+    /// The name of the service that the server belongs to.
     pub service: String,
-    /// How many calls it works on at once.
+    /// The number of calls that the server processes at once.
     pub slots: u32,
 }
 
-/// An operator.
+/// An operator who may use the administration API.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorNode {
     /// The hash of the operator's key.
     pub key_hash: String,
-    /// What the operator may do.
+    /// The access level; read-only by default.
     #[serde(default)]
     pub access: OperatorAccess,
 }
 
-/// What an operator may do.
+/// The access level of an operator.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OperatorAccess {
-    /// Look only.
+    /// The operator may only read.
     #[default]
     Read,
-    /// Look and change.
+    /// The operator may read and make changes.
     Write,
 }
 
-/// Tells whether a node is left out when written.
+/// Returns whether a node has only default values, so that serialization leaves it out.
 fn is_default<T: Default + PartialEq>(node: &T) -> bool {
     *node == T::default()
 }
--- a/crates/flaxtide-core/src/span.rs
+++ b/crates/flaxtide-core/src/span.rs
@@ -1,10 +1,10 @@
-//! Time spans as settings spell them, such as `1300ms` or `30s`.
+//! Parsing and formatting of time spans in settings, such as `1300ms` or `30s`.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Deserializer, Serializer};
 
-/// Parses a span such as `67ms` or `30s`. Fractions such as `1.3s` aren't taken.
+/// Parses a span such as `67ms` or `30s`. Fractions such as `1.3s` are refused.
 ///
 /// ```
 /// use std::time::Duration;
@@ -14,13 +14,13 @@
 ///
 /// # Errors
 ///
-/// Returns a message that names a remedy when the text isn't a span.
+/// Returns a message with a remedy if the text isn't a span.
 pub fn parse_span(text: &str) -> Result<Duration, String> {
     humantime::parse_duration(text)
         .map_err(|cause| format!("`{text}` is no time span ({cause}); write one such as `1300ms`, `30s` or `5m`"))
 }
 
-/// Formats a span so that [`parse_span`] reads it back.
+/// Formats a span, in whole milliseconds, so that [`parse_span`] parses it.
 ///
 /// ```
 /// use std::time::Duration;
@@ -37,7 +37,7 @@
     }
 }
 
-/// Reads a span from settings, for serde's `deserialize_with`.
+/// Deserializes a span from its text, for serde's `deserialize_with`.
 ///
 /// # Errors
 ///
@@ -49,7 +49,7 @@
     parse_span(&text).map_err(serde::de::Error::custom)
 }
 
-/// Returns the first line of a parser's message, without the word that it starts with.
+/// Returns the first line of a parser's message, without a leading `error: `.
 ///
 /// ```
 /// assert_eq!(flaxtide_core::message_line("error: bad\n--> 3"), "bad");
@@ -60,11 +60,11 @@
     line.strip_prefix("error: ").unwrap_or(line).to_owned()
 }
 
-/// Serde glue for an optional span in a settings node.
+/// Serialization of an optional span in a settings node, for serde's `with`.
 pub(crate) mod optional {
     use super::*;
 
-    /// Writes the span as text.
+    /// Serializes the span as text, or as none if absent.
     pub(crate) fn serialize<S: Serializer>(
         span: &Option<Duration>,
         serializer: S,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Reads the span from text.
+    /// Deserializes the span from text.
     pub(crate) fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<Option<Duration>, D::Error> {
--- a/crates/flaxtide-core/src/store_version.rs
+++ b/crates/flaxtide-core/src/store_version.rs
@@ -1,14 +1,16 @@
-//! Versions of the platform's store. A store that comes back from an older copy gives versions out
-//! again, so a version means nothing without the era in which it was given out.
+//! Versions of the platform's store. A store that is restored from a backup assigns the same
+//! versions a second time, so a version is only unique together with its era, a number that is
+//! higher after each restore.
 
-/// A version of the store with its era: the era in the upper 16 bits, so that every version of a
-/// later era is the newer one. Versions of stores without eras are those of era 0.
+/// A version of the store together with its era. The era is in the upper 16 bits, so that every
+/// version of a later era compares as newer. Stores without eras use era 0.
 pub type StoreVersion = u64;
 
-/// How many bits the version within an era has: a thousand changes a second for 8,900 years.
+/// The number of bits for the version within an era, enough for a thousand changes a second for
+/// 8,900 years.
 const VERSION_BITS: u32 = 48;
 
-/// Returns a version of an era.
+/// Combines an era and a version within it. A version beyond 48 bits is clamped to the largest.
 ///
 /// ```
 /// use flaxtide_core::{store_era, store_version, version_in_era};
@@ -29,7 +31,7 @@
     version >> VERSION_BITS
 }
 
-/// Returns the version as the store gave it out.
+/// Returns the version as the store assigned it, without its era.
 #[must_use]
 pub fn version_in_era(version: StoreVersion) -> u64 {
     version & ((1 << VERSION_BITS) - 1)
--- a/crates/flaxtide-core/src/wall_clock.rs
+++ b/crates/flaxtide-core/src/wall_clock.rs
@@ -1,18 +1,19 @@
-//! The time of day, as far as a machine knows it.
+//! A wall clock that ignores short jumps of the machine's time of day.
 
 use std::collections::VecDeque;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use crate::MilliClock;
 
-/// How many differences between the time of day and the steady clock are remembered.
+/// The number of offsets between the time of day and the monotonic clock that are kept. The
+/// median moves only after half of them have changed.
 const SAMPLE_COUNT: usize = 31;
 
-/// The time of day, counted from the start of 1970, that steps for a short while don't move.
+/// A clock of the time since the start of 1970 that ignores short jumps.
 ///
-/// The machine's time of day may jump, and jump back. What counts is the median of its
-/// difference from the steady clock over the last samples: a jump moves this clock only
-/// once it has lasted for half of them.
+/// The machine's time of day may jump, and jump back. This clock adds the median of the last
+/// sampled offsets to a monotonic clock, so that a jump moves it only once the jump has
+/// lasted for half of the samples.
 ///
 /// ```
 /// use std::time::Duration;
@@ -22,20 +23,21 @@
 /// let noon = Duration::from_secs(1_000_000);
 /// (0..5).for_each(|_| wall.sample(noon));
 /// wall.sample(noon + Duration::from_secs(7));
-/// assert_eq!(wall.now(), noon, "one sample isn't believed");
+/// assert_eq!(wall.now(), noon, "one deviating sample doesn't move the clock");
 /// ```
 #[derive(Debug, Clone)]
 pub struct WallClock {
-    /// The steady clock.
+    /// The clock that the offset is added to.
     monotonic: MilliClock,
-    /// The differences, in milliseconds, the oldest first.
+    /// The last offsets of the time of day from `monotonic`, in milliseconds, oldest first.
     offsets: VecDeque<i64>,
-    /// Their median.
+    /// The median of `offsets`, in milliseconds.
     median_offset: i64,
 }
 
 impl WallClock {
-    /// Starts without a sample: until there is one, its time is that of the steady clock.
+    /// Creates a clock without samples. Until the first sample, it returns the time of
+    /// `monotonic`.
     #[must_use]
     pub fn new(monotonic: MilliClock) -> Self {
         Self {
@@ -47,12 +49,12 @@
 
     /// Samples the machine's time of day.
     pub fn sample_system(&mut self) {
-        // A time of day before 1970 is as wrong as any other jump.
+        // A time of day before 1970 counts as 1970; the median treats it like any other jump.
         let time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.sample(time);
     }
 
-    /// Records the time of day as it is now.
+    /// Records a sample, with `time` as the current time of day.
     pub fn sample(&mut self, time: Duration) {
         let offset = time.as_millis() as i64 - self.monotonic.now().as_millis() as i64;
         self.offsets.push_back(offset);
@@ -64,7 +66,7 @@
         self.median_offset = sorted[(sorted.len() - 1) / 2];
     }
 
-    /// Returns the time of day.
+    /// Returns the time of day, as the time since the start of 1970.
     #[must_use]
     pub fn now(&self) -> Duration {
         let monotonic = self.monotonic.now().as_millis() as i64;
--- a/crates/flaxtide-core/tests/settings.rs
+++ b/crates/flaxtide-core/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: inheritance, checks with path, line and remedy, and edits.
+//! Tests of the settings tree: inheritance, errors with path, line and remedy, and edits.
 
 use std::time::Duration;
 
@@ -91,8 +91,8 @@
     let report: Vec<String> = cases
         .iter()
         .map(|(name, text)| {
-            let fault = SettingsTree::parse(text).unwrap_err();
-            format!("{name}: {fault}")
+            let error = SettingsTree::parse(text).unwrap_err();
+            format!("{name}: {error}")
         })
         .collect();
     insta::assert_snapshot!(report.join("\n"));
