--- a/crates/flaxtide-platform/src/claims.rs
+++ b/crates/flaxtide-platform/src/claims.rs
@@ -29,11 +29,11 @@
     pub fn write(&self, claims: &[(String, Option<u64>, ClaimRow)]) -> Vec<TableReply> {
         let transactions: Vec<_> = claims
             .iter()
-            .map(|(key, expected, row)| put(key, *expected, row))
+            .map(|(key, expected, row)| claim_transaction(key, *expected, row))
             .collect();
         match self.table.commit(&transactions) {
             Ok(results) if results.len() == claims.len() => {
-                results.into_iter().map(reply_of).collect()
+                results.into_iter().map(table_reply).collect()
             }
             Ok(_) => vec![TableReply::NoAnswer; claims.len()],
             Err(PlatformError::NotDone { .. }) => vec![TableReply::NotDone; claims.len()],
@@ -45,7 +45,7 @@
     #[must_use]
     pub fn read(&self, key: &str) -> TableReply {
         match self.table.read(key) {
-            Ok(row) => TableReply::Found(row.and_then(claim_of)),
+            Ok(row) => TableReply::Found(row.and_then(parse_claim)),
             Err(PlatformError::NotDone { .. }) => TableReply::NotDone,
             Err(_) => TableReply::NoAnswer,
         }
@@ -63,7 +63,11 @@
 }
 
 /// Builds the transaction that writes one claim.
-fn put(key: &str, expected: Option<u64>, row: &ClaimRow) -> TableTransaction {
+fn claim_transaction(
+    key: &str,
+    expected: Option<u64>,
+    row: &ClaimRow,
+) -> TableTransaction {
     let value = serde_json::to_value(row).unwrap_or_default();
     TableTransaction {
         conditions: vec![RowCondition { key: key.to_owned(), version: expected }],
@@ -72,17 +76,17 @@
 }
 
 /// Turns what became of a transaction into the reply to an attempt.
-fn reply_of(result: CommitResult) -> TableReply {
+fn table_reply(result: CommitResult) -> TableReply {
     match result {
         CommitResult::Committed { version } => TableReply::Written { version },
         CommitResult::Conflict { mut rows } => {
-            TableReply::Found(rows.pop().flatten().and_then(claim_of))
+            TableReply::Found(rows.pop().flatten().and_then(parse_claim))
         }
     }
 }
 
 /// Reads a claim out of a row.
-fn claim_of(row: TableRow) -> Option<(ClaimRow, u64)> {
+fn parse_claim(row: TableRow) -> Option<(ClaimRow, u64)> {
     let claim = serde_json::from_value(row.value).ok()?;
     Some((claim, row.version))
 }
--- a/crates/flaxtide-platform/src/client.rs
+++ b/crates/flaxtide-platform/src/client.rs
@@ -40,7 +40,7 @@
     }
 
     /// Prepares a request with the client's timeout.
-    fn prepare<B>(&self, builder: RequestBuilder<B>) -> RequestBuilder<B> {
+    fn configure<B>(&self, builder: RequestBuilder<B>) -> RequestBuilder<B> {
         builder
             .connect_timeout(self.timeout)
             .read_timeout(self.timeout)
@@ -60,9 +60,10 @@
         path: &str,
         params: &[(&str, &str)],
     ) -> Result<T, PlatformError> {
-        let request = self.prepare(attohttpc::get(self.url(path)).params(params));
-        let response = check_status(request.send().map_err(|cause| fault(&cause))?)?;
-        response.json().map_err(|cause| fault(&cause))
+        let request = self.configure(attohttpc::get(self.url(path)).params(params));
+        let response =
+            check_status(request.send().map_err(|cause| classify_error(&cause))?)?;
+        response.json().map_err(|cause| classify_error(&cause))
     }
 }
 
@@ -73,11 +74,12 @@
     ) -> Result<Vec<CommitResult>, PlatformError> {
         let request = attohttpc::post(self.url("/table/transactions"));
         let request = self
-            .prepare(request)
+            .configure(request)
             .json(&json!({ "transactions": transactions }))
-            .map_err(|cause| fault(&cause))?;
-        let response = check_status(request.send().map_err(|cause| fault(&cause))?)?;
-        response.json().map_err(|cause| fault(&cause))
+            .map_err(|cause| classify_error(&cause))?;
+        let response =
+            check_status(request.send().map_err(|cause| classify_error(&cause))?)?;
+        response.json().map_err(|cause| classify_error(&cause))
     }
 
     fn read(&self, key: &str) -> Result<Option<TableRow>, PlatformError> {
@@ -99,19 +101,22 @@
 impl ObjectStore for PlatformClient {
     fn put(&self, key: &str, content: &[u8]) -> Result<(), PlatformError> {
         let request = attohttpc::put(self.url("/objects")).param("key", key);
-        let request = self.prepare(request.bytes(content));
-        check_status(request.send().map_err(|cause| fault(&cause))?)?;
+        let request = self.configure(request.bytes(content));
+        check_status(request.send().map_err(|cause| classify_error(&cause))?)?;
         Ok(())
     }
 
     fn get(&self, key: &str) -> Result<Option<Vec<u8>>, PlatformError> {
         let request = attohttpc::get(self.url("/objects")).param("key", key);
-        let response = self.prepare(request).send().map_err(|cause| fault(&cause))?;
+        let response = self
+            .configure(request)
+            .send()
+            .map_err(|cause| classify_error(&cause))?;
         if response.status().as_u16() == 404 {
             return Ok(None);
         }
         let response = check_status(response)?;
-        response.bytes().map(Some).map_err(|cause| fault(&cause))
+        response.bytes().map(Some).map_err(|cause| classify_error(&cause))
     }
 }
 
@@ -139,7 +144,7 @@
 
 /// Sorts faults by whether the request can have reached the platform. Only a refused
 /// connection can't.
-fn fault(cause: &attohttpc::Error) -> PlatformError {
+fn classify_error(cause: &attohttpc::Error) -> PlatformError {
     let message = cause.to_string();
     match cause.kind() {
         ErrorKind::Io(error) if error.kind() == IoKind::ConnectionRefused => {
--- a/crates/flaxtide-platform/src/settings.rs
+++ b/crates/flaxtide-platform/src/settings.rs
@@ -26,7 +26,7 @@
 const AUDIT_PREFIX: &str = "settings/audit/";
 
 /// How often a commit is tried when no answer comes.
-const COMMIT_TRIES: usize = 3;
+const COMMIT_ATTEMPTS: usize = 3;
 
 /// The newest version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -65,7 +65,7 @@
     /// Another change came first.
     #[display(
         "the settings are at version {current} by now, changed by {}; look at `flaxctl settings diff` and repeat your edit on the new version",
-        operators(between)
+        operator_names(between)
     )]
     Conflict {
         /// The newest version.
@@ -110,7 +110,7 @@
     /// Any [`PlatformError`].
     pub fn head(&self) -> Result<SettingsHead, PlatformError> {
         let row = self.table.read(HEAD_KEY)?;
-        row.map_or(Ok(SettingsHead { version: 0 }), parse)
+        row.map_or(Ok(SettingsHead { version: 0 }), parse_row)
     }
 
     /// Reads the newest tree, if there is any.
@@ -119,7 +119,7 @@
     ///
     /// Any [`PlatformError`].
     pub fn newest(&self) -> Result<Option<SettingsVersioned>, PlatformError> {
-        self.table.read(TREE_KEY)?.map(parse).transpose()
+        self.table.read(TREE_KEY)?.map(parse_row).transpose()
     }
 
     /// Reads up to `limit` audit records after a version, oldest first.
@@ -133,7 +133,7 @@
         limit: usize,
     ) -> Result<Vec<AuditRecord>, PlatformError> {
         let rows = self.table.scan(AUDIT_PREFIX, &audit_key(version), limit)?;
-        rows.into_iter().map(parse).collect()
+        rows.into_iter().map(parse_row).collect()
     }
 
     /// Makes a change on top of `base`: `next` is the tree after it.
@@ -149,21 +149,23 @@
         next: &SettingsTree,
         record: &AuditRecord,
     ) -> Result<SettingsVersion, CommitFault> {
-        let mut open = None;
-        for _ in 0..COMMIT_TRIES {
+        let mut unresolved = None;
+        for _ in 0..COMMIT_ATTEMPTS {
             let cause = match self.try_commit(base, next, record) {
                 Ok(Some(version)) => return Ok(version),
-                Ok(None) => return self.resolve_conflict(base, record, open.is_some()),
+                Ok(None) => {
+                    return self.resolve_conflict(base, record, unresolved.is_some());
+                }
                 Err(cause) => cause,
             };
             if !matches!(cause, PlatformError::NotDone { .. }) {
-                open = Some(cause);
-            } else if open.is_none() {
+                unresolved = Some(cause);
+            } else if unresolved.is_none() {
                 return Err(CommitFault::NotDone { cause });
             }
         }
-        let cause =
-            open.unwrap_or(PlatformError::NotDone { message: "no tries left".into() });
+        let cause = unresolved
+            .unwrap_or(PlatformError::NotDone { message: "no tries left".into() });
         Err(CommitFault::Unknown { cause })
     }
 
@@ -177,7 +179,7 @@
     ) -> Result<Option<SettingsVersion>, PlatformError> {
         let head = self.table.read(HEAD_KEY)?;
         let row_version = head.as_ref().map(|row| row.version);
-        let current = head.map_or(Ok(SettingsHead { version: 0 }), parse)?;
+        let current = head.map_or(Ok(SettingsHead { version: 0 }), parse_row)?;
         if current.version != base {
             return Ok(None);
         }
@@ -206,13 +208,13 @@
         &self,
         base: SettingsVersion,
         record: &AuditRecord,
-        open: bool,
+        unresolved: bool,
     ) -> Result<SettingsVersion, CommitFault> {
         /// How many changes the loser of a race is shown.
-        const SHOWN_CHANGES: usize = 100;
-        let between = match self.audit_after(base, SHOWN_CHANGES) {
+        const MAX_SHOWN_CHANGES: usize = 100;
+        let between = match self.audit_after(base, MAX_SHOWN_CHANGES) {
             Ok(between) => between,
-            Err(cause) if open => return Err(CommitFault::Unknown { cause }),
+            Err(cause) if unresolved => return Err(CommitFault::Unknown { cause }),
             Err(cause) => return Err(CommitFault::NotDone { cause }),
         };
         if between.first().is_some_and(|first| first.edit == record.edit) {
@@ -229,7 +231,7 @@
 }
 
 /// Reads a row's value.
-fn parse<T: serde::de::DeserializeOwned>(row: TableRow) -> Result<T, PlatformError> {
+fn parse_row<T: serde::de::DeserializeOwned>(row: TableRow) -> Result<T, PlatformError> {
     serde_json::from_value(row.value).map_err(|cause| {
         let message = format!("row {}: {cause}", row.key);
         PlatformError::BadAnswer { message }
@@ -237,7 +239,7 @@
 }
 
 /// Lists the operators of some changes.
-fn operators(records: &[AuditRecord]) -> String {
+fn operator_names(records: &[AuditRecord]) -> String {
     let mut names: Vec<&str> =
         records.iter().map(|record| record.operator.as_str()).collect();
     names.dedup();
