--- a/crates/flaxtide-platform/src/claims.rs
+++ b/crates/flaxtide-platform/src/claims.rs
@@ -1,4 +1,4 @@
-//! The rows by which a request with an idempotency key runs at most once.
+//! Claims: table rows that let a request with an idempotency key run at most once.
 
 use std::sync::Arc;
 
@@ -9,22 +9,22 @@
 };
 use crate::error::PlatformError;
 
-/// The claims in the platform's table.
+/// Reads and writes claims in the platform's table.
 #[derive(Clone)]
 pub struct ClaimStore {
-    /// The table.
+    /// The table service that holds the claims.
     table: Arc<dyn TableService>,
 }
 
 impl ClaimStore {
-    /// Makes a store over a table.
+    /// Creates a store that uses `table`.
     #[must_use]
     pub fn new(table: Arc<dyn TableService>) -> Self {
         Self { table }
     }
 
-    /// Writes several claims in one group commit. Each names its key, the version that it
-    /// expects and its row.
+    /// Writes several claims in one group commit, and returns one reply for each. A claim is
+    /// given with its key and the row version that it expects, `None` for no row.
     #[must_use]
     pub fn write(&self, claims: &[(String, Option<u64>, ClaimRow)]) -> Vec<TableReply> {
         let transactions: Vec<_> = claims
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Reads a claim.
+    /// Reads a claim. A row that isn't a claim counts as absent.
     #[must_use]
     pub fn read(&self, key: &str) -> TableReply {
         match self.table.read(key) {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Returns the key of the row for an organisation's idempotency key.
+/// Returns the table key of the claim for an organisation's idempotency key.
 ///
 /// ```
 /// assert_eq!(flaxtide_platform::claim_key("arica", "k1"), "claims/arica/k1");
@@ -62,7 +62,7 @@
     format!("claims/{organisation}/{idempotency_key}")
 }
 
-/// Builds the transaction that writes one claim.
+/// Builds the transaction that writes a claim if its row has the expected version.
 fn claim_transaction(
     key: &str,
     expected: Option<u64>,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Turns what became of a transaction into the reply to an attempt.
+/// Converts the result of a claim's transaction.
 fn table_reply(result: CommitResult) -> TableReply {
     match result {
         CommitResult::Committed { version } => TableReply::Written { version },
@@ -85,7 +85,8 @@
     }
 }
 
-/// Reads a claim out of a row.
+/// Parses a claim from a row, and returns it with the row's version. Returns `None` if the row
+/// isn't a claim.
 fn parse_claim(row: TableRow) -> Option<(ClaimRow, u64)> {
     let claim = serde_json::from_value(row.value).ok()?;
     Some((claim, row.version))
--- a/crates/flaxtide-platform/src/client.rs
+++ b/crates/flaxtide-platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The platform's contracts over HTTP.
+//! An HTTP client that implements the contracts with the platform.
 
 use std::io::ErrorKind as IoKind;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 /// A client of the platform's table service, object store and instance list.
 #[derive(Debug, Clone)]
 pub struct PlatformClient {
-    /// The address, such as `http://127.0.0.1:9000`.
+    /// The base URL, such as `http://127.0.0.1:9000`, without a slash at the end.
     address: String,
-    /// How long one call may take.
+    /// The time-out of one call, from connecting to the end of the response.
     timeout: Duration,
 }
 
 impl PlatformClient {
-    /// Makes a client. Nothing is sent yet.
+    /// Creates a client without connecting to the platform.
     ///
     /// ```
     /// use std::time::Duration;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Prepares a request with the client's timeout.
+    /// Sets the client's time-out on a request, and disables proxies and redirects.
     fn configure<B>(&self, builder: RequestBuilder<B>) -> RequestBuilder<B> {
         builder
             .connect_timeout(self.timeout)
@@ -49,12 +49,12 @@
             .follow_redirects(false)
     }
 
-    /// Returns the address of a path.
+    /// Returns the URL of a path.
     fn url(&self, path: &str) -> String {
         format!("{}{path}", self.address)
     }
 
-    /// Reads a JSON answer.
+    /// Sends a GET request and parses the JSON response.
     fn get_json<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -126,7 +126,8 @@
     }
 }
 
-/// Sorts answers by whether anything was done. Only 429 and 503 promise that nothing was.
+/// Turns a response with an error status into an error that tells whether the request may have
+/// taken effect. Only 429 and 503 guarantee that it hasn't.
 fn check_status(response: Response) -> Result<Response, PlatformError> {
     let status = response.status().as_u16();
     match status {
@@ -142,8 +143,8 @@
     }
 }
 
-/// Sorts faults by whether the request can have reached the platform. Only a refused
-/// connection can't.
+/// Classifies an error by whether the request may have reached the platform. It can't have if the
+/// connection was refused.
 fn classify_error(cause: &attohttpc::Error) -> PlatformError {
     let message = cause.to_string();
     match cause.kind() {
--- a/crates/flaxtide-platform/src/contract.rs
+++ b/crates/flaxtide-platform/src/contract.rs
@@ -1,7 +1,7 @@
 //! The contracts with the platform.
 //!
-//! The platform is run by the users; these traits say what flaxtide relies on. Each has a
-//! contract test that runs against the stand-in.
+//! The platform is operated by the users of flaxtide; these traits specify what flaxtide relies
+//! on. Each has a contract test that runs against `flaxtide-standin`.
 
 use std::net::SocketAddr;
 
@@ -11,28 +11,28 @@
 
 use crate::error::PlatformError;
 
-/// The transactional table service.
+/// A transactional table of JSON rows by key.
 pub trait TableService: Send + Sync {
-    /// Commits each transaction as a whole or not at all, independently of the others,
-    /// in one write.
+    /// Commits several transactions in one write. Each is atomic and succeeds or fails
+    /// independently of the others. Returns one result for each, in order.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::NotDone`] promises that nothing was committed;
-    /// [`PlatformError::NoAnswer`] says that each may have been, or may still be.
+    /// [`PlatformError::NotDone`] guarantees that nothing was committed. After
+    /// [`PlatformError::NoAnswer`], each transaction may have been committed, or may still be.
     fn commit(
         &self,
         transactions: &[TableTransaction],
     ) -> Result<Vec<CommitResult>, PlatformError>;
 
-    /// Reads a row.
+    /// Reads a row; `None` if the table has none with this key.
     ///
     /// # Errors
     ///
     /// Any [`PlatformError`]; reading has no effect.
     fn read(&self, key: &str) -> Result<Option<TableRow>, PlatformError>;
 
-    /// Reads up to `limit` rows whose keys start with `prefix` and come after `after`, in
+    /// Reads up to `limit` rows whose keys start with `prefix` and sort after `after`, in
     /// the order of their keys.
     ///
     /// # Errors
@@ -46,16 +46,17 @@
     ) -> Result<Vec<TableRow>, PlatformError>;
 }
 
-/// The object store, for what is too large for a row.
+/// An object store, for data that is too large for a row.
 pub trait ObjectStore: Send + Sync {
-    /// Stores an object under a key that is never written with another content.
+    /// Stores an object. Objects are immutable: a key must always be written with the same
+    /// content.
     ///
     /// # Errors
     ///
-    /// Any [`PlatformError`]; storing again is harmless.
+    /// Any [`PlatformError`]; it is safe to store the object again.
     fn put(&self, key: &str, content: &[u8]) -> Result<(), PlatformError>;
 
-    /// Reads an object.
+    /// Reads an object; `None` if the store has none with this key.
     ///
     /// # Errors
     ///
@@ -63,9 +64,9 @@
     fn get(&self, key: &str) -> Result<Option<Vec<u8>>, PlatformError>;
 }
 
-/// The list of live and leaving instances. It lags.
+/// The platform's list of live and leaving instances, which may be out of date.
 pub trait InstanceList: Send + Sync {
-    /// Reads the list.
+    /// Reads the whole list.
     ///
     /// # Errors
     ///
@@ -76,58 +77,58 @@
 /// A row of the table.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TableRow {
-    /// The row's key.
+    /// The key of the row.
     pub key: String,
-    /// The number of the write that made it. Each write gets a higher one.
+    /// The version, assigned by the write that stored the row. Each later write has a higher one.
     pub version: u64,
-    /// What it holds.
+    /// The content, as JSON.
     pub value: Value,
 }
 
-/// A transaction: if every condition holds, every row is put.
+/// A transaction, which writes all its rows if all its conditions hold, and nothing otherwise.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TableTransaction {
-    /// What must hold.
+    /// The conditions that must all hold.
     pub conditions: Vec<RowCondition>,
-    /// What is then written.
+    /// The rows to write.
     pub puts: Vec<RowPut>,
 }
 
-/// A condition on one row.
+/// A condition on the version of one row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RowCondition {
-    /// The row's key.
+    /// The key of the row.
     pub key: String,
-    /// The version that it must have; nothing if there must be no row.
+    /// The version that the row must have; `None` if the row must not exist.
     pub version: Option<u64>,
 }
 
-/// A row to be written.
+/// A row to write, in place of any row with the same key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RowPut {
-    /// The row's key.
+    /// The key of the row.
     pub key: String,
-    /// What it is to hold.
+    /// The new content, as JSON.
     pub value: Value,
 }
 
-/// What became of a transaction.
+/// The result of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommitResult {
-    /// It was committed; its rows have this version.
+    /// The transaction was committed.
     Committed {
-        /// The version.
+        /// The version of all rows that it wrote.
         version: u64,
     },
-    /// A condition didn't hold; nothing was written.
+    /// A condition didn't hold, so nothing was written.
     Conflict {
-        /// The rows that the conditions name, as they are.
+        /// The current rows of the conditions, in their order; `None` for one that doesn't exist.
         rows: Vec<Option<TableRow>>,
     },
 }
 
-/// What an instance in the list is.
+/// The role of an instance in the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceRole {
@@ -137,27 +138,27 @@
     Backend,
 }
 
-/// Whether an instance in the list is to get work.
+/// The state of an instance in the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceState {
-    /// It is.
+    /// The instance may be sent work.
     Live,
-    /// It is to be stopped soon.
+    /// The instance is to be stopped soon and gets no new work.
     Leaving,
 }
 
 /// An instance in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedInstance {
-    /// Its name; a backend server's is that of the settings.
+    /// The name; for a backend server, its name in the settings.
     pub name: InstanceName,
-    /// Where it is.
+    /// The data centre in which the instance runs.
     pub data_centre: DataCentreName,
-    /// What it is.
+    /// Whether it is an entry instance or a backend server.
     pub role: InstanceRole,
-    /// Whether it is to get work.
+    /// Whether it may be sent new work.
     pub state: InstanceState,
-    /// Where an entry instance hears its peers.
+    /// The address on which an entry instance receives messages from its peers.
     pub address: SocketAddr,
 }
--- a/crates/flaxtide-platform/src/error.rs
+++ b/crates/flaxtide-platform/src/error.rs
@@ -1,28 +1,29 @@
-//! What can go wrong between flaxtide and the platform.
+//! Errors of calls to the platform.
 
 use derive_more::{Display, Error};
 
-/// A fault in a call to the platform.
+/// An error of a call to the platform, by whether the call may have taken effect.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum PlatformError {
-    /// The platform refused before doing anything, or couldn't be reached at all.
+    /// The call had no effect: the platform refused it or couldn't be reached.
     #[display("the platform did nothing: {message}; it is safe to try again")]
     NotDone {
-        /// What it said.
+        /// The platform's refusal or the connection error.
         message: String,
     },
-    /// No answer came: what was asked may or may not take effect.
+    /// No answer arrived, or only an error status: the call may have taken effect, or may
+    /// still do so.
     #[display("no answer from the platform: {message}; read back before trying again")]
     NoAnswer {
-        /// What was seen.
+        /// The connection error or the error status.
         message: String,
     },
-    /// The answer isn't of the contract's shape.
+    /// The answer doesn't conform to the contract, or reports an invalid request.
     #[display(
         "the platform's answer can't be read: {message}; check that the address in the instance file is the platform's"
     )]
     BadAnswer {
-        /// What is wrong with it.
+        /// The parser's error, or the status and body of the answer.
         message: String,
     },
 }
--- a/crates/flaxtide-platform/src/lease.rs
+++ b/crates/flaxtide-platform/src/lease.rs
@@ -1,4 +1,4 @@
-//! Leases in the platform's table.
+//! Storage of leases in the platform's table.
 
 use std::sync::Arc;
 
@@ -9,21 +9,21 @@
 };
 use crate::error::PlatformError;
 
-/// The leases in the platform's table.
+/// Reads and writes leases in the platform's table.
 #[derive(Clone)]
 pub struct LeaseStore {
-    /// The table.
+    /// The table service that holds the leases.
     table: Arc<dyn TableService>,
 }
 
 impl LeaseStore {
-    /// Makes a store over a table.
+    /// Creates a store that uses `table`.
     #[must_use]
     pub fn new(table: Arc<dyn TableService>) -> Self {
         Self { table }
     }
 
-    /// Reads a lease, with the version of its row.
+    /// Reads a lease with the version of its row; `None` if there is no row.
     ///
     /// # Errors
     ///
@@ -36,12 +36,12 @@
         Ok(Some((lease, row.version)))
     }
 
-    /// Writes a lease if its row has a version. Returns the new version, or nothing if the
-    /// row is another.
+    /// Writes a lease if its row still has the `expected` version, or doesn't exist for `None`.
+    /// Returns the new version, or `None` if the condition didn't hold.
     ///
     /// # Errors
     ///
-    /// Any [`PlatformError`]; [`PlatformError::NoAnswer`] may take effect.
+    /// Any [`PlatformError`]; after [`PlatformError::NoAnswer`], the write may still take effect.
     pub fn write(
         &self,
         key: &str,
--- a/crates/flaxtide-platform/src/lib.rs
+++ b/crates/flaxtide-platform/src/lib.rs
@@ -1,9 +1,9 @@
-//! What flaxtide needs of the platform, and what it keeps there.
+//! The services of the platform that flaxtide uses, and the data that it stores there.
 //!
-//! The contracts are traits: [`TableService`], [`ObjectStore`] and [`InstanceList`].
-//! [`PlatformClient`] speaks all three over HTTP. On top stand [`SettingsStore`], the
-//! versions of the settings with their audit trail, and [`ClaimStore`], the rows by which
-//! a request runs at most once.
+//! The traits [`TableService`], [`ObjectStore`] and [`InstanceList`] are the contracts.
+//! [`PlatformClient`] implements all three over HTTP. Three stores use the table:
+//! [`SettingsStore`] holds the settings with their audit trail, [`ClaimStore`] the claims that
+//! let a request run at most once, and [`LeaseStore`] the leases.
 
 mod claims;
 mod client;
--- a/crates/flaxtide-platform/src/settings.rs
+++ b/crates/flaxtide-platform/src/settings.rs
@@ -1,8 +1,8 @@
-//! Versions of the settings in the platform's table, with their audit trail.
+//! Storage of settings versions in the platform's table, with an audit trail.
 //!
-//! A version is one transaction: the head moves from the version before, the tree is
-//! replaced, and an audit record is added, together. The audit records hold the edits, so
-//! that an instance a few versions behind fetches those instead of the whole tree.
+//! One transaction creates a version: it advances the head row, replaces the tree and adds an
+//! audit record. The audit records hold the edits, so that an instance that is a few versions
+//! behind reads those instead of the whole tree.
 
 use std::sync::Arc;
 
@@ -16,67 +16,68 @@
 };
 use crate::error::PlatformError;
 
-/// The row that names the newest version.
+/// The key of the row that holds the number of the newest version.
 const HEAD_KEY: &str = "settings/head";
 
-/// The row that holds the newest tree.
+/// The key of the row that holds the newest tree.
 const TREE_KEY: &str = "settings/tree";
 
-/// What the keys of audit records start with.
+/// The prefix of the keys of audit records.
 const AUDIT_PREFIX: &str = "settings/audit/";
 
-/// How often a commit is tried when no answer comes.
+/// The number of attempts to commit a change while no answer arrives.
 const COMMIT_ATTEMPTS: usize = 3;
 
-/// The newest version.
+/// The content of the head row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsHead {
-    /// Its number; 0 before there is any.
+    /// The number of the newest version; 0 if there is none yet.
     pub version: SettingsVersion,
 }
 
-/// A settings tree with its version.
+/// A settings tree with its version number.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SettingsVersioned {
-    /// The version.
+    /// The number of the version, as in the head row.
     pub version: SettingsVersion,
-    /// The tree.
+    /// The whole tree of this version.
     pub tree: SettingsTree,
 }
 
-/// The record of one change.
+/// The audit record of one change.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// The version that the change made.
+    /// The version that the change created.
     pub version: SettingsVersion,
-    /// The edit's id.
+    /// The id of the edit, which tells whether a change with a lost answer was committed.
     pub edit: EditId,
-    /// The operator who made it.
+    /// The name of the operator who made the change.
     pub operator: String,
-    /// When, in milliseconds since 1970 on the clock of the instance that took it.
+    /// The time of the change in milliseconds since 1970, by the clock of the instance that
+    /// received it.
     pub at_unix_ms: u64,
-    /// The changes; one with an empty path replaces the whole tree.
+    /// The edits that make up the change; one with an empty path replaces the whole tree.
     pub edits: Vec<SettingsEdit>,
 }
 
-/// Why a change wasn't made.
+/// The reason why a commit of a change failed.
 #[derive(Debug, Display, Error)]
 pub enum CommitFault {
-    /// Another change came first.
+    /// Another change was committed first, so this one wasn't made.
     #[display(
         "the settings are at version {current} by now, changed by {}; look at `flaxctl settings diff` and repeat your edit on the new version",
         operator_names(between)
     )]
     Conflict {
-        /// The newest version.
+        /// The number of the newest version.
         current: SettingsVersion,
-        /// What was changed since the version that the edit was based on.
+        /// The changes since the version that the edit was based on, oldest first.
         between: Vec<AuditRecord>,
     },
-    /// Nothing was changed.
+    /// The change wasn't made.
     #[display("the settings weren't changed: {cause}")]
     NotDone {
-        /// Why not.
+        /// The platform's error.
         cause: PlatformError,
     },
     /// The change may have been made.
@@ -84,26 +85,26 @@
         "the settings may have been changed: {cause}; see `flaxctl settings history`"
     )]
     Unknown {
-        /// Why it isn't known.
+        /// The platform's error that left the outcome unknown.
         cause: PlatformError,
     },
 }
 
-/// The settings in the platform's table.
+/// Reads and commits settings versions in the platform's table.
 #[derive(Clone)]
 pub struct SettingsStore {
-    /// The table.
+    /// The table service that holds the settings.
     table: Arc<dyn TableService>,
 }
 
 impl SettingsStore {
-    /// Makes a store over a table.
+    /// Creates a store that uses `table`.
     #[must_use]
     pub fn new(table: Arc<dyn TableService>) -> Self {
         Self { table }
     }
 
-    /// Reads the newest version's number.
+    /// Reads the number of the newest version; 0 if there is none yet.
     ///
     /// # Errors
     ///
@@ -113,7 +114,7 @@
         row.map_or(Ok(SettingsHead { version: 0 }), parse_row)
     }
 
-    /// Reads the newest tree, if there is any.
+    /// Reads the newest tree; `None` if there is no version yet.
     ///
     /// # Errors
     ///
@@ -122,7 +123,7 @@
         self.table.read(TREE_KEY)?.map(parse_row).transpose()
     }
 
-    /// Reads up to `limit` audit records after a version, oldest first.
+    /// Reads up to `limit` audit records of the versions after `version`, oldest first.
     ///
     /// # Errors
     ///
@@ -136,41 +137,44 @@
         rows.into_iter().map(parse_row).collect()
     }
 
-    /// Makes a change on top of `base`: `next` is the tree after it.
+    /// Commits a change of the version `base` that leads to the tree `next`, and returns the
+    /// new version.
     ///
-    /// A lost answer is resolved by reading back whose edit became the next version.
+    /// If an answer is lost, the audit record of the version after `base` tells whether this
+    /// change or another was committed.
     ///
     /// # Errors
     ///
-    /// [`CommitFault`] says whether the change may have been made.
+    /// Returns a [`CommitFault`] that tells whether the change may have been made.
     pub fn commit(
         &self,
         base: SettingsVersion,
         next: &SettingsTree,
         record: &AuditRecord,
     ) -> Result<SettingsVersion, CommitFault> {
-        let mut unresolved = None;
+        // The error of the last attempt that may have been committed.
+        let mut lost = None;
         for _ in 0..COMMIT_ATTEMPTS {
             let cause = match self.try_commit(base, next, record) {
                 Ok(Some(version)) => return Ok(version),
                 Ok(None) => {
-                    return self.resolve_conflict(base, record, unresolved.is_some());
+                    return self.resolve_conflict(base, record, lost.is_some());
                 }
                 Err(cause) => cause,
             };
             if !matches!(cause, PlatformError::NotDone { .. }) {
-                unresolved = Some(cause);
-            } else if unresolved.is_none() {
+                lost = Some(cause);
+            } else if lost.is_none() {
                 return Err(CommitFault::NotDone { cause });
             }
         }
-        let cause = unresolved
-            .unwrap_or(PlatformError::NotDone { message: "no tries left".into() });
+        let cause =
+            lost.unwrap_or(PlatformError::NotDone { message: "no tries left".into() });
         Err(CommitFault::Unknown { cause })
     }
 
-    /// Tries the transaction once. Nothing means that another change came first, or that
-    /// this one is in already.
+    /// Attempts the transaction once. Returns `None` if `base` isn't the newest version any more:
+    /// another change was committed first, or this one by an earlier attempt.
     fn try_commit(
         &self,
         base: SettingsVersion,
@@ -203,18 +207,19 @@
         }
     }
 
-    /// Finds out whether the version after `base` is this very change.
+    /// Finds out whether the version after `base` is this change or another. `answer_lost` is
+    /// set if an earlier attempt got no answer, so that a failed read leaves the outcome unknown.
     fn resolve_conflict(
         &self,
         base: SettingsVersion,
         record: &AuditRecord,
-        unresolved: bool,
+        answer_lost: bool,
     ) -> Result<SettingsVersion, CommitFault> {
-        /// How many changes the loser of a race is shown.
+        /// The largest number of conflicting changes that are reported.
         const MAX_SHOWN_CHANGES: usize = 100;
         let between = match self.audit_after(base, MAX_SHOWN_CHANGES) {
             Ok(between) => between,
-            Err(cause) if unresolved => return Err(CommitFault::Unknown { cause }),
+            Err(cause) if answer_lost => return Err(CommitFault::Unknown { cause }),
             Err(cause) => return Err(CommitFault::NotDone { cause }),
         };
         if between.first().is_some_and(|first| first.edit == record.edit) {
@@ -225,12 +230,12 @@
     }
 }
 
-/// Returns the key of a version's audit record; keys sort as versions do.
+/// Returns the key of a version's audit record. Zero padding makes keys sort by version.
 fn audit_key(version: SettingsVersion) -> String {
     format!("{AUDIT_PREFIX}{version:020}")
 }
 
-/// Reads a row's value.
+/// Deserializes the value of a row.
 fn parse_row<T: serde::de::DeserializeOwned>(row: TableRow) -> Result<T, PlatformError> {
     serde_json::from_value(row.value).map_err(|cause| {
         let message = format!("row {}: {cause}", row.key);
@@ -238,7 +243,7 @@
     })
 }
 
-/// Lists the operators of some changes.
+/// Lists the operators who made some changes, without repeating adjacent equal names.
 fn operator_names(records: &[AuditRecord]) -> String {
     let mut names: Vec<&str> =
         records.iter().map(|record| record.operator.as_str()).collect();
--- a/crates/flaxtide-platform/tests/contract.rs
+++ b/crates/flaxtide-platform/tests/contract.rs
@@ -1,4 +1,5 @@
-//! The contracts with the platform, against the stand-in, with its faults.
+//! Tests of the contracts with the platform and of the settings store, against the stand-in of
+//! `flaxtide-standin` and the faults that it injects.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,14 +12,14 @@
 use flaxtide_standin::{PlatformFaults, PlatformStandin};
 use serde_json::json;
 
-/// Starts a platform and a client of it.
+/// Starts a stand-in of the platform, and creates a client of it.
 fn start() -> (PlatformStandin, PlatformClient) {
     let platform = PlatformStandin::start("127.0.0.1:0".parse().unwrap()).unwrap();
     let client = PlatformClient::new(&platform.url(), Duration::from_millis(500));
     (platform, client)
 }
 
-/// A transaction that puts a row if it has a version.
+/// Builds a transaction that writes a row if the row has `version`, or doesn't exist for `None`.
 fn put(key: &str, version: Option<u64>, value: u64) -> TableTransaction {
     TableTransaction {
         conditions: vec![RowCondition { key: key.into(), version }],
@@ -43,7 +44,7 @@
         .map(|row| row.key)
         .collect();
     assert_eq!(keys, ["b", "c"]);
-    // Versions grow with every write.
+    // Each write of a row must increase its version.
     let version = client.read("a").unwrap().unwrap().version;
     client.commit(&[put("a", Some(version), 4)]).unwrap();
     assert!(client.read("a").unwrap().unwrap().version > version);
@@ -84,16 +85,17 @@
         platform.set_faults(faults);
         assert_eq!(kind(client.commit(&[put(name, None, 1)])), expected, "{name}");
         platform.set_faults(PlatformFaults::default());
-        // A write without an answer may take effect after the answer was given up.
-        let patient = (0..300).any(|_| {
+        // A write may take effect after its call has timed out.
+        let settled = (0..300).any(|_| {
             std::thread::sleep(Duration::from_millis(10));
             client.read(name).unwrap().is_some() || !takes_effect
         });
         assert_eq!(client.read(name).unwrap().is_some(), takes_effect, "{name}");
-        assert!(patient, "{name}");
+        assert!(settled, "{name}");
     }
-    let nobody = PlatformClient::new("http://127.0.0.1:1", Duration::from_millis(500));
-    assert_eq!(kind(nobody.commit(&[put("x", None, 1)])), "not done");
+    let unreachable =
+        PlatformClient::new("http://127.0.0.1:1", Duration::from_millis(500));
+    assert_eq!(kind(unreachable.commit(&[put("x", None, 1)])), "not done");
 }
 
 #[test]
