--- a/crates/flaxtide-platform/src/settings.rs
+++ b/crates/flaxtide-platform/src/settings.rs
@@ -157,9 +157,7 @@
         for _ in 0..COMMIT_ATTEMPTS {
             let cause = match self.try_commit(base, next, record) {
                 Ok(Some(version)) => return Ok(version),
-                Ok(None) => {
-                    return self.resolve_conflict(base, record, lost.is_some());
-                }
+                Ok(None) => return self.resolve_conflict(base, record, lost.is_some()),
                 Err(cause) => cause,
             };
             if !matches!(cause, PlatformError::NotDone { .. }) {
