--- a/crates/flaxtide-core/src/settings/check.rs
+++ b/crates/flaxtide-core/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks: what a settings tree must satisfy before it is accepted.
+//! Validation of a settings tree before it is accepted.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,41 +8,41 @@
 use super::locate::locate;
 use super::node::{PolicyNode, SettingsTree};
 
-/// No engine answers faster than this, so a shorter target is a slip of the pen.
-const SHORTEST_FIRST_TOKEN: Duration = Duration::from_millis(5);
+/// The shortest first-token target. No engine answers faster, so a shorter one is a typing error.
+const MIN_FIRST_TOKEN: Duration = Duration::from_millis(5);
 
-/// The shortest step of an engine that the users name.
-const SHORTEST_STEP: Duration = Duration::from_millis(1);
+/// The shortest between-tokens target. No engine's step is shorter.
+const MIN_BETWEEN_TOKENS: Duration = Duration::from_millis(1);
 
 impl SettingsTree {
     /// Parses and checks a tree from YAML.
     ///
     /// ```
     /// use flaxtide_core::SettingsTree;
-    /// let fault = SettingsTree::parse("tiers:\n  fast: {rnk: 0}\n").unwrap_err();
-    /// assert!(fault.to_string().starts_with("line 2"));
+    /// let error = SettingsTree::parse("tiers:\n  fast: {rnk: 0}\n").unwrap_err();
+    /// assert!(error.to_string().starts_with("line 2"));
     /// ```
     ///
     /// # Errors
     ///
-    /// Returns the first fault, with its path or line and a remedy.
+    /// Returns the first error that is found, with its path or line and a remedy.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let tree: Self = serde_saphyr::from_str(text).map_err(|cause| {
             let line = cause.location().map_or(0, |location| location.line() as usize);
-            SettingsError::Syntax { line, message: plain_message(&cause.to_string()) }
+            SettingsError::Syntax { line, message: strip_position(&cause.to_string()) }
         })?;
         tree.check(text)?;
         Ok(tree)
     }
 
-    /// Writes the tree as YAML.
+    /// Formats the tree as YAML.
     #[must_use]
     pub fn to_yaml(&self) -> String {
         serde_saphyr::to_string(self).unwrap_or_default()
     }
 
-    /// Checks what the shape alone doesn't ensure. Lines come from `text`, which may be
-    /// empty.
+    /// Checks the values and the references between nodes, which deserialization doesn't.
+    /// Line numbers are looked up in `text`, which may be empty.
     pub(crate) fn check(&self, text: &str) -> Result<(), SettingsError> {
         let checker = Checker { tree: self, text };
         checker.check_tiers()?;
@@ -54,16 +54,16 @@
     }
 }
 
-/// A tree under check, with the text that it came from.
+/// Checks a tree, and looks up line numbers in the text that it was parsed from.
 struct Checker<'a> {
-    /// The tree.
+    /// The tree to check.
     tree: &'a SettingsTree,
-    /// The YAML text, for line numbers.
+    /// The YAML text of the tree; empty if there is none, as after an edit.
     text: &'a str,
 }
 
 impl Checker<'_> {
-    /// Checks that each tier has a rank of its own.
+    /// Checks that tiers have different ranks, and checks their policies.
     fn check_tiers(&self) -> Result<(), SettingsError> {
         let mut ranks = BTreeMap::new();
         for (name, node) in &self.tree.tiers {
@@ -71,20 +71,24 @@
             if let Some(other) = ranks.insert(node.rank, name) {
                 let message =
                     format!("rank {} is also that of tier `{other}`", node.rank);
-                return self.fault(&path, &message, "give each tier a rank of its own");
+                return self.value_error(
+                    &path,
+                    &message,
+                    "give each tier a rank of its own",
+                );
             }
             self.check_policy(&format!("{path}.policy"), &node.policy)?;
         }
         Ok(())
     }
 
-    /// Checks that each class has a tier, and no cycle of parents.
+    /// Checks parents, tiers and policies of classes.
     fn check_classes(&self) -> Result<(), SettingsError> {
         for (name, node) in &self.tree.classes {
             let path = format!("classes.{name}");
             self.check_parent(&path, name, &node.parent, &self.tree.classes)?;
-            if self.tree.class_line(name).is_none() {
-                return self.fault(
+            if self.tree.class_ancestry(name).is_none() {
+                return self.value_error(
                     &format!("{path}.parent"),
                     "the parents run in a cycle",
                     "take one `parent` out of the cycle",
@@ -95,15 +99,19 @@
             {
                 let message = format!("there is no tier `{tier}`");
                 let path = format!("{path}.tier");
-                return self.fault(&path, &message, "name a tier that `tiers` lists");
+                return self.value_error(
+                    &path,
+                    &message,
+                    "name a tier that `tiers` lists",
+                );
             }
             self.check_policy(&format!("{path}.policy"), &node.policy)?;
             let Some(profile) = self.tree.class_profile(name) else {
                 let remedy = "add `tier: NAME` to the class or to a parent of it";
-                return self.fault(&path, "the class has no tier", remedy);
+                return self.value_error(&path, "the class has no tier", remedy);
             };
             if profile.give_up < profile.first_token {
-                return self.fault(
+                return self.value_error(
                     &path,
                     "`give_up` is shorter than the first-token target",
                     "leave `give_up` out, or make it at least as long as `first_token`",
@@ -113,14 +121,14 @@
         Ok(())
     }
 
-    /// Checks parents, classes and key hashes of organisations.
+    /// Checks parents, classes, policies and key hashes of organisations.
     fn check_organisations(&self) -> Result<(), SettingsError> {
         let mut hashes = BTreeMap::new();
         for (name, node) in &self.tree.organisations {
             let path = format!("organisations.{name}");
             self.check_parent(&path, name, &node.parent, &self.tree.organisations)?;
-            if self.tree.organisation_line(name).is_none() {
-                return self.fault(
+            if self.tree.organisation_ancestry(name).is_none() {
+                return self.value_error(
                     &format!("{path}.parent"),
                     "the parents run in a cycle",
                     "take one `parent` out of the cycle",
@@ -133,14 +141,18 @@
                 if let Some(other) = hashes.insert(hash, name) {
                     let message = format!("the key is also that of `{other}`");
                     let path = format!("{path}.key_hashes");
-                    return self.fault(&path, &message, "give each organisation its own");
+                    return self.value_error(
+                        &path,
+                        &message,
+                        "give each organisation its own",
+                    );
                 }
             }
         }
         Ok(())
     }
 
-    /// Checks services and operators.
+    /// Checks the classes of services and the key hashes of operators.
     fn check_services(&self) -> Result<(), SettingsError> {
         for (name, node) in &self.tree.services {
             self.check_class(&format!("services.{name}.class"), node.class.as_ref())?;
@@ -151,7 +163,8 @@
         Ok(())
     }
 
-    /// Checks that servers serve something, and that no two share a name or an address.
+    /// Checks that backend servers name existing models and services and have slots, and that no
+    /// two share a name or an address.
     fn check_servers(&self) -> Result<(), SettingsError> {
         let mut names = BTreeMap::new();
         let mut addresses = BTreeMap::new();
@@ -162,7 +175,11 @@
                     if !self.tree.models.contains_key(model) {
                         let message = format!("there is no model `{model}`");
                         let remedy = "name models that `models` lists";
-                        return self.fault(&format!("{path}.models"), &message, remedy);
+                        return self.value_error(
+                            &format!("{path}.models"),
+                            &message,
+                            remedy,
+                        );
                     }
                 }
                 self.check_slots(&path, engine.slots)?;
@@ -179,7 +196,11 @@
                 if !self.tree.services.contains_key(&server.service) {
                     let message = format!("there is no service `{}`", server.service);
                     let remedy = "name a service that `services` lists";
-                    return self.fault(&format!("{path}.service"), &message, remedy);
+                    return self.value_error(
+                        &format!("{path}.service"),
+                        &message,
+                        remedy,
+                    );
                 }
                 self.check_slots(&path, server.slots)?;
                 self.check_unique(
@@ -194,16 +215,17 @@
         Ok(())
     }
 
-    /// Checks that a server can work on something.
+    /// Checks that a backend server has at least one slot.
     fn check_slots(&self, path: &str, slots: u32) -> Result<(), SettingsError> {
         if slots > 0 {
             return Ok(());
         }
         let remedy = "give the number of requests that it works on at once";
-        self.fault(&format!("{path}.slots"), "no slots", remedy)
+        self.value_error(&format!("{path}.slots"), "no slots", remedy)
     }
 
-    /// Checks that a server's name and address are its own.
+    /// Checks that no earlier backend server has the same name or address, and records both with
+    /// the server's path.
     fn check_unique(
         &self,
         path: &str,
@@ -214,12 +236,16 @@
     ) -> Result<(), SettingsError> {
         if let Some(other) = names.insert(name.to_owned(), path.to_owned()) {
             let message = format!("the name is also that of {other}");
-            return self.fault(path, &message, "give each backend server its own name");
+            return self.value_error(
+                path,
+                &message,
+                "give each backend server its own name",
+            );
         }
         if let Some(other) = addresses.insert(address, path.to_owned()) {
             let message = format!("the address is also that of {other}");
             let path = format!("{path}.address");
-            return self.fault(
+            return self.value_error(
                 &path,
                 &message,
                 "give each backend server its own address",
@@ -228,7 +254,7 @@
         Ok(())
     }
 
-    /// Checks that a named parent exists.
+    /// Checks that the parent of a node, if it names one, exists.
     fn check_parent<Node>(
         &self,
         path: &str,
@@ -241,10 +267,14 @@
             return Ok(());
         }
         let message = format!("`{name}` has an unknown parent `{parent}`");
-        self.fault(&format!("{path}.parent"), &message, "name a sibling, or leave it out")
+        self.value_error(
+            &format!("{path}.parent"),
+            &message,
+            "name a sibling, or leave it out",
+        )
     }
 
-    /// Checks that a named class exists.
+    /// Checks that a class, if one is named, exists.
     fn check_class(
         &self,
         path: &str,
@@ -255,30 +285,30 @@
             return Ok(());
         }
         let message = format!("there is no class `{class}`");
-        self.fault(path, &message, "name a class that `classes` lists")
+        self.value_error(path, &message, "name a class that `classes` lists")
     }
 
-    /// Checks that a secret is held as a hash.
+    /// Checks that a value is the hash of a key and not the key itself.
     fn check_hash(&self, path: &str, hash: &str) -> Result<(), SettingsError> {
         let digits = hash.strip_prefix("sha256:").unwrap_or_default();
         if digits.len() == 64 && digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return Ok(());
         }
         let remedy = "write what `flaxctl settings hash-key` prints for the key";
-        self.fault(path, "the value isn't the hash of a key", remedy)
+        self.value_error(path, "the value isn't the hash of a key", remedy)
     }
 
-    /// Checks that targets can be met at all.
+    /// Checks that the targets, priority and limits of a policy can be met.
     fn check_policy(&self, path: &str, node: &PolicyNode) -> Result<(), SettingsError> {
         let target = &node.target;
-        if target.first_token.is_some_and(|span| span < SHORTEST_FIRST_TOKEN) {
+        if target.first_token.is_some_and(|span| span < MIN_FIRST_TOKEN) {
             let path = format!("{path}.target.first_token");
             let remedy = "ask for 5ms or more";
-            return self.fault(&path, "no engine answers as fast as that", remedy);
+            return self.value_error(&path, "no engine answers as fast as that", remedy);
         }
-        if target.between_tokens.is_some_and(|span| span < SHORTEST_STEP) {
+        if target.between_tokens.is_some_and(|span| span < MIN_BETWEEN_TOKENS) {
             let path = format!("{path}.target.between_tokens");
-            return self.fault(
+            return self.value_error(
                 &path,
                 "no engine steps as fast as that",
                 "ask for 1ms or more",
@@ -286,22 +316,26 @@
         }
         if target.starvation_bound.is_some_and(|span| span.is_zero()) {
             let path = format!("{path}.target.starvation_bound");
-            return self.fault(&path, "the bound is zero", "allow some time");
+            return self.value_error(&path, "the bound is zero", "allow some time");
         }
         if node.priority == Some(0) {
             let path = format!("{path}.priority");
-            return self.fault(&path, "a priority of 0 would starve", "give 1 or more");
+            return self.value_error(
+                &path,
+                "a priority of 0 would starve",
+                "give 1 or more",
+            );
         }
         if node.limits.requests_per_second == Some(0) {
             let path = format!("{path}.limits.requests_per_second");
             let remedy = "give 1 or more, or take the keys away";
-            return self.fault(&path, "a limit of 0 refuses everything", remedy);
+            return self.value_error(&path, "a limit of 0 refuses everything", remedy);
         }
         Ok(())
     }
 
-    /// Builds a fault at a path.
-    fn fault<T>(
+    /// Returns an error for the value at `path`, with its line.
+    fn value_error<T>(
         &self,
         path: &str,
         message: &str,
@@ -316,12 +350,13 @@
     }
 }
 
-/// Takes the parser's own "error: line 1 column 2: " off the first line of its message.
-fn plain_message(message: &str) -> String {
+/// Returns the first line of a parser's message without its `error: line 1 column 2: `, as
+/// [`SettingsError::Syntax`] has the line itself.
+fn strip_position(message: &str) -> String {
     let line = message.lines().next().unwrap_or_default();
     let line = line.strip_prefix("error: ").unwrap_or(line);
     match line.split_once(": ") {
-        Some((place, rest)) if place.starts_with("line ") => rest.to_owned(),
+        Some((position, rest)) if position.starts_with("line ") => rest.to_owned(),
         _ => line.to_owned(),
     }
 }
--- a/crates/flaxtide-platform/src/client.rs
+++ b/crates/flaxtide-platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The platform's contracts over HTTP.
+//! An HTTP client that implements the contracts with the platform.
 
 use std::io::ErrorKind as IoKind;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 /// A client of the platform's table service, object store and instance list.
 #[derive(Debug, Clone)]
 pub struct PlatformClient {
-    /// The address, such as `http://127.0.0.1:9000`.
+    /// The base URL, such as `http://127.0.0.1:9000`, without a slash at the end.
     address: String,
-    /// How long one call may take.
+    /// The time-out of one call, from connecting to the end of the response.
     timeout: Duration,
 }
 
 impl PlatformClient {
-    /// Makes a client. Nothing is sent yet.
+    /// Creates a client without connecting to the platform.
     ///
     /// ```
     /// use std::time::Duration;
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Prepares a request with the client's timeout.
-    fn prepare<B>(&self, builder: RequestBuilder<B>) -> RequestBuilder<B> {
+    /// Sets the client's time-out on a request, and disables proxies and redirects.
+    fn configure<B>(&self, builder: RequestBuilder<B>) -> RequestBuilder<B> {
         builder
             .connect_timeout(self.timeout)
             .read_timeout(self.timeout)
@@ -49,20 +49,21 @@
             .follow_redirects(false)
     }
 
-    /// Returns the address of a path.
+    /// Returns the URL of a path.
     fn url(&self, path: &str) -> String {
         format!("{}{path}", self.address)
     }
 
-    /// Reads a JSON answer.
+    /// Sends a GET request and parses the JSON response.
     fn get_json<T: DeserializeOwned>(
         &self,
         path: &str,
         params: &[(&str, &str)],
     ) -> Result<T, PlatformError> {
-        let request = self.prepare(attohttpc::get(self.url(path)).params(params));
-        let response = check_status(request.send().map_err(|cause| fault(&cause))?)?;
-        response.json().map_err(|cause| fault(&cause))
+        let request = self.configure(attohttpc::get(self.url(path)).params(params));
+        let response =
+            check_status(request.send().map_err(|cause| classify_error(&cause))?)?;
+        response.json().map_err(|cause| classify_error(&cause))
     }
 }
 
@@ -73,11 +74,12 @@
     ) -> Result<Vec<CommitResult>, PlatformError> {
         let request = attohttpc::post(self.url("/table/transactions"));
         let request = self
-            .prepare(request)
+            .configure(request)
             .json(&json!({ "transactions": transactions }))
-            .map_err(|cause| fault(&cause))?;
-        let response = check_status(request.send().map_err(|cause| fault(&cause))?)?;
-        response.json().map_err(|cause| fault(&cause))
+            .map_err(|cause| classify_error(&cause))?;
+        let response =
+            check_status(request.send().map_err(|cause| classify_error(&cause))?)?;
+        response.json().map_err(|cause| classify_error(&cause))
     }
 
     fn read(&self, key: &str) -> Result<Option<TableRow>, PlatformError> {
@@ -99,19 +101,22 @@
 impl ObjectStore for PlatformClient {
     fn put(&self, key: &str, content: &[u8]) -> Result<(), PlatformError> {
         let request = attohttpc::put(self.url("/objects")).param("key", key);
-        let request = self.prepare(request.bytes(content));
-        check_status(request.send().map_err(|cause| fault(&cause))?)?;
+        let request = self.configure(request.bytes(content));
+        check_status(request.send().map_err(|cause| classify_error(&cause))?)?;
         Ok(())
     }
 
     fn get(&self, key: &str) -> Result<Option<Vec<u8>>, PlatformError> {
         let request = attohttpc::get(self.url("/objects")).param("key", key);
-        let response = self.prepare(request).send().map_err(|cause| fault(&cause))?;
+        let response = self
+            .configure(request)
+            .send()
+            .map_err(|cause| classify_error(&cause))?;
         if response.status().as_u16() == 404 {
             return Ok(None);
         }
         let response = check_status(response)?;
-        response.bytes().map(Some).map_err(|cause| fault(&cause))
+        response.bytes().map(Some).map_err(|cause| classify_error(&cause))
     }
 }
 
@@ -121,7 +126,8 @@
     }
 }
 
-/// Sorts answers by whether anything was done. Only 429 and 503 promise that nothing was.
+/// Turns a response with an error status into an error that tells whether the request may have
+/// taken effect. Only 429 and 503 guarantee that it hasn't.
 fn check_status(response: Response) -> Result<Response, PlatformError> {
     let status = response.status().as_u16();
     match status {
@@ -137,9 +143,9 @@
     }
 }
 
-/// Sorts faults by whether the request can have reached the platform. Only a refused
-/// connection can't.
-fn fault(cause: &attohttpc::Error) -> PlatformError {
+/// Classifies an error by whether the request may have reached the platform. It can't have if the
+/// connection was refused.
+fn classify_error(cause: &attohttpc::Error) -> PlatformError {
     let message = cause.to_string();
     match cause.kind() {
         ErrorKind::Io(error) if error.kind() == IoKind::ConnectionRefused => {
--- a/crates/flaxtide/src/call/mod.rs
+++ b/crates/flaxtide/src/call/mod.rs
@@ -258,7 +258,7 @@
         if !not_run || self.progress.tokens > 0 {
             return Some(OpenCall::Dispatched(call));
         }
-        let call = call.take_back();
+        let call = call.requeue();
         Some(match &self.held {
             Some(held) => OpenCall::Claimed(call.claim(held.row.attempt)),
             None => OpenCall::Queued(call),
