--- a/crates/flaxtide-fleet/src/node/instance_group.rs
+++ b/crates/flaxtide-fleet/src/node/instance_group.rs
@@ -1,5 +1,6 @@
-//! The instances among which a limit that a server announces is divided. Other than the group
-//! in which heartbeats are exchanged, an `InstanceGroup` also names the other data centres.
+//! The instances among which a limit that a server announces is divided. Unlike the group in
+//! which an instance exchanges heartbeats, an `InstanceGroup` also names the other data
+//! centres.
 
 use std::sync::Arc;
 use std::time::Duration;
