--- a/crates/flaxtide/src/accept.rs
+++ b/crates/flaxtide/src/accept.rs
@@ -11,7 +11,7 @@
 use tiny_http::{Request, Server};
 
 use crate::call::{refuse_early, serve_call};
-use crate::link::{CallerLink, FullResponse, refusal};
+use crate::link::{CallerLink, CompleteResponse, refusal};
 use crate::request::{is_keyed, split_url};
 use crate::shared::SharedState;
 
@@ -95,7 +95,7 @@
 /// Answers a question of the balancer.
 fn answer_health(request: Request, well: bool) {
     let (status, body) = if well { (200, "ok") } else { (503, "not ready") };
-    let answer = FullResponse {
+    let answer = CompleteResponse {
         status,
         content_type: "text/plain".into(),
         body: body.as_bytes().to_vec(),
--- a/crates/flaxtide/src/call/keyed.rs
+++ b/crates/flaxtide/src/call/keyed.rs
@@ -13,7 +13,7 @@
 use super::CallHandler;
 use crate::claim::{ClaimOutcome, claim};
 use crate::explain::StepKind;
-use crate::link::FullResponse;
+use crate::link::CompleteResponse;
 use crate::messages::SettleJob;
 use crate::settle::queue_settlement;
 
@@ -22,10 +22,11 @@
 const MAX_ROW_BODY_BYTES: usize = 16 * 1024;
 
 /// How long a response is held back until its outcome is recorded in the table. After
-/// that, the response is sent, and the settle thread still records the outcome.
+/// that, the response is sent, and the settle thread still records the outcome, unless the
+/// settlement couldn't be queued.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When the caller should retry a request whose outcome is not known yet.
+/// The retry delay sent with refusals that don't know the state of an earlier attempt.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// A claim that this call holds.
@@ -39,7 +40,7 @@
 }
 
 /// The outcome of claiming the request of a call.
-pub(super) enum KeyedOutcome {
+pub(super) enum CallClaim {
     /// This call holds the claim: it alone may send the request.
     Held(Call<Claimed>),
     /// The call couldn't get the claim and has ended.
@@ -63,19 +64,19 @@
 
 impl CallHandler<'_> {
     /// Claims the right to send the request, or ends the call.
-    pub(super) fn claim(&mut self, call: Call<Queued>) -> KeyedOutcome {
+    pub(super) fn claim(&mut self, call: Call<Queued>) -> CallClaim {
         let shared = self.shared;
         let key = self.claim_key();
         let mut attempt =
             ClaimAttempt::new(shared.next_attempt(), self.request.body_hash);
-        let give_up = self.arrived + self.request.profile.give_up;
-        match claim(shared, &key, &mut attempt, give_up) {
+        let give_up_at = self.arrived + self.request.profile.give_up;
+        match claim(shared, &key, &mut attempt, give_up_at) {
             ClaimOutcome::Held(version) => {
                 let row = attempt.row(RowPhase::Held);
                 let call = call.claim(row.attempt);
                 self.held = Some(HeldClaim { key, row, version });
                 shared.log.add(self.id, shared.now(), StepKind::Claimed);
-                KeyedOutcome::Held(call)
+                CallClaim::Held(call)
             }
             ClaimOutcome::NotHeld(step) => {
                 // Frees the slot at the server for the next request.
@@ -86,7 +87,7 @@
                     queue_settlement(shared, SettleJob { key, settlement, done: None });
                 }
                 self.end_unclaimed(call, step);
-                KeyedOutcome::Ended
+                CallClaim::Ended
             }
         }
     }
@@ -173,7 +174,7 @@
     }
 
     /// Decodes a recorded outcome; `None` if it or the object with its body can't be read.
-    fn read_outcome(&self, outcome: &str) -> Option<FullResponse> {
+    fn read_outcome(&self, outcome: &str) -> Option<CompleteResponse> {
         let record: RecordedAnswer = serde_json::from_str(outcome).ok()?;
         let body = match (record.body, record.object) {
             (Some(body), _) => body.into_bytes(),
@@ -181,16 +182,16 @@
             (None, None) => vec![],
         };
         let content_type = record.content_type;
-        Some(FullResponse { status: record.status, content_type, body })
+        Some(CompleteResponse { status: record.status, content_type, body })
     }
 
     /// Records the outcome of a request with an idempotency key, so that a retry with the
     /// key gets the same response.
-    pub(super) fn record_outcome(&mut self, response: &FullResponse) {
+    pub(super) fn store_response(&mut self, response: &CompleteResponse) {
         let Some(held) = self.held.take() else { return };
         let Some(outcome) = self.encode_outcome(&held, response) else {
             log::warn!(
-                "failed to store a response; the outcome of its request stays unrecorded"
+                "failed to store a response body in the object store; the outcome stays unrecorded"
             );
             return;
         };
@@ -204,12 +205,12 @@
         }
     }
 
-    /// Encodes a response for its row, and stores a body that doesn't fit there in the
-    /// object store. Returns `None` if that fails.
+    /// Encodes a response for its row. Stores a body that is too long for the row or isn't
+    /// UTF-8 text in the object store. Returns `None` if that fails.
     fn encode_outcome(
         &self,
         held: &HeldClaim,
-        response: &FullResponse,
+        response: &CompleteResponse,
     ) -> Option<String> {
         let mut record = RecordedAnswer {
             status: response.status,
@@ -229,7 +230,8 @@
         serde_json::to_string(&record).ok()
     }
 
-    /// Releases the claim, if one is held, of a request that hasn't been sent and won't be.
+    /// Releases the claim, if the call holds one, of a request that hasn't been sent and
+    /// won't be.
     pub(super) fn release_claim(&mut self) {
         let Some(held) = self.held.take() else { return };
         let row = ClaimRow { phase: RowPhase::Released, ..held.row };
--- a/crates/flaxtide/src/call/mod.rs
+++ b/crates/flaxtide/src/call/mod.rs
@@ -14,7 +14,7 @@
 use flaxtide_policy::{CallArrival, PolicyEvent, ServerFault};
 use tiny_http::Request;
 
-use self::keyed::{HeldClaim, KeyedOutcome};
+use self::keyed::{CallClaim, HeldClaim};
 use crate::exchange::{
     AttemptOutcome, ResponseProgress, ServerAttempt, exchange_completion, exchange_plain,
 };
@@ -24,8 +24,9 @@
 use crate::request::{CallPayload, CallRequest, is_keyed};
 use crate::shared::SharedState;
 
-/// The capacity of the channel that carries the decision core's orders to a call.
-const ORDER_CAPACITY: usize = 4;
+/// The capacity of the channel that carries the decision core's orders to a call. A call
+/// has at most one unread order.
+const ORDER_CHANNEL_CAPACITY: usize = 4;
 
 /// Reads an HTTP request and handles it to its end.
 pub(crate) fn serve_call(shared: &Arc<SharedState>, mut request: Request) {
@@ -33,7 +34,7 @@
     shared.metrics.received.inc();
     let close_connection = shared.leaving();
     let keyed = is_keyed(&request);
-    if let Some(reason) = rejection_reason(shared) {
+    if let Some(reason) = early_refusal_reason(shared) {
         let message = match reason {
             FailureReason::Stopping => "this instance is stopping",
             _ => "this instance has no settings yet",
@@ -55,7 +56,7 @@
 }
 
 /// Returns why the instance currently refuses all requests, or `None` if it accepts them.
-fn rejection_reason(shared: &SharedState) -> Option<FailureReason> {
+fn early_refusal_reason(shared: &SharedState) -> Option<FailureReason> {
     if shared.closed() {
         return Some(FailureReason::Stopping);
     }
@@ -177,7 +178,7 @@
             first_token: Some(request.profile.first_token),
             repeatable: request.repeatable,
         };
-        let (orders, receiver) = bounded(ORDER_CAPACITY);
+        let (orders, receiver) = bounded(ORDER_CHANNEL_CAPACITY);
         // The decision thread outlives all calls. If it has ended nevertheless, the order
         // channel is closed, which ends the call.
         let _ = self.shared.decisions.send(DecisionMessage::Arrive(arrival, orders));
@@ -190,8 +191,8 @@
         let call = match open {
             OpenCall::Queued(call) if self.request.key.is_some() => {
                 match self.claim(call) {
-                    KeyedOutcome::Held(call) => call.dispatch(),
-                    KeyedOutcome::Ended => return None,
+                    CallClaim::Held(call) => call.dispatch(),
+                    CallClaim::Ended => return None,
                 }
             }
             OpenCall::Queued(call) => call.dispatch(),
@@ -241,7 +242,8 @@
     }
 
     /// Reports a failed attempt to the decision core, which orders a retry or ends the
-    /// call.
+    /// call. Returns the call as dispatched if the server may have run the request or
+    /// tokens have been received, and otherwise in its state before the dispatch.
     fn handle_fault(
         &mut self,
         call: Call<Dispatched>,
@@ -282,8 +284,8 @@
                 self.release_claim();
                 self.end_refused(&failed.body);
             }
-            // An earlier attempt may have run, so a refusal, which promises that the
-            // request hasn't run, would be wrong.
+            // An earlier attempt may have run. `Call::refuse` would tell the caller that the
+            // request hasn't run, which may be wrong.
             OpenCall::Dispatched(call) => {
                 let failed = call.fail(reason, &message, retry_after);
                 self.end_failed(&failed.body);
--- a/crates/flaxtide/src/call/outcome.rs
+++ b/crates/flaxtide/src/call/outcome.rs
@@ -1,4 +1,5 @@
-//! The ends of a call. Each call ends exactly once, and each end is counted and logged.
+//! The ends of a call, other than a replay. Each call ends exactly once, and each of these
+//! ends is counted and logged.
 
 use flaxtide_core::{
     Call, CallEnd, Dispatched, FailureBody, FailureReason, format_request_id,
@@ -7,7 +8,7 @@
 
 use super::CallHandler;
 use crate::explain::StepKind;
-use crate::link::FullResponse;
+use crate::link::CompleteResponse;
 use crate::request::CallPayload;
 
 impl CallHandler<'_> {
@@ -16,7 +17,7 @@
     pub(super) fn end_answered(
         &mut self,
         call: Call<Dispatched>,
-        response: Option<&FullResponse>,
+        response: Option<&CompleteResponse>,
     ) {
         let tokens = self.progress.tokens;
         let now = self.shared.now();
@@ -35,15 +36,15 @@
     }
 
     /// Records the response if the call holds a claim; other responses aren't recorded.
-    fn record_response(&mut self, response: Option<&FullResponse>) {
+    fn record_response(&mut self, response: Option<&CompleteResponse>) {
         if self.held.is_none() {
             return;
         }
         match (response, &self.request.payload) {
-            (Some(response), _) => self.record_outcome(response),
+            (Some(response), _) => self.store_response(response),
             (None, CallPayload::Completion(payload)) => {
-                let response = self.progress.full_response(self.id, payload);
-                self.record_outcome(&response);
+                let response = self.progress.build_response(self.id, payload);
+                self.store_response(&response);
             }
             // Responses of plain services are never streamed.
             (None, CallPayload::Plain(_)) => {}
@@ -73,8 +74,8 @@
         self.record_end(CallEnd::Failed, StepKind::Failed { reason: body.reason });
     }
 
-    /// Ends a call whose caller has disconnected. The connection to the engine is closed,
-    /// which cancels its stream.
+    /// Ends a call whose caller has disconnected. The connection to the server is closed,
+    /// which cancels a stream of its engine.
     pub(super) fn end_caller_gone(&mut self, call: Call<Dispatched>) {
         let reason = FailureReason::CallerGone;
         let _ = call.fail(reason, "the caller has gone", None);
--- a/crates/flaxtide/src/claim.rs
+++ b/crates/flaxtide/src/claim.rs
@@ -1,4 +1,5 @@
-//! The claim thread, which writes claims in group commits and limits their rate.
+//! The claim thread, which writes the rows of claims in group commits, at a limited rate
+//! of commits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,12 +13,13 @@
 /// The maximum number of claims in one group commit.
 const MAX_GROUP_SIZE: usize = 64;
 
-/// The rate of claim commits of all instances together. The platform's table accepts
-/// several hundred writes per second, some of which settings and leases need.
-const FLEET_WRITES_PER_SECOND: f64 = 300.0;
+/// The maximum rate of claim commits of all instances together. A commit counts as one
+/// write. The platform's table accepts several hundred writes per second, some of which
+/// settings and leases need.
+const FLEET_COMMITS_PER_SECOND: f64 = 300.0;
 
 /// The number of commits that an idle instance may make at once.
-const WRITE_BURST: f64 = 8.0;
+const COMMIT_BURST: f64 = 8.0;
 
 /// How often the thread checks whether it should stop.
 const STOP_CHECK_PERIOD: Duration = Duration::from_millis(200);
@@ -25,15 +27,15 @@
 /// The outcome of a claim.
 #[derive(Debug)]
 pub(crate) enum ClaimOutcome {
-    /// This attempt alone may send the request. Holds the version of its row.
+    /// This attempt alone may send the request. Carries the version of its row.
     Held(u64),
-    /// This attempt must not send the request. Holds the step with which it ended.
+    /// This attempt must not send the request. Carries the final step.
     NotHeld(ClaimStep),
 }
 
 /// Runs the claim thread until the instance stops.
 pub(crate) fn write_claims(shared: &Arc<SharedState>, jobs: &Receiver<ClaimJob>) {
-    let mut budget = WriteBudget::new(shared.now());
+    let mut budget = CommitBudget::new(shared.now());
     while !shared.stopped() {
         let first = match jobs.recv_timeout(STOP_CHECK_PERIOD) {
             Ok(first) => first,
@@ -71,18 +73,19 @@
     }
 }
 
-/// Returns the number of instances that share the table, as known from heartbeats.
+/// Returns the number of live instances in this data centre, this one included, as known
+/// from heartbeats.
 fn instance_count(shared: &SharedState) -> f64 {
     (shared.metrics.live_peers.get() + 1).max(1) as f64
 }
 
 /// Writes and reads the row of a claim until the attempt holds it or has ended. Abandons
-/// the attempt at the time `give_up`.
+/// the attempt once the instance's clock has reached `give_up_at`.
 pub(crate) fn claim(
     shared: &SharedState,
     key: &str,
     attempt: &mut ClaimAttempt,
-    give_up: Duration,
+    give_up_at: Duration,
 ) -> ClaimOutcome {
     loop {
         match attempt.step() {
@@ -91,14 +94,14 @@
                 attempt.reply(write_row(shared, key, expected, row));
             }
             ClaimStep::ReadBack => attempt.reply(shared.claims.read(key)),
-            ClaimStep::Send if shared.now() < give_up => {
+            ClaimStep::Send if shared.now() < give_up_at => {
                 return ClaimOutcome::Held(attempt.held_version().unwrap_or_default());
             }
             // The process was frozen or the table slow, so the time is used up.
             ClaimStep::Send => attempt.abandon(),
             step => return ClaimOutcome::NotHeld(step),
         }
-        if shared.now() >= give_up {
+        if shared.now() >= give_up_at {
             attempt.abandon();
         }
     }
@@ -116,14 +119,14 @@
     if shared.claim_jobs.send(job).is_err() {
         return TableReply::NotDone;
     }
-    // A queued job may still be written after the time-out, so the outcome is unknown.
+    // A queued job may still be written after the timeout, so the outcome is unknown.
     let timeout = 2 * shared.config.platform_timeout;
     replies.recv_timeout(timeout).unwrap_or(TableReply::NoAnswer)
 }
 
 /// A token bucket that limits the claim commits of this instance to its share of
-/// [`FLEET_WRITES_PER_SECOND`].
-struct WriteBudget {
+/// [`FLEET_COMMITS_PER_SECOND`].
+struct CommitBudget {
     /// The number of commits that may be made now; negative if one has been taken in
     /// advance.
     available: f64,
@@ -131,18 +134,18 @@
     updated_at: Duration,
 }
 
-impl WriteBudget {
+impl CommitBudget {
     /// Creates a full budget.
     fn new(now: Duration) -> Self {
-        Self { available: WRITE_BURST, updated_at: now }
+        Self { available: COMMIT_BURST, updated_at: now }
     }
 
     /// Takes a commit from the budget and returns how long to wait before making it.
     /// `instances` is the number of instances that share the rate.
     fn take(&mut self, instances: f64, now: Duration) -> Duration {
-        let rate = FLEET_WRITES_PER_SECOND / instances;
+        let rate = FLEET_COMMITS_PER_SECOND / instances;
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
-        self.available = (self.available + elapsed * rate).min(WRITE_BURST) - 1.0;
+        self.available = (self.available + elapsed * rate).min(COMMIT_BURST) - 1.0;
         self.updated_at = now;
         Duration::from_secs_f64((-self.available / rate).clamp(0.0, 2.0))
     }
--- a/crates/flaxtide/src/decide.rs
+++ b/crates/flaxtide/src/decide.rs
@@ -97,11 +97,11 @@
 
     /// Applies an action of the core: records it and sends the order to the call.
     fn apply_action(&mut self, action: PolicyAction, now: Duration) {
-        let log = &self.shared.log;
+        let decision_log = &self.shared.log;
         match action {
             PolicyAction::Wait { request, place, predicted } => {
                 let predicted_ms = predicted.as_millis() as u64;
-                log.add(request, now, StepKind::Queued { place, predicted_ms });
+                decision_log.add(request, now, StepKind::Queued { place, predicted_ms });
             }
             PolicyAction::Dispatch {
                 request,
@@ -111,7 +111,7 @@
                 attempt,
             } => {
                 let step = self.dispatch_step(&choice, priority, attempt);
-                log.add(request, now, step);
+                decision_log.add(request, now, step);
                 if attempt > 1 {
                     self.shared.metrics.retries.inc();
                 }
@@ -135,7 +135,7 @@
         let Some(orders) = self.orders.get(&request) else { return };
         // A call has at most one unread order, so its channel always has capacity.
         if orders.try_send(order).is_err() {
-            log::error!(request_id = request; "failed to deliver an order to its call");
+            log::error!(request_id = request; "failed to send an order to the thread of its request");
         }
     }
 
@@ -178,7 +178,7 @@
 /// Requests a summary from the decision thread. The summary is empty if there is no reply
 /// in time. With `take_usage`, the counts of arrived requests are moved into it.
 pub(crate) fn summarise(shared: &SharedState, take_usage: bool) -> DecisionSummary {
-    /// The time-out for the decision thread's reply.
+    /// The timeout for the decision thread's reply.
     const SUMMARY_TIMEOUT: Duration = Duration::from_secs(1);
     let (reply, replies) = bounded(1);
     let message = DecisionMessage::Summarise { take_usage, reply };
@@ -188,7 +188,7 @@
     replies.recv_timeout(SUMMARY_TIMEOUT).unwrap_or_default()
 }
 
-/// Returns the request that an event ends regardless of what the core decides.
+/// Returns the request that has ended with this event, whatever actions the core returns.
 fn ended_request(event: &PolicyEvent) -> Option<RequestId> {
     match event {
         PolicyEvent::Finish { request, .. }
--- a/crates/flaxtide/src/exchange/completion.rs
+++ b/crates/flaxtide/src/exchange/completion.rs
@@ -6,13 +6,13 @@
 use flaxtide_policy::{PolicyEvent, ServerFault};
 use serde_json::{Value, json};
 
-use super::event::{CompletionChunk, EventReader, ServerEvent};
+use super::event::{CompletionChunk, EventReader, ServerSentEvent};
 use super::{
     AttemptOutcome, ServerAttempt, classify_read_error, classify_send_error,
     refusal_fault,
 };
 use crate::explain::StepKind;
-use crate::link::{CallerLink, FullResponse, REQUEST_ID_HEADER, StreamLink};
+use crate::link::{CallerLink, CompleteResponse, REQUEST_ID_HEADER, StreamLink};
 use crate::request::CompletionPayload;
 
 /// The number of tokens after which the decision core is sent the response's progress.
@@ -25,7 +25,7 @@
 pub(crate) struct ResponseProgress {
     /// The link to the caller, until a stream or a complete response is begun on it.
     link: Option<CallerLink>,
-    /// The stream to the caller, from its first token to its end.
+    /// The stream to the caller, while it is open.
     stream: Option<StreamLink>,
     /// Whether the caller asked for a stream.
     wants_stream: bool,
@@ -40,8 +40,8 @@
     pub(crate) first_token: Option<Duration>,
     /// When the latest token was received.
     pub(crate) last_token: Option<Duration>,
-    /// When the decision core was last sent the progress or the attempt began, and the
-    /// number of tokens at that time.
+    /// The time and the token count at the last progress report, or at the start of this
+    /// attempt's response.
     last_progress: (Duration, u32),
 }
 
@@ -69,7 +69,7 @@
     /// Sends a complete response to the caller, unless one or a stream has been begun.
     pub(crate) fn send_response(
         &mut self,
-        response: &FullResponse,
+        response: &CompleteResponse,
     ) -> std::io::Result<()> {
         match self.link.take() {
             Some(link) => link.answer(response),
@@ -119,13 +119,13 @@
     }
 
     /// Builds the complete response from the text received.
-    pub(crate) fn full_response(
+    pub(crate) fn build_response(
         &self,
         request: RequestId,
         payload: &CompletionPayload,
-    ) -> FullResponse {
-        let body = self.full_body(request, payload);
-        FullResponse {
+    ) -> CompleteResponse {
+        let body = self.build_body(request, payload);
+        CompleteResponse {
             status: 200,
             content_type: "application/json".into(),
             body: serde_json::to_vec(&body).unwrap_or_default(),
@@ -133,7 +133,7 @@
     }
 
     /// Builds the body of the complete response.
-    fn full_body(&self, request: RequestId, payload: &CompletionPayload) -> Value {
+    fn build_body(&self, request: RequestId, payload: &CompletionPayload) -> Value {
         let chat = payload.path.ends_with("/chat/completions");
         let choice = if chat {
             json!({
@@ -160,8 +160,8 @@
 
 /// Sends a request to an engine and passes the response on as it is received.
 ///
-/// Every chunk must carry the request's ID, and the tokens must be in order and without
-/// gaps. After an attempt that failed midway, the response is resumed after the last token
+/// Every chunk must carry the request's ID, and the tokens of events with IDs must be in
+/// order and without gaps. After an attempt that failed midway, the response is resumed after the last token
 /// received.
 pub(crate) fn exchange_completion(
     attempt: &ServerAttempt<'_>,
@@ -225,7 +225,7 @@
 /// Checks an event and passes on its token. Returns whether it is the last chunk.
 fn handle_event(
     attempt: &ServerAttempt<'_>,
-    event: &ServerEvent,
+    event: &ServerSentEvent,
     progress: &mut ResponseProgress,
 ) -> Result<bool, AttemptOutcome> {
     let broken = || AttemptOutcome::Fault(ServerFault::Broken);
@@ -248,7 +248,7 @@
     let Some(text) = chunk.text() else { return Ok(false) };
     if let Some(index) = event.id.as_ref().and_then(|id| id.parse::<u32>().ok()) {
         if index < progress.tokens {
-            // The engine has resent a token that has already been passed on.
+            // The engine has resent a token that has already been received.
             return Ok(false);
         }
         if index > progress.tokens {
@@ -300,7 +300,7 @@
     };
     if !progress.wants_stream {
         return AttemptOutcome::Complete(
-            progress.full_response(attempt.request_id, payload),
+            progress.build_response(attempt.request_id, payload),
         );
     }
     match progress.finish_stream(last_chunk) {
--- a/crates/flaxtide/src/exchange/event.rs
+++ b/crates/flaxtide/src/exchange/event.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-/// The maximum length of a line sent by an engine, in bytes.
+/// The number of bytes after which a line is cut; the rest is read as another line.
 const MAX_LINE_BYTES: u64 = 1 << 20;
 
 /// Reads server-sent events from a response body.
@@ -17,7 +17,7 @@
 
 /// A server-sent event.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub(crate) struct ServerEvent {
+pub(crate) struct ServerSentEvent {
     /// The event's ID; engines set it to the index of the token.
     pub(crate) id: Option<String>,
     /// The event's data; never empty.
@@ -74,8 +74,8 @@
 
     /// Reads the next event that has data. Returns `None` at the end of the body, also if
     /// it ends within an event.
-    pub(crate) fn next(&mut self) -> io::Result<Option<ServerEvent>> {
-        let mut event = ServerEvent::default();
+    pub(crate) fn next(&mut self) -> io::Result<Option<ServerSentEvent>> {
+        let mut event = ServerSentEvent::default();
         loop {
             self.line.clear();
             let mut limited = self.body.by_ref().take(MAX_LINE_BYTES);
--- a/crates/flaxtide/src/exchange/mod.rs
+++ b/crates/flaxtide/src/exchange/mod.rs
@@ -14,10 +14,10 @@
 
 pub(crate) use self::completion::{ResponseProgress, exchange_completion};
 pub(crate) use self::plain::exchange_plain;
-use crate::link::FullResponse;
+use crate::link::CompleteResponse;
 use crate::shared::SharedState;
 
-/// The time-out for opening a connection to a backend server.
+/// The timeout for opening a connection to a backend server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The silence timeout of attempts for which the decision core sets none, because the
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(crate) enum AttemptOutcome {
     /// The complete response has been received and nothing of it sent to the caller.
-    Complete(FullResponse),
+    Complete(CompleteResponse),
     /// The complete response has been passed on to the caller as a stream.
     Streamed,
     /// The server refused the request or failed.
@@ -56,7 +56,7 @@
 }
 
 impl ServerAttempt<'_> {
-    /// Sets the time-outs and options of a request to the server.
+    /// Sets the timeouts and options of a request to the server.
     fn prepare<B>(&self, builder: RequestBuilder<B>) -> RequestBuilder<B> {
         // The read timeout bounds each silence. attohttpc's timeout for whole requests
         // isn't used: it costs a thread, and the decision core enforces the deadline.
@@ -71,8 +71,9 @@
 /// Classifies an error before the response by whether the server can have received the
 /// request.
 ///
-/// It can't have only if the connection was refused or didn't open in time. A read that
-/// times out is reported as `WouldBlock`, so `TimedOut` can only come from connecting.
+/// The server can't have received it in two cases only: the connection was refused, or it
+/// didn't open in time. A read that times out is reported as `WouldBlock`, so `TimedOut`
+/// can only come from connecting.
 fn classify_send_error(cause: &attohttpc::Error) -> ServerFault {
     match cause.kind() {
         ErrorKind::Io(error) => match error.kind() {
--- a/crates/flaxtide/src/exchange/plain.rs
+++ b/crates/flaxtide/src/exchange/plain.rs
@@ -9,7 +9,7 @@
     AttemptOutcome, ServerAttempt, classify_read_error, classify_send_error,
     refusal_fault,
 };
-use crate::link::{FullResponse, REQUEST_ID_HEADER};
+use crate::link::{CompleteResponse, REQUEST_ID_HEADER};
 use crate::request::{KEY_HEADER, PlainPayload};
 
 /// Sends a request to a server and reads the complete response.
@@ -49,7 +49,9 @@
         return AttemptOutcome::Fault(ServerFault::Broken);
     }
     match response.bytes() {
-        Ok(body) => AttemptOutcome::Complete(FullResponse { status, content_type, body }),
+        Ok(body) => {
+            AttemptOutcome::Complete(CompleteResponse { status, content_type, body })
+        }
         Err(cause) => AttemptOutcome::Fault(classify_body_error(&cause)),
     }
 }
--- a/crates/flaxtide/src/link.rs
+++ b/crates/flaxtide/src/link.rs
@@ -27,7 +27,7 @@
 
 /// A whole answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct FullResponse {
+pub(crate) struct CompleteResponse {
     /// The HTTP status.
     pub(crate) status: u16,
     /// The type of the body.
@@ -43,7 +43,7 @@
     }
 
     /// Sends a whole answer.
-    pub(crate) fn answer(self, answer: &FullResponse) -> io::Result<()> {
+    pub(crate) fn answer(self, answer: &CompleteResponse) -> io::Result<()> {
         self.send(answer, None)
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Sends a whole answer, with when to come back.
-    fn send(self, answer: &FullResponse, retry_after: Option<u64>) -> io::Result<()> {
+    fn send(self, answer: &CompleteResponse, retry_after: Option<u64>) -> io::Result<()> {
         let mut head = self.head(answer.status, &answer.content_type);
         if let Some(seconds) = retry_after {
             head.push_str(&format!("Retry-After: {seconds}\r\n"));
@@ -133,8 +133,8 @@
 }
 
 /// Builds the answer that carries a final word.
-fn failure_answer(body: &FailureBody) -> FullResponse {
-    FullResponse {
+fn failure_answer(body: &FailureBody) -> CompleteResponse {
+    CompleteResponse {
         status: body.reason.status(),
         content_type: "application/json".into(),
         body: serde_json::to_vec(body).unwrap_or_default(),
--- a/crates/flaxtide/src/settle.rs
+++ b/crates/flaxtide/src/settle.rs
@@ -18,10 +18,10 @@
 /// How often an idle thread checks whether it should stop.
 const STOP_CHECK_PERIOD: Duration = Duration::from_millis(200);
 
-/// The number of open jobs from which on the thread accepts only one new job per
-/// settlement that it tries. Jobs for which the channel is full are dropped, and their rows
-/// stay held. This is safe: a caller that retries the request is told that it may have run.
-const MAX_OPEN_JOBS: usize = 4096;
+/// With this many open jobs, the thread accepts one new job per attempted settlement. The
+/// channel then fills up, and further jobs are dropped; their rows stay held. This is safe:
+/// a caller that retries the request is told that it may have run.
+const OPEN_JOBS_THRESHOLD: usize = 4096;
 
 /// Runs the settle thread until the instance stops.
 pub(crate) fn settle_claims(shared: &Arc<SharedState>, jobs: &Receiver<SettleJob>) {
@@ -33,7 +33,7 @@
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        let capacity = MAX_OPEN_JOBS.saturating_sub(open.len());
+        let capacity = OPEN_JOBS_THRESHOLD.saturating_sub(open.len());
         open.extend(jobs.try_iter().take(capacity));
         let Some(mut job) = open.pop_front() else { continue };
         if settle(shared, &mut job) {
@@ -53,13 +53,16 @@
     shared.unsettled.fetch_add(1, Ordering::SeqCst);
     if let Err(cause) = shared.settle_jobs.try_send(job) {
         shared.unsettled.fetch_sub(1, Ordering::SeqCst);
-        log::error!("failed to queue a settlement; the claim stays held: {cause}");
+        log::error!(
+            "the settlement queue is full or closed; the claim stays held: {cause}"
+        );
     }
 }
 
 /// Tries to write the final phase of a row. Returns whether nothing is left to write.
 fn settle(shared: &SharedState, job: &mut SettleJob) -> bool {
-    /// The number of writes before the job is retried later.
+    /// The number of writes, each of which may fail on its version condition, before the
+    /// job is retried later.
     const MAX_TRIES: usize = 3;
     for _ in 0..MAX_TRIES {
         let Some(expected) = job.settlement.next_write() else { return true };
