--- a/crates/flaxtide-core/src/call.rs
+++ b/crates/flaxtide-core/src/call.rs
@@ -2,8 +2,9 @@
 //!
 //! A call of which nothing was sent to a backend server can be refused, which promises the
 //! caller that it hasn't run. A [`Dispatched`] call has no `refuse` method: without a whole
-//! answer it can only end in [`Call::fail`], which reports that it may have run. A refusal
-//! after dispatch therefore doesn't compile:
+//! answer it ends in [`Call::fail`], which reports that it may have run, unless
+//! [`Call::requeue`] puts it back because the server is known not to have run it. A refusal
+//! directly after dispatch doesn't compile:
 //!
 //! ```compile_fail
 //! use flaxtide_core::{Call, FailureReason};
@@ -58,7 +59,7 @@
 #[derive(Debug)]
 pub struct Answered;
 
-/// State: the call ended without a whole answer.
+/// State: the call ended without a whole answer, by refusal or by failure.
 #[derive(Debug)]
 pub struct Failed {
     /// The body that is sent to the caller.
@@ -70,7 +71,8 @@
 pub enum CallEnd {
     /// The whole answer was forwarded to the caller.
     Answered,
-    /// The call was refused: it hasn't run.
+    /// The call was refused: this attempt hasn't run, though another one under the same
+    /// idempotency key may have.
     Refused,
     /// The call failed after dispatch: it may have run.
     Failed,
@@ -171,8 +173,8 @@
         build_failure(self.request_id, RanState::No, reason, message, retry_after)
     }
 
-    /// Ends the call without that promise. This attempt hasn't run, but another attempt
-    /// under the same idempotency key may have.
+    /// Ends the call without a promise that the request hasn't run. This attempt hasn't, but
+    /// another attempt under the same idempotency key may have.
     #[must_use]
     pub fn refuse_unverified(
         self,
--- a/crates/flaxtide-core/src/id.rs
+++ b/crates/flaxtide-core/src/id.rs
@@ -64,7 +64,8 @@
     format!("{request:016x}")
 }
 
-/// Parses a request id as [`format_request_id`] prints it. Returns `None` for any other text.
+/// Parses a request id of sixteen hexadecimal digits. Returns `None` if the text has another
+/// length or isn't a hexadecimal number.
 ///
 /// ```
 /// assert_eq!(flaxtide_core::parse_request_id("00000000000000ff"), Some(255));
--- a/crates/flaxtide-core/src/settings/check.rs
+++ b/crates/flaxtide-core/src/settings/check.rs
@@ -8,10 +8,12 @@
 use super::locate::locate;
 use super::node::{PolicyNode, SettingsTree};
 
-/// The shortest first-token target. No engine answers faster, so a shorter one is a typing error.
+/// The shortest first-token target. No engine answers faster, so a shorter one is taken for a
+/// typing error.
 const MIN_FIRST_TOKEN: Duration = Duration::from_millis(5);
 
-/// The shortest between-tokens target. No engine's step is shorter.
+/// The shortest between-tokens target: the shortest step, in which an engine generates one
+/// token, that users give for an engine.
 const MIN_BETWEEN_TOKENS: Duration = Duration::from_millis(1);
 
 impl SettingsTree {
@@ -298,7 +300,8 @@
         self.value_error(path, "the value isn't the hash of a key", remedy)
     }
 
-    /// Checks that the targets, priority and limits of a policy can be met.
+    /// Checks that targets aren't shorter than an engine can reach, and that the starvation
+    /// bound, the priority and the request limit aren't 0.
     fn check_policy(&self, path: &str, node: &PolicyNode) -> Result<(), SettingsError> {
         let target = &node.target;
         if target.first_token.is_some_and(|span| span < MIN_FIRST_TOKEN) {
--- a/crates/flaxtide-core/src/settings/edit.rs
+++ b/crates/flaxtide-core/src/settings/edit.rs
@@ -36,7 +36,8 @@
     /// Returns an error if an edit removes a value that doesn't exist, sets one below a value
     /// that isn't a node, or leads to a tree that fails the checks. `self` isn't changed.
     pub fn apply(&self, edits: &[SettingsEdit]) -> Result<Self, SettingsError> {
-        let mut root = serde_json::to_value(self).map_err(|cause| shape_error(&cause))?;
+        let mut root =
+            serde_json::to_value(self).map_err(|cause| syntax_error(&cause))?;
         for edit in edits {
             let parts: Vec<&str> = edit.path.split('.').collect();
             let changed = match &edit.value {
@@ -57,7 +58,7 @@
     /// Returns the first error that is found.
     pub fn from_value(value: Value) -> Result<Self, SettingsError> {
         let tree: Self =
-            serde_json::from_value(value).map_err(|cause| shape_error(&cause))?;
+            serde_json::from_value(value).map_err(|cause| syntax_error(&cause))?;
         tree.check("")?;
         Ok(tree)
     }
@@ -76,8 +77,8 @@
     }
 }
 
-/// Converts an error of deserialization. A JSON value has no lines, so the line is 0.
-fn shape_error(cause: &serde_json::Error) -> SettingsError {
+/// Converts an error of `serde_json`. A JSON value has no lines, so the line is 0.
+fn syntax_error(cause: &serde_json::Error) -> SettingsError {
     SettingsError::Syntax { line: 0, message: cause.to_string() }
 }
 
--- a/crates/flaxtide-core/src/settings/inherit.rs
+++ b/crates/flaxtide-core/src/settings/inherit.rs
@@ -70,7 +70,8 @@
     pub field: String,
     /// The value, formatted as in the settings.
     pub value: String,
-    /// The path of the node that sets it; `built-in` for a default of the program.
+    /// The path of the node that sets it; `built-in` for a default of the program, or a
+    /// `give_up` that follows the first-token target.
     pub source: String,
 }
 
@@ -79,7 +80,7 @@
     /// or neither it nor an ancestor names an existing tier.
     #[must_use]
     pub fn class_profile(&self, name: &str) -> Option<ClassProfile> {
-        let chain = self.class_chain(name)?;
+        let chain = self.class_policies(name)?;
         let tier = self.class_tier(name)?;
         let rank = self.tiers.get(&tier)?.rank;
         let first_token = find_nearest(&chain, |node| node.target.first_token);
@@ -104,11 +105,11 @@
     /// Resolves the values that apply to an organisation. Returns `None` if it doesn't exist.
     #[must_use]
     pub fn organisation_profile(&self, name: &str) -> Option<OrganisationProfile> {
-        let chain = self.organisation_chain(name)?;
+        let chain = self.organisation_policies(name)?;
         let names = self.organisation_ancestry(name)?;
         let class = names.iter().find_map(|name| self.organisations[*name].class.clone());
-        // Leaves out the tree's defaults, the last of the chain. A class's target falls back to
-        // them; an organisation's own target comes only from itself and its ancestors.
+        // An organisation's own target and priority come from itself and its ancestors only.
+        // The tree's defaults, the last of the chain, already apply through its class.
         let own_chain = &chain[..chain.len() - 1];
         let priority = find_nearest(own_chain, |node| node.priority);
         let rate = find_nearest(&chain, |node| node.limits.requests_per_second);
@@ -124,8 +125,12 @@
         })
     }
 
-    /// Lists the values that apply at the path `classes.NAME` or `organisations.NAME`, with
-    /// their sources. Returns `None` for any other path or an unknown name.
+    /// Lists the policy values that the class or organisation at the path `classes.NAME` or
+    /// `organisations.NAME` inherits, with their sources. Returns `None` for any other path or
+    /// an unknown name.
+    ///
+    /// For an organisation, the list includes the targets and priority of `defaults`, which
+    /// [`organisation_profile`](Self::organisation_profile) doesn't use.
     ///
     /// ```
     /// use flaxtide_core::SettingsTree;
@@ -141,8 +146,8 @@
     pub fn effective(&self, path: &str) -> Option<Vec<EffectiveValue>> {
         let (section, name) = path.split_once('.')?;
         let chain = match section {
-            "classes" => self.class_chain(name)?,
-            "organisations" => self.organisation_chain(name)?,
+            "classes" => self.class_policies(name)?,
+            "organisations" => self.organisation_policies(name)?,
             _ => return None,
         };
         let span = |field: &str, found: Option<(Duration, String)>, built_in| {
@@ -193,7 +198,7 @@
 
     /// Returns the policies that apply to a class with their paths, nearest first: its own, its
     /// ancestors', its tier's and the defaults.
-    fn class_chain(&self, name: &str) -> Option<Vec<(String, &PolicyNode)>> {
+    fn class_policies(&self, name: &str) -> Option<Vec<(String, &PolicyNode)>> {
         let names = self.class_ancestry(name)?;
         let mut chain: Vec<_> = names
             .iter()
@@ -209,7 +214,7 @@
 
     /// Returns the policies that apply to an organisation with their paths, nearest first: its
     /// own, its ancestors' and the defaults.
-    fn organisation_chain(&self, name: &str) -> Option<Vec<(String, &PolicyNode)>> {
+    fn organisation_policies(&self, name: &str) -> Option<Vec<(String, &PolicyNode)>> {
         let names = self.organisation_ancestry(name)?;
         let mut chain: Vec<_> = names
             .iter()
--- a/crates/flaxtide-core/src/settings/locate.rs
+++ b/crates/flaxtide-core/src/settings/locate.rs
@@ -18,8 +18,8 @@
     found
 }
 
-/// Finds `key` among the children of the parent that the last line held. Returns its line,
-/// counted from 1, and its indentation.
+/// Finds `key` among the children of the node whose line was read last from `lines`. Returns
+/// its line, counted from 1, and its indentation.
 fn find_key<'a>(
     lines: &mut impl Iterator<Item = (usize, &'a str)>,
     key: &str,
--- a/crates/flaxtide-core/src/settings/node.rs
+++ b/crates/flaxtide-core/src/settings/node.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SettingsTree {
-    /// The values that apply to a class or organisation if no nearer node sets them.
+    /// The values that classes, and the limits of organisations, fall back to.
     #[serde(default, skip_serializing_if = "is_default")]
     pub defaults: PolicyNode,
     /// The service tiers, each with its own rank.
--- a/crates/flaxtide-core/src/store_version.rs
+++ b/crates/flaxtide-core/src/store_version.rs
@@ -10,7 +10,8 @@
 /// 8,900 years.
 const VERSION_BITS: u32 = 48;
 
-/// Combines an era and a version within it. A version beyond 48 bits is clamped to the largest.
+/// Combines an era and a version within it. A version beyond 48 bits is clamped to the
+/// largest; the upper bits of an era beyond 16 bits are lost.
 ///
 /// ```
 /// use flaxtide_core::{store_era, store_version, version_in_era};
--- a/crates/flaxtide-core/src/wall_clock.rs
+++ b/crates/flaxtide-core/src/wall_clock.rs
@@ -5,8 +5,8 @@
 
 use crate::MilliClock;
 
-/// The number of offsets between the time of day and the monotonic clock that are kept. The
-/// median moves only after half of them have changed.
+/// The number of offsets between the time of day and the monotonic clock that are kept. Once
+/// that many are kept, a jump moves the median after about half of them show it.
 const SAMPLE_COUNT: usize = 31;
 
 /// A clock of the time since the start of 1970 that ignores short jumps.
--- a/crates/flaxtide-core/tests/settings.rs
+++ b/crates/flaxtide-core/tests/settings.rs
@@ -36,6 +36,7 @@
     parent: cinemas
 ";
 
+/// A class or organisation must use the nearest value, and report the node that sets it.
 #[test]
 fn children_inherit_from_parents() {
     let tree = SettingsTree::parse(TREE).unwrap();
@@ -49,6 +50,7 @@
     insta::assert_debug_snapshot!(tree.effective("classes.grid-draft").unwrap());
 }
 
+/// Each kind of invalid tree must be refused with its location and a remedy for the operator.
 #[test]
 fn faults_name_path_line_and_remedy() {
     let hash = format!("sha256:{}", "a".repeat(64));
@@ -98,6 +100,7 @@
     insta::assert_snapshot!(report.join("\n"));
 }
 
+/// Edits that lead to an invalid tree must be refused, not applied in part.
 #[test]
 fn edits_are_checked_and_leave_the_tree_alone_when_refused() {
     let tree = SettingsTree::parse(TREE).unwrap();
@@ -123,6 +126,7 @@
     insta::assert_snapshot!(report.join("\n"));
 }
 
+/// A tree must not lose or change values when it is formatted as YAML and parsed again.
 #[test]
 fn a_written_tree_reads_back() {
     let tree = SettingsTree::parse(TREE).unwrap();
--- a/crates/flaxtide-platform/src/claims.rs
+++ b/crates/flaxtide-platform/src/claims.rs
@@ -35,6 +35,7 @@
             Ok(results) if results.len() == claims.len() => {
                 results.into_iter().map(table_reply).collect()
             }
+            // An answer with another number of results doesn't tell which claims were written.
             Ok(_) => vec![TableReply::NoAnswer; claims.len()],
             Err(PlatformError::NotDone { .. }) => vec![TableReply::NotDone; claims.len()],
             Err(_) => vec![TableReply::NoAnswer; claims.len()],
--- a/crates/flaxtide-platform/src/settings.rs
+++ b/crates/flaxtide-platform/src/settings.rs
@@ -25,7 +25,7 @@
 /// The prefix of the keys of audit records.
 const AUDIT_PREFIX: &str = "settings/audit/";
 
-/// The number of attempts to commit a change while no answer arrives.
+/// The number of attempts to commit a change whose outcome is unknown.
 const COMMIT_ATTEMPTS: usize = 3;
 
 /// The content of the head row.
@@ -152,22 +152,24 @@
         next: &SettingsTree,
         record: &AuditRecord,
     ) -> Result<SettingsVersion, CommitFault> {
-        // The error of the last attempt that may have been committed.
-        let mut lost = None;
+        // The error of the last attempt that may have been committed, which leaves the outcome
+        // in doubt.
+        let mut doubt = None;
         for _ in 0..COMMIT_ATTEMPTS {
             let cause = match self.try_commit(base, next, record) {
                 Ok(Some(version)) => return Ok(version),
-                Ok(None) => return self.resolve_conflict(base, record, lost.is_some()),
+                Ok(None) => return self.resolve_conflict(base, record, doubt.is_some()),
                 Err(cause) => cause,
             };
             if !matches!(cause, PlatformError::NotDone { .. }) {
-                lost = Some(cause);
-            } else if lost.is_none() {
+                doubt = Some(cause);
+            } else if doubt.is_none() {
                 return Err(CommitFault::NotDone { cause });
             }
         }
+        // The fallback is never used: the loop runs to its end only with `doubt` set.
         let cause =
-            lost.unwrap_or(PlatformError::NotDone { message: "no tries left".into() });
+            doubt.unwrap_or(PlatformError::NotDone { message: "no tries left".into() });
         Err(CommitFault::Unknown { cause })
     }
 
@@ -205,19 +207,19 @@
         }
     }
 
-    /// Finds out whether the version after `base` is this change or another. `answer_lost` is
-    /// set if an earlier attempt got no answer, so that a failed read leaves the outcome unknown.
+    /// Finds out whether the version after `base` is this change or another. `outcome_unknown`
+    /// is set if an earlier attempt may have been committed.
     fn resolve_conflict(
         &self,
         base: SettingsVersion,
         record: &AuditRecord,
-        answer_lost: bool,
+        outcome_unknown: bool,
     ) -> Result<SettingsVersion, CommitFault> {
         /// The largest number of conflicting changes that are reported.
         const MAX_SHOWN_CHANGES: usize = 100;
         let between = match self.audit_after(base, MAX_SHOWN_CHANGES) {
             Ok(between) => between,
-            Err(cause) if answer_lost => return Err(CommitFault::Unknown { cause }),
+            Err(cause) if outcome_unknown => return Err(CommitFault::Unknown { cause }),
             Err(cause) => return Err(CommitFault::NotDone { cause }),
         };
         if between.first().is_some_and(|first| first.edit == record.edit) {
--- a/crates/flaxtide-platform/tests/contract.rs
+++ b/crates/flaxtide-platform/tests/contract.rs
@@ -27,6 +27,7 @@
     }
 }
 
+/// A failed condition must undo its own whole transaction, and none of the others in the call.
 #[test]
 fn transactions_commit_whole_or_not_at_all_and_apart_from_each_other() {
     let (_platform, client) = start();
@@ -50,6 +51,8 @@
     assert!(client.read("a").unwrap().unwrap().version > version);
 }
 
+/// An error must not claim that a write had no effect if it may have had one: a retry would
+/// repeat it.
 #[test]
 fn faults_say_whether_anything_was_done() {
     let (platform, client) = start();
@@ -98,6 +101,7 @@
     assert_eq!(kind(unreachable.commit(&[put("x", None, 1)])), "not done");
 }
 
+/// Objects must keep any bytes, and an unreachable list must be an error, not an empty list.
 #[test]
 fn objects_and_the_list_read_back() {
     let (platform, client) = start();
@@ -109,6 +113,8 @@
     assert!(client.list().is_err());
 }
 
+/// A retry after a lost answer must not report a conflict with its own commit, and a real
+/// conflict must name the operator who committed first.
 #[test]
 fn settings_versions_resolve_lost_answers_and_name_the_winner() {
     let (platform, client) = start();
@@ -123,9 +129,9 @@
     };
     platform.set_faults(PlatformFaults { lose_answers: 1, ..Default::default() });
     assert_eq!(store.commit(0, &tree, &record(1, 11, "ana")).unwrap(), 1);
-    let lost = store.commit(0, &tree, &record(1, 12, "eino"));
-    let Err(CommitFault::Conflict { current, between }) = lost else {
-        panic!("{lost:?}")
+    let conflict = store.commit(0, &tree, &record(1, 12, "eino"));
+    let Err(CommitFault::Conflict { current, between }) = conflict else {
+        panic!("{conflict:?}")
     };
     assert_eq!((current, between[0].operator.as_str()), (1, "ana"));
     platform.set_faults(PlatformFaults { down: true, ..Default::default() });
