--- a/crates/flaxtide-entry/src/duty/view.rs
+++ b/crates/flaxtide-entry/src/duty/view.rs
@@ -31,8 +31,8 @@
     });
 }
 
-/// Counts the serving servers of a service in each data centre. Leaving and lapsed ones
-/// don't count, but their data centre is listed.
+/// Counts the servers of a service in each data centre. A server that is leaving or whose
+/// row is missing doesn't count, but its data centre is listed.
 fn count_servers(
     state: &TrafficState,
     service: &str,
