--- a/crates/flaxtide/src/fleet.rs
+++ b/crates/flaxtide/src/fleet.rs
@@ -78,11 +78,11 @@
             shared.update_fleet(move |node, _| node.set_servers(servers));
         }
         let summary = summarise(shared, true);
-        let demand = node_demand(shared, &view, &summary);
+        let status = node_status(shared, &view, &summary);
         let (owned, state) = (shared.clone(), std::mem::take(&mut last));
         let (reply, replies) = crossbeam::channel::bounded(1);
         shared.update_fleet(move |node, now| {
-            node.set_status(demand, now);
+            node.set_status(status, now);
             // The feed thread may have ended.
             let _ = reply.try_send(read_node(&owned, node, &state, now));
         });
@@ -140,8 +140,8 @@
     servers.collect()
 }
 
-/// Returns what this instance has to say of itself.
-fn node_demand(
+/// Returns the status that this instance reports to its peers.
+fn node_status(
     shared: &SharedState,
     view: &SettingsView,
     summary: &DecisionSummary,
