--- a/crates/flaxtide-entry/src/feed.rs
+++ b/crates/flaxtide-entry/src/feed.rs
@@ -52,7 +52,7 @@
         /// The newest version of the rules that peers have announced.
         newest_rules: SettingsVersion,
         /// Whether this instance has got the known crashes from a peer.
-        crashes_synced: bool,
+        has_synced_crashes: bool,
         /// The live instances, or `None` until they are known.
         group: Option<Arc<InstanceGroup>>,
     },
@@ -105,8 +105,8 @@
             FeedEvent::Pushback(reports) => {
                 state.pushback.apply_reports(&state, &reports);
             }
-            FeedEvent::Fleet { live, newest_rules, crashes_synced, group } => {
-                state.quarantine.set_synced(crashes_synced);
+            FeedEvent::Fleet { live, newest_rules, has_synced_crashes, group } => {
+                state.quarantine.set_synced(has_synced_crashes);
                 state.newest_rules.set(newest_rules);
                 state.metrics.instances.set(i64::from(live));
                 state.with_router(|core, now| {
--- a/crates/flaxtide-entry/src/fleet.rs
+++ b/crates/flaxtide-entry/src/fleet.rs
@@ -79,8 +79,8 @@
     }
 
     /// Asks a peer for the rows that it has read.
-    pub(crate) fn ask_rows(&self, question: RowRequest) {
-        self.send(FleetCommand::AskRows(question));
+    pub(crate) fn ask_rows(&self, request: RowRequest) {
+        self.send(FleetCommand::AskRows(request));
     }
 
     /// Reports crashes to peers. The ages in the reports count from `since` on `clock`.
@@ -125,7 +125,7 @@
 
     /// Sends an event to the fleet thread. If the queue is full because the thread is
     /// slow, the event is dropped: the node's state is published again soon, and a
-    /// question without an answer counts as a peer that doesn't respond. Returns whether
+    /// request without an answer counts as a peer that doesn't respond. Returns whether
     /// there was room.
     fn send(&self, event: FleetCommand) -> bool {
         let sent = self.events.try_send(event).is_ok();
@@ -327,13 +327,13 @@
         }
         let live = node.fleet_size(now);
         let newest_rules = node.newest_known_version(now);
-        let crashes_synced = node.has_synced_crashes();
+        let has_synced_crashes = node.has_synced_crashes();
         let group = node.instance_group(now);
         // A dropped event is repeated with the next update.
         let _ = events.try_send(FeedEvent::Fleet {
             live,
             newest_rules,
-            crashes_synced,
+            has_synced_crashes,
             group,
         });
     });
