--- a/crates/flaxtide-fleet/src/node/lists.rs
+++ b/crates/flaxtide-fleet/src/node/lists.rs
@@ -34,9 +34,9 @@
         };
         let count = self.reader_count();
         let end = (count + STANDBYS).min(self.reader_order.len());
-        let indexes = &self.reader_order[..end];
-        let others = indexes.iter().filter_map(|index| self.address_at(*index));
-        let peers = indexes.iter().filter_map(|index| self.peers.get(&self.live[*index]));
+        let indices = &self.reader_order[..end];
+        let others = indices.iter().filter_map(|index| self.address_at(*index));
+        let peers = indices.iter().filter_map(|index| self.peers.get(&self.live[*index]));
         ListPlan {
             reader,
             others: others.filter(|address| *address != asked_first).collect(),
@@ -50,9 +50,9 @@
         self.live.len().div_ceil(INSTANCES_PER_READER)
     }
 
-    /// Returns whether this instance is at one of these indexes of `live`.
-    fn includes_self(&self, indexes: &[usize]) -> bool {
-        indexes.iter().any(|index| self.live[*index] == self.own.name)
+    /// Returns whether this instance is at one of these indices of `live`.
+    fn includes_self(&self, indices: &[usize]) -> bool {
+        indices.iter().any(|index| self.live[*index] == self.own.name)
     }
 
     /// Returns the address of the peer at an index of `live`; `None` for this instance itself.
--- a/crates/flaxtide-fleet/src/node/mod.rs
+++ b/crates/flaxtide-fleet/src/node/mod.rs
@@ -173,7 +173,7 @@
     list_failed: bool,
     /// The live instances of the group, including this one, sorted by name.
     live: Vec<InstanceName>,
-    /// Indexes into `live`, in the order in which instances are chosen as list readers.
+    /// Indices into `live`, in the order in which instances are chosen as list readers.
     reader_order: Vec<usize>,
     /// The servers that this instance watches.
     watched: Vec<FleetKey>,
--- a/crates/flaxtide-policy/src/rendezvous.rs
+++ b/crates/flaxtide-policy/src/rendezvous.rs
@@ -15,7 +15,7 @@
         .max_by_key(|index| (named_weight(key, members[*index].as_ref()), *index))
 }
 
-/// Returns the indexes of the members in the order of their rank for `key`, the owner
+/// Returns the indices of the members in the order of their rank for `key`, the owner
 /// first.
 ///
 /// ```
