--- a/crates/flaxtide-entry/src/follower.rs
+++ b/crates/flaxtide-entry/src/follower.rs
@@ -187,8 +187,8 @@
         if regained && was_outage && !self.send_availability(FeedEvent::Regained) {
             return false;
         }
-        let news = is_snapshot || !batch.rows.is_empty();
-        !news
+        let changed = is_snapshot || !batch.rows.is_empty();
+        !changed
             || self.send_event(FeedEvent::Batch {
                 topic: self.topic,
                 batch,
