--- a/crates/flaxtide-fleet/src/node/group.rs
+++ b/crates/flaxtide-fleet/src/node/group.rs
@@ -250,8 +250,8 @@
     /// Returns the contact in another data centre. Each instance orders the candidates
     /// differently, so that they don't all call the same one.
     fn contact<'a>(&'a self, other: &'a DataCentreName) -> Option<&'a PeerRecord> {
-        let not_leaving = self.peers_in(other).filter(|peer| !peer.leaving);
-        let mut candidates: Vec<&PeerRecord> = not_leaving.collect();
+        let non_leaving = self.peers_in(other).filter(|peer| !peer.leaving);
+        let mut candidates: Vec<&PeerRecord> = non_leaving.collect();
         if candidates.is_empty() {
             candidates = self.peers_in(other).collect();
         }
--- a/crates/flaxtide-policy/src/core/admit.rs
+++ b/crates/flaxtide-policy/src/core/admit.rs
@@ -87,7 +87,7 @@
         let give_up_at = now + give_up;
         if self
             .non_leaving_servers(pool)
-            .any(|server| server.in_service(give_up_at))
+            .any(|server| server.accepts_requests(give_up_at))
         {
             return Ok(());
         }
--- a/crates/flaxtide-policy/src/core/pool.rs
+++ b/crates/flaxtide-policy/src/core/pool.rs
@@ -69,7 +69,7 @@
         let mut loads = vec![];
         self.capacity = 0;
         for server in servers.at(&self.servers.indices) {
-            if !server.in_service(now) {
+            if !server.accepts_requests(now) {
                 continue;
             }
             token_times
--- a/crates/flaxtide-policy/src/server.rs
+++ b/crates/flaxtide-policy/src/server.rs
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Returns whether the server may get requests at all.
-    pub(crate) fn in_service(&self, now: Duration) -> bool {
+    /// Returns whether the server is neither leaving nor paused at `now`.
+    pub(crate) fn accepts_requests(&self, now: Duration) -> bool {
         !self.leaving && now >= self.paused_until
     }
 
@@ -145,7 +145,7 @@
     /// priorities. But the server shouldn't get more than twice as many requests as the
     /// share.
     pub(crate) fn has_slot(&self, tier: TierRank, now: Duration, idle_part: f64) -> bool {
-        if !self.in_service(now) {
+        if !self.accepts_requests(now) {
             return false;
         }
         if self.on_probation {
