--- a/crates/flaxtide/tests/soak/process.rs
+++ b/crates/flaxtide/tests/soak/process.rs
@@ -63,13 +63,14 @@
     pub(crate) fn start(&self) {
         let log = self.path.with_extension("log");
         let log = File::options().create(true).append(true).open(log).unwrap();
+        // Counted first, as the new process may answer before `spawn` returns here.
+        self.starts.fetch_add(1, Ordering::SeqCst);
         let child = Command::new(&self.program)
             .args(["enter", "--config"])
             .arg(&self.path)
             .stdout(log)
             .spawn()
             .unwrap();
-        self.starts.fetch_add(1, Ordering::SeqCst);
         *self.child.lock().unwrap() = Some(child);
     }
 
